--- a/selector/assignment.go
+++ b/selector/assignment.go
@@ -8,95 +8,99 @@
 	"limpetcleat/registrar"
 )
 
-// Outcome is what one send of a request came to.
+// Outcome is the result of sending a request to an upstream once.
 type Outcome int
 
 const (
-	// Answered means that the upstream's own answer came whole.
+	// Answered means that the upstream returned a complete answer.
 	Answered Outcome = iota
-	// Failed means that the upstream answered with a failure or broke off.
+	// Failed means that the upstream returned an error or broke off its answer.
 	Failed
-	// Unreachable means that nothing came back, or no connection was made.
+	// Unreachable means that no connection was made, or that nothing was returned.
 	Unreachable
-	// Full means that the upstream stated that it had no room.
+	// Full means that the upstream stated that it has no capacity for the request.
 	Full
-	// Gone means that another upstream has the address by now.
+	// Gone means that the address now belongs to another upstream.
 	Gone
-	// Abandoned means that the send was ended from this side.
+	// Abandoned means that this node ended the request.
 	Abandoned
 )
 
-// Assignment is one request at one upstream. The request's goroutine owns it.
+// Assignment is one request at one upstream. It is owned by the goroutine that handles the
+// request.
 type Assignment struct {
 	selector *Selector
 	upstream *registrar.Upstream
-	// The rest is guarded by the selector's mutex.
+	// The fields below are guarded by the selector's mutex.
 	state *state
-	// unread is what the request adds to the upstream's unread tokens until its
-	// first event.
+	// unread counts the prompt tokens that the engine is expected to prefill for the request.
 	unread int
-	// tokens is what the request may take of an engine's memory.
+	// tokens counts the tokens that the request may occupy in the engine's KV cache.
 	tokens int
-	// prompt counts the tokens of the whole prompt.
-	prompt int
-	// ahead is how many tokens of others were to be read there before it.
-	ahead int
-	parts []Part
-	// memory is how long the engine keeps a part that is not used.
-	memory   time.Duration
-	sentAt   time.Time
-	expected time.Duration
-	kind     string
-	engine   bool
-	// deferred requests are behind all others at the engine.
+	// promptTokens counts the tokens of the whole prompt.
+	promptTokens int
+	// tokensAhead counts the tokens of other requests to be prefilled there first.
+	tokensAhead int
+	parts       []Part
+	// cacheLifetime is how long the engine keeps an unused part in its cache.
+	cacheLifetime time.Duration
+	sentAt        time.Time
+	expected      time.Duration
+	rule          string
+	engine        bool
+	// deferred requests are queued behind all others at the engine.
 	deferred bool
-	// pending is set until a permit of the upstream's is granted; nothing counts before.
-	pending bool
-	// trial is set for the one request that tries an upstream behind its backoff.
-	trial bool
-	// waits is set when no permit is expected at once; it may be waited for.
+	// awaitsPermit is set until the upstream's permit is granted; until then the request does
+	// not count as load.
+	awaitsPermit bool
+	// probe is set for the one request that tests an upstream after its backoff.
+	probe bool
+	// waits is set if no permit is expected at once but the request may wait for one.
 	waits bool
 	tier  int
-	// begunAt is when the first event came, if begun is set.
+	// begunAt is when the first event came; it is valid if begun is set.
 	begunAt time.Time
 	begun   bool
 	ended   bool
 	basis   string
 }
 
-// Basis returns what the choice was made from, for logs: the requests in flight
-// at the upstream, this node's and its peers', the boundary between long and
-// short prompts and the request's side of it, the share of failures in
-// hundredths, the milliseconds the first byte is expected in, what the choice
-// costs, whether the upstream is the one that all nodes prefer for the prompt's
-// subject, and whether it is known who holds that.
+// Basis returns the data behind the choice as key=value pairs for logs: the requests in flight
+// at the upstream (inFlight: from this node, others: from its peers), the request's side of the
+// boundary between long and short prompts, the share of failures in percent, the expected time
+// to the first event and the cost in milliseconds, the price of engine time, how long engines
+// keep unused parts (memoryMs), the prompt tokens to prefill although other engines hold them
+// (reread), whether the request is deferred, whether the upstream is the one that all nodes
+// prefer for the prompt's subject, and whether an engine is known to hold the subject (known).
 func (assignment *Assignment) Basis() string { return assignment.basis }
 
-// Deferred tells whether the request is to be put behind all others at the engine.
+// Deferred reports whether the request is to be queued behind all others at the engine.
 func (assignment *Assignment) Deferred() bool { return assignment.deferred }
 
-// backlog returns the count of unread tokens that the request belongs to; the
-// selector's mutex is held.
-func (assignment *Assignment) backlog() *int {
+// unreadCount returns the counter of the upstream's unread tokens that includes the request;
+// the selector's mutex is held.
+func (assignment *Assignment) unreadCount() *int {
 	if assignment.deferred {
 		return &assignment.state.deferred
 	}
 	return &assignment.state.unread
 }
 
-// Upstream returns where the request goes.
+// Upstream returns the upstream that the request is assigned to.
 func (assignment *Assignment) Upstream() *registrar.Upstream { return assignment.upstream }
 
-// NeedsPermit tells whether the request may be sent only with a permit, as the upstream has a
-// limit: Granted or Withheld is then to be called before anything else.
-func (assignment *Assignment) NeedsPermit() bool { return assignment.pending }
+// NeedsPermit reports whether the upstream has a limit, so that the request may be sent only
+// with a permit. If so, Granted or Withheld must be called before any other method that changes
+// the assignment, or End if the request is given up.
+func (assignment *Assignment) NeedsPermit() bool { return assignment.awaitsPermit }
 
-// Waits tells whether the permit may be waited for: there is no upstream that would take the
-// request sooner.
+// Waits reports whether the request may wait for the permit, because no upstream would accept
+// it sooner.
 func (assignment *Assignment) Waits() bool { return assignment.waits }
 
-// Granted notes that the request may be sent, unless its upstream has asked for a backoff meanwhile:
-// the assignment has then ended.
+// Granted records that the permit was granted and reports whether the request may be sent. If
+// the upstream has asked for a backoff in the meantime, Granted ends the assignment and returns
+// false.
 func (assignment *Assignment) Granted(now time.Time) bool {
 	assignment.selector.mutex.Lock()
 	defer assignment.selector.mutex.Unlock()
@@ -104,21 +108,21 @@
 		assignment.ended = true
 		return false
 	}
-	assignment.pending = false
+	assignment.awaitsPermit = false
 	assignment.sentAt = now
-	assignment.count(now)
+	assignment.addToLoad(now)
 	return true
 }
 
-// BackOff notes that the upstream wants nothing from this node for so long.
+// BackOff records that the upstream accepts no requests from this node for the span.
 func (assignment *Assignment) BackOff(now time.Time, span time.Duration) {
 	assignment.selector.mutex.Lock()
 	defer assignment.selector.mutex.Unlock()
 	assignment.state.backOff(now.Add(span))
 }
 
-// Withheld notes that the request may not be sent, and that it is of no use to ask for a
-// permit for it, or for one of a lower tier, before the time. It ends the assignment.
+// Withheld records that the permit was denied, and that no permit is expected for the request's
+// tier or a lower one before the time until. It ends the assignment.
 func (assignment *Assignment) Withheld(until time.Time) {
 	assignment.selector.mutex.Lock()
 	defer assignment.selector.mutex.Unlock()
@@ -126,35 +130,36 @@
 	assignment.state.withhold(assignment.tier, until)
 }
 
-// Begun notes the first byte of the answer.
+// Begun records the first byte of the answer. Further calls record only that the upstream
+// responds.
 func (assignment *Assignment) Begun(now time.Time) {
 	assignment.selector.mutex.Lock()
 	defer assignment.selector.mutex.Unlock()
-	assignment.state.reached(now)
+	assignment.state.recordResponse(now)
 	if assignment.begun {
 		return
 	}
-	assignment.endTrial(true)
+	assignment.endProbe(true)
 	assignment.begun, assignment.begunAt = true, now
-	*assignment.backlog() -= assignment.unread
+	*assignment.unreadCount() -= assignment.unread
 	if assignment.deferred {
-		return // How long it waited tells nothing of the others.
+		return // Its latency says nothing about requests that are not deferred.
 	}
-	assignment.state.delayed(now, now.Sub(assignment.sentAt)-assignment.expected)
+	assignment.state.recordDelay(now, now.Sub(assignment.sentAt)-assignment.expected)
 	if assignment.engine {
-		assignment.selector.service(assignment.upstream.Service).pace.observe(assignment.ahead+assignment.unread, now.Sub(assignment.sentAt))
+		assignment.selector.service(assignment.upstream.Service).prefillSpeed.observe(assignment.tokensAhead+assignment.unread, now.Sub(assignment.sentAt))
 	}
 }
 
-// Silent tells whether nothing at all has come from the upstream, for whichever
-// request, since this one was sent.
+// Silent reports whether nothing has come from the upstream, for any request, since this one
+// was sent.
 func (assignment *Assignment) Silent() bool {
 	assignment.selector.mutex.Lock()
 	defer assignment.selector.mutex.Unlock()
 	return assignment.state.lastByte.Before(assignment.sentAt)
 }
 
-// End gives the assignment back; a second call changes nothing.
+// End ends the assignment with the outcome; further calls have no effect.
 func (assignment *Assignment) End(now time.Time, outcome Outcome) {
 	assignment.selector.mutex.Lock()
 	defer assignment.selector.mutex.Unlock()
@@ -162,82 +167,83 @@
 		return
 	}
 	assignment.ended = true
-	if assignment.pending {
+	if assignment.awaitsPermit {
 		return
 	}
-	assignment.endTrial(outcome == Answered)
+	assignment.endProbe(outcome == Answered)
 	state := assignment.state
 	state.inFlight--
 	state.tokens -= assignment.tokens
 	if !assignment.begun {
-		*assignment.backlog() -= assignment.unread
+		*assignment.unreadCount() -= assignment.unread
 	}
 	if !assignment.begun && outcome != Answered && outcome != Abandoned {
-		state.unlearn(assignment.parts, assignment.sentAt)
+		state.discardParts(assignment.parts, assignment.sentAt)
 	}
-	assignment.countWriting(now, -1)
+	assignment.addDecoding(now, -1)
 	switch outcome {
 	case Answered:
-		state.reached(now)
+		state.recordResponse(now)
 		if assignment.engine && assignment.begun {
-			assignment.selector.service(assignment.upstream.Service).stay.observe(now.Sub(assignment.begunAt))
+			assignment.selector.service(assignment.upstream.Service).slotTime.observe(now.Sub(assignment.begunAt))
 		}
-		state.outcome(now, false)
+		state.recordOutcome(now, false)
 	case Failed, Full:
-		state.reached(now)
-		state.outcome(now, true)
+		state.recordResponse(now)
+		state.recordOutcome(now, true)
 	case Unreachable:
-		state.outcome(now, true)
-		state.unreachable(now)
+		state.recordOutcome(now, true)
+		state.recordUnreachable(now)
 	case Gone:
-		state.pauseUntil = now.Add(goneFor)
+		state.pauseUntil = now.Add(gonePause)
 	case Abandoned:
 	}
 }
 
-// count adds the request to what its upstream has under way; the selector's mutex is held.
-func (assignment *Assignment) count(now time.Time) {
+// addToLoad adds the request to the load of its upstream; the selector's mutex is held.
+func (assignment *Assignment) addToLoad(now time.Time) {
 	state := assignment.state
-	if state.unproven {
-		state.tried, assignment.trial = true, true
+	if state.needsProbe {
+		state.probing, assignment.probe = true, true
 	}
 	state.inFlight++
-	*assignment.backlog() += assignment.unread
+	*assignment.unreadCount() += assignment.unread
 	state.tokens += assignment.tokens
 	if assignment.engine {
 		service := assignment.selector.service(assignment.upstream.Service)
-		service.read.add(now, assignment.unread, assignment.prompt)
-		// Only what is sent is work: a request that is refused takes nothing of an engine.
-		service.division.of(assignment.kind).addPrompt(now, assignment.prompt)
+		service.cacheMisses.add(now, assignment.unread, assignment.promptTokens)
+		// Only requests that are sent count as work: a refused one takes no engine time.
+		service.partition.rule(assignment.rule).addPrompt(now, assignment.promptTokens)
 	}
-	assignment.countReading(now)
-	assignment.countWriting(now, 1)
-	// Told at once: until the answer begins, others would have it read elsewhere.
-	assignment.selector.noteRead(assignment.upstream.ID, state, state.remember(assignment.parts, now, assignment.memory))
+	assignment.addPrefill(now)
+	assignment.addDecoding(now, 1)
+	// The read is reported when the request is sent: if reported only when the answer begins,
+	// peers would meanwhile send the same subject to other engines.
+	assignment.selector.queueRead(assignment.upstream.ID, state, state.recordParts(assignment.parts, now, assignment.cacheLifetime))
 }
 
-// countReading adds the reading of the prompt to the work of the request's kind.
-func (assignment *Assignment) countReading(now time.Time) {
+// addPrefill adds the prefill of the prompt to the work of the request's rule.
+func (assignment *Assignment) addPrefill(now time.Time) {
 	if assignment.engine {
 		service := assignment.selector.service(assignment.upstream.Service)
-		service.division.of(assignment.kind).addWork(now, service.pace.reading(assignment.unread))
+		service.partition.rule(assignment.rule).addPrefill(now, service.prefillSpeed.prefillTime(assignment.unread))
 	}
 }
 
-// countWriting adds the answer to what the request's kind has under way, or takes
-// it off. One that still waits for a slot counts too: it is work that the kind's
-// engines were not enough for.
-func (assignment *Assignment) countWriting(now time.Time, count float64) {
+// addDecoding adds count answers to those that the request's rule has in flight. A request that
+// still waits for a slot counts as well: it is work for which the rule's engines do not
+// suffice.
+func (assignment *Assignment) addDecoding(now time.Time, count float64) {
 	slots := assignment.upstream.Slots
 	if assignment.engine && slots > 0 {
-		division := &assignment.selector.service(assignment.upstream.Service).division
-		division.of(assignment.kind).addWriting(now, count/float64(slots))
+		partition := &assignment.selector.service(assignment.upstream.Service).partition
+		partition.rule(assignment.rule).addDecoding(now, count/float64(slots))
 	}
 }
 
-// noteRead keeps a reading for the next report to peers; mutex is held.
-func (selector *Selector) noteRead(upstream definer.UpstreamName, state *state, parts []string) {
-	if len(parts) == 0 || len(selector.reads) >= maxReads {
+// queueRead queues the parts for the next report to peers; mutex is held.
+func (selector *Selector) queueRead(upstream definer.UpstreamName, state *state, parts []string) {
+	if len(parts) == 0 || len(selector.reads) >= maxQueuedReads {
 		return
 	}
 	selector.reads = append(selector.reads, messenger.PartsRead{Upstream: upstream, Incarnation: state.incarnation, Parts: parts})
--- a/selector/backoff.go
+++ b/selector/backoff.go
@@ -2,43 +2,44 @@
 
 import "time"
 
-// backOff notes that the upstream wants nothing from this node before the time. What it asked for
-// before still holds if that is longer.
+// backOff records that the upstream accepts nothing from this node before the time until. A
+// longer backoff that it asked for earlier stays in force.
 func (state *state) backOff(until time.Time) {
 	if until.After(state.backoffUntil) {
 		state.backoffUntil = until
 	}
-	state.unproven = true
+	state.needsProbe = true
 }
 
-// backsOff tells whether the upstream is not to be sent anything: its backoff lasts, or the one
-// request that tries it behind the backoff has no answer yet.
+// backsOff reports whether nothing may be sent to the upstream: its backoff has not ended, or
+// the one request that probes it afterwards has no answer yet.
 func (state *state) backsOff(now time.Time) bool {
-	return now.Before(state.backoffUntil) || state.tried
+	return now.Before(state.backoffUntil) || state.probing
 }
 
-// endTrial ends the trial of an upstream behind its backoff, if the assignment is that; one that
-// took the request is used as before. The selector's mutex is held.
-func (assignment *Assignment) endTrial(taken bool) {
-	if !assignment.trial {
+// endProbe ends the probe of the upstream after its backoff, if the assignment is that probe.
+// If the upstream accepted the request, it is used without restriction again; otherwise the
+// next request is a probe. The selector's mutex is held.
+func (assignment *Assignment) endProbe(accepted bool) {
+	if !assignment.probe {
 		return
 	}
-	assignment.trial = false
-	assignment.state.tried = false
-	if taken {
-		assignment.state.unproven = false
+	assignment.probe = false
+	assignment.state.probing = false
+	if accepted {
+		assignment.state.needsProbe = false
 	}
 }
 
-// backoffOver returns after what time the first backoff is over, of the candidates that back
-// off, and whether there is one.
-func (choice *choice) backoffOver() (after time.Duration, backsOff bool) {
-	for index := range choice.views {
-		view := &choice.views[index]
-		if choice.demand.Tried[view.upstream.ID] || !view.state.backsOff(choice.now) {
+// shortestBackoff returns the time until the first backoff ends, among the untried candidates
+// in backoff, and whether there is one.
+func (choice *choice) shortestBackoff() (after time.Duration, backsOff bool) {
+	for index := range choice.candidates {
+		candidate := &choice.candidates[index]
+		if choice.demand.Tried[candidate.upstream.ID] || !candidate.state.backsOff(choice.now) {
 			continue
 		}
-		left := max(view.state.backoffUntil.Sub(choice.now), 0)
+		left := max(candidate.state.backoffUntil.Sub(choice.now), 0)
 		if !backsOff || left < after {
 			after, backsOff = left, true
 		}
--- a/selector/benchmark_test.go
+++ b/selector/benchmark_test.go
@@ -13,12 +13,12 @@
 	"limpetcleat/selector"
 )
 
-// BenchmarkChoose measures one choice among 90 engines with the reports of 60 nodes, of
-// which each has requests at a third of the engines and has told of two subjects.
+// BenchmarkChoose measures one choice among 90 engines with the reports of 60 nodes, each of
+// which has requests at a third of the engines and has reported the reads of one subject.
 func BenchmarkChoose(b *testing.B) {
 	const engines, nodes = 90, 60
 	now := start()
-	choice := selector.New("west")
+	chooser := selector.New("west")
 	var list []*registrar.Upstream
 	for index := range engines {
 		list = append(list, &registrar.Upstream{ID: definer.UpstreamName(fmt.Sprintf("i-%010x", index)), Service: "pool", DataCentre: "west", Slots: 64})
@@ -32,13 +32,13 @@
 			report.Loads = append(report.Loads, messenger.UpstreamLoad{Upstream: list[index].ID, InFlight: 1, Tokens: 4000, Unread: 900})
 		}
 		report.Reads = []messenger.PartsRead{{Upstream: list[node].ID, Parts: []string{fmt.Sprintf("s%d", node)}}}
-		choice.Learn(now, definer.VM(fmt.Sprintf("node%d", node)), report, nodes)
+		chooser.Learn(now, definer.VM(fmt.Sprintf("node%d", node)), report, nodes)
 	}
 	b.ResetTimer()
 	for index := range b.N {
-		demand := prompt(list, "long", fmt.Sprintf("s%d", index%120), 3700)
+		demand := engineDemand(list, "long", fmt.Sprintf("s%d", index%120), 3700)
 		demand.CacheTokens, demand.Objective, demand.Deferrable = 650_000, 1500*time.Millisecond, true
-		assignment, err := choice.Choose(now, demand)
+		assignment, err := chooser.Choose(now, demand)
 		assert.NilError(b, err)
 		assignment.End(now, selector.Answered)
 	}
--- a/selector/choice.go
+++ b/selector/choice.go
@@ -8,171 +8,174 @@
 	"limpetcleat/ranker"
 )
 
-// choice is one request for which an upstream is chosen; the selector's mutex is
-// held as long as it lasts.
+// choice holds the data for assigning one request to an upstream. The selector's mutex is held
+// for its whole lifetime.
 type choice struct {
-	selector *Selector
-	now      time.Time
-	demand   *Demand
-	service  *service
-	pace     *pace
-	side     *side
-	// memory is how long an engine keeps a part that is not used.
-	memory    time.Duration
-	views     []view
-	preferred definer.UpstreamName
-	// objective is within what time the first event is aimed for, counted from when the
-	// caller first came.
+	selector     *Selector
+	now          time.Time
+	demand       *Demand
+	service      *service
+	prefillSpeed *prefillSpeed
+	side         *side
+	// cacheLifetime is how long an engine of the side keeps an unused part in its cache.
+	cacheLifetime time.Duration
+	candidates    []candidate
+	preferred     definer.UpstreamName
+	// objective is what remains of the demand's objective for the first event, which counts
+	// from the caller's first attempt.
 	objective time.Duration
-	// known tells whether some candidate is believed to hold the subject.
-	known bool
-	// price is what a moment of an engine's time costs others, against that moment.
+	// subjectCached reports whether some candidate is believed to hold the subject.
+	subjectCached bool
+	// price is what a unit of engine time costs other requests, in the same unit.
 	price float64
 }
 
-func (selector *Selector) consider(now time.Time, demand *Demand) *choice {
-	selector.others.expire(now)
+// newChoice returns the choice for a demand; for engines it also computes the shares, waits and
+// cached tokens of all candidates.
+func (selector *Selector) newChoice(now time.Time, demand *Demand) *choice {
+	selector.peerReports.expire(now)
 	choice := &choice{selector: selector, now: now, demand: demand}
 	if !demand.Engine {
-		choice.views = choice.look()
+		choice.candidates = choice.newCandidates()
 		return choice
 	}
 	service := selector.service(demand.Service)
-	kind := service.division.of(demand.Kind)
-	kind.tier = demand.Tier
-	if kind.since.IsZero() {
-		kind.since = now
+	ruleWork := service.partition.rule(demand.Kind)
+	ruleWork.tier = demand.Tier
+	if ruleWork.since.IsZero() {
+		ruleWork.since = now
 	}
-	choice.objective = demand.Objective - kind.patience.waited(demand.TimeLeft)
-	choice.service, choice.pace = service, &service.pace
-	choice.side = service.division.side(now, demand, selector.others.works(now, demand.Service))
-	choice.views = choice.look()
-	for index := range choice.views {
-		view := &choice.views[index]
-		view.share = choice.side.share(view.upstream.ID)
-		view.wait = choice.waitAt(view)
+	choice.objective = demand.Objective - ruleWork.callerTimeout.waitedBefore(demand.TimeLeft)
+	choice.service, choice.prefillSpeed = service, &service.prefillSpeed
+	choice.side = service.partition.side(now, demand, selector.peerReports.work(now, demand.Service))
+	choice.candidates = choice.newCandidates()
+	for index := range choice.candidates {
+		candidate := &choice.candidates[index]
+		candidate.share = choice.side.share(candidate.upstream.ID)
+		candidate.wait = choice.expectedWait(candidate)
 	}
-	choice.memory = choice.memoryOfSide()
-	choice.price = choice.priceOfTime()
-	for index := range choice.views {
-		view := &choice.views[index]
-		view.cached = view.state.cached(demand.Parts, now, choice.memory)
-		choice.known = choice.known || view.state.holds(demand.subject(), now, choice.memory)
+	choice.cacheLifetime = choice.cacheLifetimeOfSide()
+	choice.price = choice.engineTimePrice()
+	for index := range choice.candidates {
+		candidate := &choice.candidates[index]
+		candidate.cachedTokens = candidate.state.cachedTokens(demand.Parts, now, choice.cacheLifetime)
+		choice.subjectCached = choice.subjectCached || candidate.state.holds(demand.subject(), now, choice.cacheLifetime)
 	}
-	choice.preferred = choice.prefer()
+	choice.preferred = choice.preferredEngine()
 	return choice
 }
 
-// prefer returns the engine of the side that the subject's requests go to when all are
-// well.
-func (choice *choice) prefer() definer.UpstreamName {
+// preferredEngine returns the engine of the request's side with the highest rendezvous weight
+// for the subject, which is the same on all nodes; empty without a subject.
+func (choice *choice) preferredEngine() definer.UpstreamName {
 	subject := choice.demand.subject()
 	if subject == "" {
 		return ""
 	}
 	var best definer.UpstreamName
 	var highest uint64
-	for index := range choice.views {
-		view := &choice.views[index]
-		if view.share < 0.5 {
+	for index := range choice.candidates {
+		candidate := &choice.candidates[index]
+		if candidate.share < 0.5 {
 			continue
 		}
-		if weight := ranker.Weight(subject, string(view.upstream.ID)); best == "" || weight > highest {
-			best, highest = view.upstream.ID, weight
+		if weight := ranker.Weight(subject, string(candidate.upstream.ID)); best == "" || weight > highest {
+			best, highest = candidate.upstream.ID, weight
 		}
 	}
 	return best
 }
 
-// eligible tells whether a candidate was not tried for the request yet and does not back off.
-func (choice *choice) eligible(view *view) bool {
-	return !choice.demand.Tried[view.upstream.ID] && !view.state.backsOff(choice.now)
+// eligible reports whether a candidate was not yet tried for the request and is not in backoff.
+func (choice *choice) eligible(candidate *candidate) bool {
+	return !choice.demand.Tried[candidate.upstream.ID] && !candidate.state.backsOff(choice.now)
 }
 
-// cheapest returns the candidate with the least cost, and that; those that are left alone
-// count only when paused is set.
-func (choice *choice) cheapest(paused bool) (*view, time.Duration) {
-	var best *view
+// cheapest returns the eligible candidate with the lowest cost, and the cost; nil if there is
+// none. Paused candidates are included only if paused is set.
+func (choice *choice) cheapest(paused bool) (*candidate, time.Duration) {
+	var best *candidate
 	var lowest time.Duration
-	for index := range choice.views {
-		view := &choice.views[index]
-		if !choice.eligible(view) || view.state.withheld(choice.demand.Tier, choice.now) {
+	for index := range choice.candidates {
+		candidate := &choice.candidates[index]
+		if !choice.eligible(candidate) || candidate.state.withheld(choice.demand.Tier, choice.now) {
 			continue
 		}
-		if !paused && view.state.paused(choice.now) {
+		if !paused && candidate.state.paused(choice.now) {
 			continue
 		}
-		if cost := choice.cost(view); best == nil || cost < lowest {
-			best, lowest = view, cost
+		if cost := choice.cost(candidate); best == nil || cost < lowest {
+			best, lowest = candidate, cost
 		}
 	}
 	return best, lowest
 }
 
-// soonest returns the candidate that is expected to have a permit first, of those that have
-// none now and do not back off, and when.
-func (choice *choice) soonest() (*view, time.Time) {
-	var best *view
+// earliestPermit returns, of the eligible candidates without a permit now, the one that is
+// expected to have one first, and when; nil if there is none.
+func (choice *choice) earliestPermit() (*candidate, time.Time) {
+	var best *candidate
 	var earliest time.Time
-	for index := range choice.views {
-		view := &choice.views[index]
-		if !choice.eligible(view) {
+	for index := range choice.candidates {
+		candidate := &choice.candidates[index]
+		if !choice.eligible(candidate) {
 			continue
 		}
-		until := view.state.withheldUntil(choice.demand.Tier)
+		until := candidate.state.withheldUntil(choice.demand.Tier)
 		if until.After(choice.now) && (best == nil || until.Before(earliest)) {
-			best, earliest = view, until
+			best, earliest = candidate, until
 		}
 	}
 	return best, earliest
 }
 
-// assign puts the request on the upstream, which costs as much as was found.
-func (choice *choice) assign(view *view, cost time.Duration) *Assignment {
-	demand, now, state := choice.demand, choice.now, view.state
+// assign returns the assignment of the request to the candidate at the cost.
+func (choice *choice) assign(candidate *candidate, cost time.Duration) *Assignment {
+	demand, now, state := choice.demand, choice.now, candidate.state
 	assignment := &Assignment{
-		selector: choice.selector,
-		upstream: view.upstream,
-		state:    state,
-		parts:    demand.Parts,
-		prompt:   demand.PromptTokens,
-		memory:   choice.memory,
-		sentAt:   now,
-		kind:     demand.Kind,
-		engine:   demand.Engine,
-		tier:     demand.Tier,
-		pending:  state.limited,
+		selector:      choice.selector,
+		upstream:      candidate.upstream,
+		state:         state,
+		parts:         demand.Parts,
+		promptTokens:  demand.PromptTokens,
+		cacheLifetime: choice.cacheLifetime,
+		sentAt:        now,
+		rule:          demand.Kind,
+		engine:        demand.Engine,
+		tier:          demand.Tier,
+		awaitsPermit:  state.limited,
 	}
 	reread := 0
 	if demand.Engine {
-		reread = choice.plan(assignment, view)
+		reread = choice.plan(assignment, candidate)
 	}
 	assignment.basis = fmt.Sprintf("inFlight=%d others=%d side=%s failures=%.0f%% expectedMs=%d costMs=%d price=%.1f memoryMs=%d reread=%d deferred=%t preferred=%t known=%t",
-		state.inFlight, view.load.InFlight, choice.side, 100*state.failureShare(now),
-		assignment.expected.Milliseconds(), cost.Milliseconds(), choice.price, choice.memory.Milliseconds(), reread, assignment.deferred,
-		view.upstream.ID == choice.preferred, choice.known)
-	if !assignment.pending {
-		assignment.count(now)
+		state.inFlight, candidate.load.InFlight, choice.side, 100*state.failureShare(now),
+		assignment.expected.Milliseconds(), cost.Milliseconds(), choice.price, choice.cacheLifetime.Milliseconds(), reread, assignment.deferred,
+		candidate.upstream.ID == choice.preferred, choice.subjectCached)
+	if !assignment.awaitsPermit {
+		assignment.addToLoad(now)
 	}
 	return assignment
 }
 
-// plan settles what an engine is to read of the prompt and when its first event is
-// expected; it returns how much of that other engines hold.
-func (choice *choice) plan(assignment *Assignment, view *view) (reread int) {
+// plan sets how many prompt tokens the engine has to prefill and when its first event is
+// expected. It returns how many shared tokens the engine has to prefill although an engine is
+// known to hold the subject, else 0.
+func (choice *choice) plan(assignment *Assignment, candidate *candidate) (reread int) {
 	demand := choice.demand
-	cached := view.cached
-	if !choice.known && view.upstream.ID == choice.preferred && choice.selector.others.partial() {
-		// Peers that were not heard from have most likely read it there.
+	cached := candidate.cachedTokens
+	if !choice.subjectCached && candidate.upstream.ID == choice.preferred && choice.selector.peerReports.incomplete() {
+		// A peer whose report is missing has most likely sent the subject to this engine.
 		cached = demand.sharedTokens()
 	}
-	if choice.known {
-		reread = choice.missing(view)
+	if choice.subjectCached {
+		reread = choice.missingTokens(candidate)
 	}
-	assignment.deferred = choice.deferred(view)
+	assignment.deferred = choice.deferred(candidate)
 	assignment.unread = max(demand.PromptTokens-cached, 0)
 	assignment.tokens = assignment.unread + demand.OutputTokens
-	assignment.ahead = view.unread()
-	assignment.expected = choice.pace.reading(view.state.unread + assignment.unread)
+	assignment.tokensAhead = candidate.unread()
+	assignment.expected = choice.prefillSpeed.prefillTime(candidate.state.unread + assignment.unread)
 	return reread
 }
--- a/selector/cost.go
+++ b/selector/cost.go
@@ -3,95 +3,94 @@
 import "time"
 
 const (
-	// decodeCost is what one more request in flight costs the others of an
-	// engine, as time: some hundred steps, each some hundredths of a
-	// millisecond longer.
-	decodeCost = 3 * time.Millisecond
-	// serviceCost is what a request in flight costs the next at a plain service,
-	// where work takes 15 to 60 ms on 6 slots.
-	serviceCost = 10 * time.Millisecond
-	// fullCost is added for each request in flight above an upstream's slots; an
-	// estimate, above what a slot takes to become free.
-	fullCost = 200 * time.Millisecond
-	// memoryShare is the part of an engine's memory that requests in flight may
-	// take; above it the engine would preempt, and read again what it dropped.
-	memoryShare = 0.85
-	// memoryCost is added for an engine whose memory would be above that; an
-	// estimate of what a preempted request loses.
-	memoryCost = 600 * time.Millisecond
-	// farCost is added for an upstream of another data centre; the way there and
-	// back is 1 to 3 ms, and the platform bills the bytes.
+	// engineRequestCost is what one more request in flight at an engine costs the others there,
+	// as time: some hundred decoding steps, each some hundredths of a millisecond longer.
+	engineRequestCost = 3 * time.Millisecond
+	// serviceRequestCost is what one request in flight at a plain service costs the next one;
+	// work there takes 15 to 60 ms on 6 slots.
+	serviceRequestCost = 10 * time.Millisecond
+	// slotOverflowCost is added for each request in flight above an upstream's slots; an
+	// estimate, above the time in which a slot becomes free.
+	slotOverflowCost = 200 * time.Millisecond
+	// maxCacheShare is the part of an engine's KV cache that requests in flight may occupy;
+	// above it the engine would preempt requests and prefill again what it dropped.
+	maxCacheShare = 0.85
+	// cacheOverflowCost is added for an engine that would exceed maxCacheShare; an estimate of
+	// what a preempted request loses.
+	cacheOverflowCost = 600 * time.Millisecond
+	// farCost is added for an upstream in another data centre; the round trip takes 1 to 3 ms,
+	// and the platform bills the bytes.
 	farCost = 8 * time.Millisecond
-	// failureCost is added for an upstream that fails all requests, in square of
-	// the share that fails; plain services may fail 14 in 100 while all is well, which
+	// failureCost is the cost of an upstream at which all requests fail; it is scaled by the
+	// square of the failure share. Plain services may fail 14 in 100 in normal operation, which
 	// costs 20 ms.
 	failureCost = time.Second
-	// riskCost is added for an upstream that could not be reached lately when the
-	// request may not be sent twice.
+	// riskCost is added for an upstream that could not be reached lately when the request must
+	// not be sent twice.
 	riskCost = 2 * time.Second
 )
 
-// cost returns how long the request is expected to wait, as far as upstreams
-// differ, and what it costs others.
-func (choice *choice) cost(view *view) time.Duration {
+// cost returns the cost of sending the request to a candidate, as time: how long it is expected
+// to wait, as far as candidates differ, plus what it costs others.
+func (choice *choice) cost(candidate *candidate) time.Duration {
 	demand := choice.demand
-	cost := choice.riskCost(view)
-	if !choice.near(view) {
+	cost := choice.riskCost(candidate)
+	if !choice.near(candidate) {
 		cost += farCost
 	}
 	if !demand.Engine {
-		if slots := view.upstream.Slots; slots > 0 && view.inFlight() >= slots {
-			cost += fullCost * time.Duration(1+view.inFlight()-slots)
+		if slots := candidate.upstream.Slots; slots > 0 && candidate.inFlight() >= slots {
+			cost += slotOverflowCost * time.Duration(1+candidate.inFlight()-slots)
 		}
-		return cost + serviceCost*time.Duration(view.inFlight())
+		return cost + serviceRequestCost*time.Duration(candidate.inFlight())
 	}
-	if free := int(memoryShare*float64(demand.CacheTokens)) - view.tokens() - demand.tokens() + view.cached; demand.CacheTokens > 0 && free < 0 {
-		cost += memoryCost + choice.pace.reading(-free)
+	if free := int(maxCacheShare*float64(demand.CacheTokens)) - candidate.tokens() - demand.tokens() + candidate.cachedTokens; demand.CacheTokens > 0 && free < 0 {
+		cost += cacheOverflowCost + choice.prefillSpeed.prefillTime(-free)
 	}
-	cost += decodeCost * time.Duration(view.inFlight())
-	cost += time.Duration((1 - view.share) * float64(crossingCost))
-	if choice.deferred(view) {
-		// It takes nothing of those in time, and waits for all of them.
-		return cost + choice.lateCost() + choice.pace.reading(view.deferred()) + choice.supplyCost(view)
+	cost += engineRequestCost * time.Duration(candidate.inFlight())
+	cost += time.Duration((1 - candidate.share) * float64(otherSideCost))
+	if choice.deferred(candidate) {
+		// A deferred request delays none of the others and waits for all of them.
+		return cost + choice.lateCost() + choice.prefillSpeed.prefillTime(candidate.deferred()) + choice.cacheMissCost(candidate)
 	}
-	return cost + view.wait + choice.supplyCost(view)
+	return cost + candidate.wait + choice.cacheMissCost(candidate)
 }
 
-// deferred tells whether the request is to be put behind all others at a candidate:
-// it would be late there anyway.
-func (choice *choice) deferred(view *view) bool {
+// deferred reports whether the request would be queued behind all others at a candidate: it may
+// be deferred, and would miss its objective there anyway.
+func (choice *choice) deferred(candidate *candidate) bool {
 	demand := choice.demand
-	return demand.Deferrable && demand.Objective != 0 && choice.first(view) > choice.objective
+	return demand.Deferrable && demand.Objective != 0 && choice.firstEventTime(candidate) > choice.objective
 }
 
-// first returns when the first event is expected from a candidate.
-func (choice *choice) first(view *view) time.Duration {
-	return view.wait + choice.pace.reading(choice.demand.PromptTokens-view.cached)
+// firstEventTime returns how long the first event from a candidate is expected to take.
+func (choice *choice) firstEventTime(candidate *candidate) time.Duration {
+	return candidate.wait + choice.prefillSpeed.prefillTime(choice.demand.PromptTokens-candidate.cachedTokens)
 }
 
-// lateCost returns what it costs that the request is late: as much as the time of an
-// engine that it would take from another that was in time in its place.
+// lateCost returns the cost of missing the objective: the objective itself, plus the engine
+// time that the request would take from one that could be on time in its place.
 func (choice *choice) lateCost() time.Duration {
-	own := choice.pace.reading(choice.demand.PromptTokens - choice.demand.sharedTokens())
+	own := choice.prefillSpeed.prefillTime(choice.demand.PromptTokens - choice.demand.sharedTokens())
 	return choice.demand.Objective + time.Duration(choice.price*float64(own))
 }
 
-// riskCost returns what it costs that the upstream failed lately.
-func (choice *choice) riskCost(view *view) time.Duration {
-	share := view.state.failureShare(choice.now)
+// riskCost returns the cost of the candidate's recent failures.
+func (choice *choice) riskCost(candidate *candidate) time.Duration {
+	share := candidate.state.failureShare(choice.now)
 	cost := time.Duration(share * share * float64(failureCost))
-	if view.state.broken > 0 && !choice.demand.Idempotent {
+	if candidate.state.consecutiveFailures > 0 && !choice.demand.Idempotent {
 		cost += riskCost
 	}
 	return cost
 }
 
-// priceOfTime returns what a moment of an engine's time costs: those who wait there
-// wait for it, and so do all who come until nobody waits any more. Together with
-// deferring, it has 0.86 of the long prompts in time in the model of a cold burst of
-// some three times the usual load, in place of 0.42 with basePrice alone.
-func (choice *choice) priceOfTime() float64 {
-	unread := choice.mean((*view).unread)
-	waiting := choice.side.arrivals * choice.pace.reading(int(unread)).Seconds()
-	return basePrice + waiting/(1-min(choice.side.busy, fullestSide))
+// engineTimePrice returns the price of a unit of engine time: it delays the requests that wait
+// there, and all that arrive until the queue is empty. Together with deferring, this price has
+// 0.86 of the long prompts on time in the model of a cold burst of some three times the usual
+// load, compared with 0.42 with basePrice alone.
+func (choice *choice) engineTimePrice() float64 {
+	unread := choice.meanOfSide((*candidate).unread)
+	waiting := choice.side.arrivals * choice.prefillSpeed.prefillTime(int(unread)).Seconds()
+	return basePrice + waiting/(1-min(choice.side.utilisation, maxUtilisation))
 }
--- a/selector/demand.go
+++ b/selector/demand.go
@@ -7,48 +7,47 @@
 	"limpetcleat/registrar"
 )
 
-// Part is one part of a prompt; the same ID stands for the same tokens.
+// Part is one part of a prompt. Parts with the same ID have the same tokens.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Demand is what a request asks of an upstream.
+// Demand describes a request for which an upstream is to be chosen.
 type Demand struct {
-	// Service and Kind name the service and the rule.
+	// Service and Kind are the names of the service and of the rule.
 	Service definer.PoolName
 	Kind    string
-	// Tier is the rule's rank; 0 is the highest.
+	// Tier is the rule's priority; 0 is the highest.
 	Tier int
-	// Candidates are the upstreams of its service that may get requests.
+	// Candidates are the upstreams of the service that may be sent requests.
 	Candidates []*registrar.Upstream
-	// Tried holds those that the request was sent to before.
+	// Tried holds the upstreams that the request was sent to before.
 	Tried map[definer.UpstreamName]bool
-	// Engine is set for model runners.
+	// Engine is set if the service's upstreams are engines (model runners).
 	Engine bool
-	// Parts are the parts of the prompt that requests share, in order, without
-	// the request's own.
+	// Parts are the leading parts of the prompt that it shares with other requests, in order.
 	Parts []Part
-	// PromptTokens counts the whole prompt.
+	// PromptTokens is the number of tokens in the whole prompt.
 	PromptTokens int
-	// OutputTokens is the most that the answer may have; 0 is unknown.
+	// OutputTokens is the maximum number of tokens in the answer; 0 is unknown.
 	OutputTokens int
-	// CacheTokens is the memory of the service's engines; 0 is unknown.
+	// CacheTokens is the KV cache size of the service's engines in tokens; 0 is unknown.
 	CacheTokens int
-	// Objective is within what time from now the first event is aimed for; 0 is none.
+	// Objective is the latency objective for the first event, from now on; 0 is none.
 	Objective time.Duration
-	// TimeLeft is how long the caller still waits for the whole answer.
+	// TimeLeft is how long the caller will still wait for the whole answer.
 	TimeLeft time.Duration
-	// Patience is how long the request may wait for a permit of an upstream with a limit.
+	// Patience is the longest time that the request may wait for a permit.
 	Patience time.Duration
-	// Deferrable requests may be put behind all others of the service when they would
-	// be late anyway.
+	// Deferrable requests may be queued behind all others at an engine when they would miss
+	// their objective anyway.
 	Deferrable bool
-	// Idempotent requests may be risked on an upstream that failed lately.
+	// Idempotent requests may be sent twice, and therefore to an upstream that failed lately.
 	Idempotent bool
 }
 
-// sharedTokens counts the tokens of the shared parts.
+// sharedTokens returns the number of tokens in the shared parts.
 func (demand *Demand) sharedTokens() int {
 	total := 0
 	for _, part := range demand.Parts {
@@ -57,11 +56,11 @@
 	return total
 }
 
-// tokens counts what the request may take of an engine's memory.
+// tokens returns the number of tokens that the request may occupy in an engine's KV cache.
 func (demand *Demand) tokens() int { return demand.PromptTokens + demand.OutputTokens }
 
-// subject returns the deepest shared part, by which like requests are kept
-// together; empty when there is none.
+// subject returns the ID of the last shared part, empty if there is none. Requests with the
+// same subject are sent to the same engine where possible.
 func (demand *Demand) subject() string {
 	if len(demand.Parts) == 0 {
 		return ""
--- a/selector/division.go
+++ b/selector/division.go
@@ -13,143 +13,153 @@
 	"limpetcleat/registrar"
 )
 
-// An engine reads long prompts between the tokens of all the answers it writes,
-// so a long prompt beside a short answer makes that answer pause. The kinds of
-// request of a service are therefore kept apart: its engines stand in an order
-// that all nodes find alike, those with long prompts take them from the front,
-// the others from the back, and the boundary follows the work that each side
-// has had lately.
+// An engine interleaves the prefill of long prompts with the decoding of all its answers, so a
+// long prompt delays the tokens of the answers in flight there. The rules of a service are
+// therefore separated by mean prompt length: its engines have an order that all nodes compute
+// alike, rules with long prompts use them from the front, the others from the back, and the
+// boundary follows the recent work of each side.
 
 const (
-	// divisionMemory is how long work counts for the boundary: it falls to 1/e in
-	// it. Bursts last 4 to 9 s; 1.5 to 16 s are within noise of each other.
-	divisionMemory = 2500 * time.Millisecond
-	// leastSpan is the least time that a kind's work is taken to stand for: in less, a
-	// few requests would count as many.
-	leastSpan = 500 * time.Millisecond
-	// lengthMemory is the same for the length of a kind's prompts.
-	lengthMemory = 20 * time.Second
-	// divisionRatio is how many times as long the prompts of one side must be for
-	// the sides to be kept apart.
-	divisionRatio = 2.0
-	// forgottenRequests is the faded number of requests below which a kind without
-	// any under way is forgotten: a rule that was asked once is after a minute.
-	forgottenRequests = 0.05
-	// roomyShare is how busy reading is to keep the engines of the side with the higher
-	// tier at most: at 0.6 a request waits on average three quarters of what one takes.
-	roomyShare = 0.6
-	// noWriting is what rounding may leave of writing when no answer is under way.
-	noWriting = 1e-6
-	// crossingCost is what it costs to put a request on the other side. Of 250,
-	// 700, 1,500 and 2,000 ms 700 was best or within noise with 8 nodes and 12 to 18
-	// engines; in the model of a cold burst 300 to 1,500 differ by 0.01.
-	crossingCost = 700 * time.Millisecond
+	// workDecay is the time constant of the work that sets the boundary: it falls to 1/e in
+	// this time. Bursts last 4 to 9 s; values from 1.5 to 16 s give results within noise of
+	// each other.
+	workDecay = 2500 * time.Millisecond
+	// minSpan is the least time that a rule's work is assumed to cover: over a shorter one, a
+	// few requests would be extrapolated to many.
+	minSpan = 500 * time.Millisecond
+	// lengthDecay is the time constant of the mean length of a rule's prompts.
+	lengthDecay = 20 * time.Second
+	// minLengthRatio is the factor between the mean prompt lengths of two rules from which on
+	// they are separated.
+	minLengthRatio = 2.0
+	// minRequests is the decayed number of requests below which a rule without requests in
+	// flight is removed: a rule that was used once is removed after a minute.
+	minRequests = 0.05
+	// maxPrefillUtilisation is the highest utilisation by prefill for the engines of the side
+	// with the higher tier: at 0.6 a request waits on average for three quarters of the time
+	// that one takes.
+	maxPrefillUtilisation = 0.6
+	// decodingTolerance is the most that rounding may leave in ruleWork.decoding when no answer
+	// is in flight.
+	decodingTolerance = 1e-6
+	// otherSideCost is the cost of sending a request to an engine of the other side. Of 250,
+	// 700, 1,500 and 2,000 ms 700 was best or within noise with 8 nodes and 12 to 18 engines;
+	// in the model of a cold burst 300 to 1,500 differ by 0.01.
+	otherSideCost = 700 * time.Millisecond
 )
 
-// kind is what is known of the requests of one rule.
-type kind struct {
-	// since is when the first of them came.
+// ruleWork tracks the engine time that the requests of one rule take, and the length of their
+// prompts.
+type ruleWork struct {
+	// since is when the first request of the rule came.
 	since time.Time
-	// tier is the rule's rank; 0 is the highest.
+	// tier is the rule's priority; 0 is the highest.
 	tier int
-	// reading is the part of work that is reading prompts, fading alike.
-	reading   float64
-	readingAt time.Time
-	// patience is how long their callers wait.
-	patience patience
-	// work is the time that engines spent on them, in seconds, fading.
+	// prefill is the part of work spent on prefill, in seconds, as of prefillAt; it decays in
+	// the same way.
+	prefill   float64
+	prefillAt time.Time
+	// callerTimeout is how long the callers of the rule wait.
+	callerTimeout callerTimeout
+	// work is the engine time spent on the requests, in seconds, decaying with workDecay, as of
+	// workAt.
 	work   float64
 	workAt time.Time
-	// writing is how many engines the answers under way occupy: each one its
-	// part of its engine's slots.
-	writing float64
-	// tokens and count make the mean length of their prompts, fading.
-	tokens   float64
-	count    float64
-	lengthAt time.Time
+	// decoding is how many engines the answers in flight occupy, each by its part of an
+	// engine's slots.
+	decoding float64
+	// promptTokens divided by requests is the mean prompt length; both decay with lengthDecay,
+	// as of lengthAt.
+	promptTokens float64
+	requests     float64
+	lengthAt     time.Time
 }
 
-// addWork adds the time that an engine spends on reading a prompt.
-func (kind *kind) addWork(now time.Time, work time.Duration) {
-	kind.work = kind.workUntil(now) + work.Seconds()
-	kind.workAt = now
-	kind.reading = fade(kind.reading, now.Sub(kind.readingAt), divisionMemory) + work.Seconds()
-	kind.readingAt = now
+// addPrefill adds the engine time for the prefill of a prompt.
+func (ruleWork *ruleWork) addPrefill(now time.Time, work time.Duration) {
+	ruleWork.work = ruleWork.workAtTime(now) + work.Seconds()
+	ruleWork.workAt = now
+	ruleWork.prefill = decay(ruleWork.prefill, now.Sub(ruleWork.prefillAt), workDecay) + work.Seconds()
+	ruleWork.prefillAt = now
 }
 
-// filled returns the part of divisionMemory that the kind's work stands for. A sum that
-// has faded for less than its memory tells of less: taken as it is, one second of a
-// kind's requests looked like a third of their work, and the higher tier had a third of
-// the engines that it needed when all nodes had just started.
-func (kind *kind) filled(now time.Time) float64 {
-	span := max(now.Sub(kind.since), leastSpan)
-	return 1 - math.Exp(-span.Seconds()/divisionMemory.Seconds())
+// decayFill returns the part of its steady-state value that a decayed sum has reached since the
+// rule's first request. Sums are divided by it, because a sum that has been kept for less than
+// its time constant is too low: without the correction, the first second of a rule's requests
+// looked like a third of their work, and the higher tier had a third of the engines that it
+// needed when all nodes had just started.
+func (ruleWork *ruleWork) decayFill(now time.Time) float64 {
+	span := max(now.Sub(ruleWork.since), minSpan)
+	return 1 - math.Exp(-span.Seconds()/workDecay.Seconds())
 }
 
-// addWriting adds answers under way, or takes them off.
-func (kind *kind) addWriting(now time.Time, engines float64) {
-	kind.work = kind.workUntil(now)
-	kind.workAt = now
-	kind.writing += engines
+// addDecoding adds answers in flight that occupy that many engines, or removes them if
+// negative.
+func (ruleWork *ruleWork) addDecoding(now time.Time, engines float64) {
+	ruleWork.work = ruleWork.workAtTime(now)
+	ruleWork.workAt = now
+	ruleWork.decoding += engines
 }
 
-// workUntil returns the work, with what the answers under way took since.
-func (kind *kind) workUntil(now time.Time) float64 {
-	span := now.Sub(kind.workAt)
-	if kind.workAt.IsZero() {
+// workAtTime returns the decayed work at now, including the decoding since workAt.
+func (ruleWork *ruleWork) workAtTime(now time.Time) float64 {
+	span := now.Sub(ruleWork.workAt)
+	if ruleWork.workAt.IsZero() {
 		return 0
 	}
-	return fade(kind.work+kind.writing*span.Seconds(), span, divisionMemory)
+	return decay(ruleWork.work+ruleWork.decoding*span.Seconds(), span, workDecay)
 }
 
-func (kind *kind) addPrompt(now time.Time, tokens int) {
-	age := now.Sub(kind.lengthAt)
-	kind.tokens = fade(kind.tokens, age, lengthMemory) + float64(tokens)
-	kind.count = fade(kind.count, age, lengthMemory) + 1
-	kind.lengthAt = now
+func (ruleWork *ruleWork) addPrompt(now time.Time, tokens int) {
+	age := now.Sub(ruleWork.lengthAt)
+	ruleWork.promptTokens = decay(ruleWork.promptTokens, age, lengthDecay) + float64(tokens)
+	ruleWork.requests = decay(ruleWork.requests, age, lengthDecay) + 1
+	ruleWork.lengthAt = now
 }
 
-// division is what is known of the kinds of one service.
-type division struct {
-	kinds map[string]*kind
+// partition divides the engines of one service between rules with long and with short prompts.
+type partition struct {
+	rules map[string]*ruleWork
 }
 
-func (division *division) of(name string) *kind {
-	known, ok := division.kinds[name]
+func (partition *partition) rule(name string) *ruleWork {
+	known, ok := partition.rules[name]
 	if !ok {
-		known = &kind{}
-		division.kinds[name] = known
+		known = &ruleWork{}
+		partition.rules[name] = known
 	}
 	return known
 }
 
-// side is the part of a service's engines that a request belongs to.
+// side is the part of a service's engines that serves the requests of a rule.
 type side struct {
-	// order holds the engines' places, the same on all nodes.
+	// order holds the position of each engine, the same on all nodes.
 	order map[definer.UpstreamName]int
-	// boundary is the place up to which engines read long prompts; a part of an
-	// engine belongs to both sides.
+	// boundary is the number of engines, from the front of the order, that serve long prompts;
+	// an engine that it falls within belongs partly to both sides.
 	boundary float64
-	// long tells whether the request is one with a long prompt.
+	// long is set if the request's rule has long prompts.
 	long bool
-	// divided tells whether the kinds are kept apart; if not, all engines belong to
-	// the request's side.
+	// divided is set if the rules are separated; if not, all engines belong to the request's
+	// side.
 	divided bool
-	// arrivals is how many requests an engine of the side gets in a second, busy the
-	// part of its time that they take, and prompt the mean length of their prompts.
-	arrivals float64
-	busy     float64
-	prompt   float64
+	// arrivals is the number of requests per second for each engine of the side, utilisation
+	// the part of an engine's time that they take, and meanPrompt the mean prompt length in
+	// tokens.
+	arrivals    float64
+	utilisation float64
+	meanPrompt  float64
 }
 
-// side returns where a kind of request belongs.
-func (division *division) side(now time.Time, demand *Demand, others []messenger.KindWork) *side {
-	kinds := division.sum(now, others)
-	limit := limit(kinds)
+// side returns the side that serves the demand's rule, computed from this node's work and that
+// of its peers.
+func (partition *partition) side(now time.Time, demand *Demand, peerWork []messenger.KindWork) *side {
+	kinds := partition.total(now, peerWork)
+	limit := lengthLimit(kinds)
 	count := float64(len(demand.Candidates))
-	long, short := kindSum{}, kindSum{}
+	long, short := sideLoad{}, sideLoad{}
 	for _, kind := range kinds {
-		if limit > 0 && mean(kind) > limit {
+		if limit > 0 && meanLength(kind) > limit {
 			long.add(kind)
 			continue
 		}
@@ -159,129 +169,131 @@
 	if limit == 0 || count < 2 || work == 0 {
 		return short.side(count)
 	}
-	boundary := math.Min(math.Max(math.Round(divide(long, short, count)), 1), count-1)
+	boundary := math.Min(math.Max(math.Round(longEngines(long, short, count)), 1), count-1)
 	divided := short.side(count - boundary)
-	length := mean(kinds[demand.Kind])
+	length := meanLength(kinds[demand.Kind])
 	if length == 0 {
-		length = float64(demand.PromptTokens) // It is the first of its kind.
+		length = float64(demand.PromptTokens) // It is the first request of its rule.
 	}
 	if length > limit {
 		divided = long.side(boundary)
 		divided.long = true
 	}
 	divided.divided = true
-	divided.order, divided.boundary = places(demand.Candidates), boundary
+	divided.order, divided.boundary = engineOrder(demand.Candidates), boundary
 	return divided
 }
 
-// divide returns how many engines those with long prompts get: by the work of both
-// sides, but so that the side with the higher tier has room to read first.
-func divide(long, short kindSum, count float64) float64 {
+// longEngines returns how many of count engines serve long prompts. They are divided in
+// proportion to the work of both sides, but the side with the higher tier gets
+// enginesNeeded at least.
+func longEngines(long, short sideLoad, count float64) float64 {
 	engines := long.work / (long.work + short.work) * count
 	switch {
 	case short.tier < long.tier:
-		return min(engines, count-short.room())
+		return min(engines, count-short.enginesNeeded())
 	case long.tier < short.tier:
-		return max(engines, min(long.room(), count))
+		return max(engines, min(long.enginesNeeded(), count))
 	}
 	return engines
 }
 
-// kindSum adds up what the kinds of one side take.
-type kindSum struct {
-	// work is in seconds and fades in divisionMemory; requests and tokens, those of
-	// their prompts, fade in lengthMemory.
-	work     float64
-	requests float64
-	tokens   float64
-	// reading is the part of work that is reading prompts.
-	reading float64
-	// tier is the highest of the kinds.
+// sideLoad sums up the work of the rules of one side.
+type sideLoad struct {
+	// work is in seconds of engine time and decays with workDecay; requests, and promptTokens,
+	// the total length of their prompts, decay with lengthDecay.
+	work         float64
+	requests     float64
+	promptTokens float64
+	// prefill is the part of work spent on prefill.
+	prefill float64
+	// tier is the highest tier of the rules.
 	tier  int
-	kinds int
+	rules int
 }
 
-// room returns how many engines the side needs so that its requests hardly wait to be
-// read.
-func (kindSum *kindSum) room() float64 {
-	return (kindSum.work + kindSum.reading*(1/roomyShare-1)) / divisionMemory.Seconds()
+// enginesNeeded returns how many engines the side needs to keep its prefill utilisation at
+// maxPrefillUtilisation, so that requests hardly wait for prefill.
+func (sideLoad *sideLoad) enginesNeeded() float64 {
+	return (sideLoad.work + sideLoad.prefill*(1/maxPrefillUtilisation-1)) / workDecay.Seconds()
 }
 
-func (kindSum *kindSum) add(kind messenger.KindWork) {
-	if kindSum.kinds == 0 || kind.Tier < kindSum.tier {
-		kindSum.tier = kind.Tier
+func (sideLoad *sideLoad) add(kind messenger.KindWork) {
+	if sideLoad.rules == 0 || kind.Tier < sideLoad.tier {
+		sideLoad.tier = kind.Tier
 	}
-	kindSum.kinds++
-	kindSum.work += kind.Work.Seconds()
-	kindSum.reading += kind.Reading.Seconds()
-	kindSum.requests += kind.Requests
-	kindSum.tokens += kind.PromptTokens
+	sideLoad.rules++
+	sideLoad.work += kind.Work.Seconds()
+	sideLoad.prefill += kind.Reading.Seconds()
+	sideLoad.requests += kind.Requests
+	sideLoad.promptTokens += kind.PromptTokens
 }
 
-// side returns what the work is for each of so many engines.
-func (kindSum *kindSum) side(engines float64) *side {
+// side returns a side of that many engines, with the load of each.
+func (sideLoad *sideLoad) side(engines float64) *side {
 	side := &side{}
 	if engines > 0 {
-		side.arrivals = kindSum.requests / lengthMemory.Seconds() / engines
-		side.busy = kindSum.work / divisionMemory.Seconds() / engines
+		side.arrivals = sideLoad.requests / lengthDecay.Seconds() / engines
+		side.utilisation = sideLoad.work / workDecay.Seconds() / engines
 	}
-	if kindSum.requests > 0 {
-		side.prompt = kindSum.tokens / kindSum.requests
+	if sideLoad.requests > 0 {
+		side.meanPrompt = sideLoad.promptTokens / sideLoad.requests
 	}
 	return side
 }
 
-// report returns this node's own sums. Kinds that have not been asked for in long
-// are forgotten: configurations come and go, and each kind takes room in reports.
-func (division *division) report(now time.Time, service definer.PoolName) []messenger.KindWork {
+// report returns the work of this node's own requests, by rule. It removes the rules that have
+// not been used for long: configurations change, and each rule takes space in reports.
+func (partition *partition) report(now time.Time, service definer.PoolName) []messenger.KindWork {
 	var report []messenger.KindWork
-	for name, kind := range division.kinds {
-		if kind.writing < noWriting && fade(kind.count, now.Sub(kind.lengthAt), lengthMemory) < forgottenRequests {
-			delete(division.kinds, name)
+	for name, ruleWork := range partition.rules {
+		if ruleWork.decoding < decodingTolerance && decay(ruleWork.requests, now.Sub(ruleWork.lengthAt), lengthDecay) < minRequests {
+			delete(partition.rules, name)
 			continue
 		}
-		filled := kind.filled(now)
+		fill := ruleWork.decayFill(now)
 		report = append(report, messenger.KindWork{
 			Service:      service,
 			Rule:         name,
-			Tier:         kind.tier,
-			Reading:      time.Duration(fade(kind.reading, now.Sub(kind.readingAt), divisionMemory) / filled * float64(time.Second)),
-			Work:         time.Duration(kind.workUntil(now) / filled * float64(time.Second)),
-			PromptTokens: fade(kind.tokens, now.Sub(kind.lengthAt), lengthMemory),
-			Requests:     fade(kind.count, now.Sub(kind.lengthAt), lengthMemory),
+			Tier:         ruleWork.tier,
+			Reading:      time.Duration(decay(ruleWork.prefill, now.Sub(ruleWork.prefillAt), workDecay) / fill * float64(time.Second)),
+			Work:         time.Duration(ruleWork.workAtTime(now) / fill * float64(time.Second)),
+			PromptTokens: decay(ruleWork.promptTokens, now.Sub(ruleWork.lengthAt), lengthDecay),
+			Requests:     decay(ruleWork.requests, now.Sub(ruleWork.lengthAt), lengthDecay),
 		})
 	}
 	return report
 }
 
-// sum adds what others report to this node's own sums, by rule.
-func (division *division) sum(now time.Time, others []messenger.KindWork) map[string]messenger.KindWork {
+// total returns the sums of this node's own work and that of its peers, by rule.
+func (partition *partition) total(now time.Time, peerWork []messenger.KindWork) map[string]messenger.KindWork {
 	kinds := make(map[string]messenger.KindWork)
-	for _, work := range append(division.report(now, ""), others...) {
+	for _, work := range append(partition.report(now, ""), peerWork...) {
 		kinds[work.Rule] = work.Plus(kinds[work.Rule])
 	}
 	return kinds
 }
 
-// mean returns the mean length of the prompts of a kind.
-func mean(kind messenger.KindWork) float64 {
+// meanLength returns the mean prompt length of a rule in tokens, 0 if it had no requests.
+func meanLength(kind messenger.KindWork) float64 {
 	if kind.Requests <= 0 {
 		return 0
 	}
 	return kind.PromptTokens / kind.Requests
 }
 
-// limit returns the length of prompts that separates the kinds, in the widest
-// gap between their means, or 0 when none is wide enough.
-func limit(kinds map[string]messenger.KindWork) float64 {
+// lengthLimit returns the prompt length that separates the rules: the geometric mean of the two
+// mean lengths on either side of the widest relative gap, or 0 if no gap reaches
+// minLengthRatio.
+func lengthLimit(kinds map[string]messenger.KindWork) float64 {
 	var means []float64
 	for _, kind := range kinds {
-		if mean := mean(kind); mean > 0 {
+		if mean := meanLength(kind); mean > 0 {
 			means = append(means, mean)
 		}
 	}
 	slices.Sort(means)
-	widest, limit := divisionRatio, 0.0
+	widest, limit := minLengthRatio, 0.0
 	for index := 1; index < len(means); index++ {
 		if ratio := means[index] / means[index-1]; ratio >= widest {
 			widest, limit = ratio, math.Sqrt(means[index]*means[index-1])
@@ -290,8 +302,8 @@
 	return limit
 }
 
-// places numbers the engines by a hash of their names.
-func places(candidates []*registrar.Upstream) map[definer.UpstreamName]int {
+// engineOrder returns the position of each engine in the order of the hashes of their names.
+func engineOrder(candidates []*registrar.Upstream) map[definer.UpstreamName]int {
 	type placed struct {
 		id     definer.UpstreamName
 		weight uint64
@@ -308,7 +320,7 @@
 	return order
 }
 
-// String tells the boundary and the side, for logs.
+// String returns the side and the boundary for logs.
 func (side *side) String() string {
 	switch {
 	case side == nil || !side.divided:
@@ -320,7 +332,7 @@
 	}
 }
 
-// share returns how much of an engine belongs to the request's side, 0 to 1.
+// share returns how much of an engine belongs to the side, 0 to 1.
 func (side *side) share(id definer.UpstreamName) float64 {
 	if side == nil || !side.divided {
 		return 1
--- a/selector/failure.go
+++ b/selector/failure.go
@@ -6,19 +6,20 @@
 type Kind string
 
 const (
-	// NoUpstream marks a service without an upstream that may be tried.
+	// NoUpstream means that the service has no upstream that may be tried.
 	NoUpstream Kind = "noUpstream"
-	// Saturated marks a service whose upstreams would all serve the request late; it
-	// wraps a Saturation.
+	// Saturated means that all upstreams would serve the request late; the error wraps a
+	// Saturation.
 	Saturated Kind = "saturated"
-	// Limited marks a service whose upstreams all have a limit that is used up; it wraps a
+	// Limited means that all upstreams have limits without a permit left; the error wraps a
 	// Limitation.
 	Limited Kind = "limited"
-	// BackingOff marks a service whose upstreams have all asked for a backoff; it wraps a Limitation.
+	// BackingOff means that all upstreams have asked for a backoff; the error wraps a
+	// Limitation.
 	BackingOff Kind = "backingOff"
 )
 
-// Error is the one error type of this package.
+// Error is the error type of this package.
 type Error = failer.Error[Kind]
 
 func fail(operation string, kind Kind, format string, values ...any) *Error {
--- a/selector/limit.go
+++ b/selector/limit.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// Limitation tells that the upstreams that would serve a request have limits, which are used
-// up, or have asked for a backoff.
+// Limitation is the error for a request whose upstreams have limits without a permit left, or
+// have asked for a backoff.
 type Limitation struct {
-	// Pause is after what time one of them may take it.
+	// Pause is the time after which one of the upstreams may accept the request.
 	Pause time.Duration
 }
 
-// Error describes the limitation.
+// Error returns the message with the pause.
 func (limitation *Limitation) Error() string {
-	return fmt.Sprintf("no upstream takes a request for %v", limitation.Pause)
+	return fmt.Sprintf("no upstream accepts the request; retry after %v", limitation.Pause)
 }
 
-// withhold notes that there are no permits for requests of a tier before the time, and so
-// none for those of lower ones.
+// withhold records that there are no permits before the time until for requests of a tier, and
+// thus for those of lower tiers.
 func (state *state) withhold(tier int, until time.Time) {
-	if state.permits == nil {
-		state.permits = make(map[int]time.Time)
+	if state.noPermitUntil == nil {
+		state.noPermitUntil = make(map[int]time.Time)
 	}
-	state.permits[tier] = until
+	state.noPermitUntil[tier] = until
 }
 
-// withheldUntil returns until when there are no permits for requests of a tier.
+// withheldUntil returns the time before which there are no permits for requests of a tier.
 func (state *state) withheldUntil(tier int) time.Time {
 	var latest time.Time
-	for above, until := range state.permits {
+	for above, until := range state.noPermitUntil {
 		if above <= tier && until.After(latest) {
 			latest = until
 		}
@@ -37,7 +37,7 @@
 	return latest
 }
 
-// withheld tells whether there are no permits for requests of a tier.
+// withheld reports whether there are no permits now for requests of a tier.
 func (state *state) withheld(tier int, now time.Time) bool {
-	return state.permits != nil && state.withheldUntil(tier).After(now)
+	return state.noPermitUntil != nil && state.withheldUntil(tier).After(now)
 }
--- a/selector/memory.go
+++ b/selector/memory.go
@@ -3,46 +3,47 @@
 import "time"
 
 const (
-	// leastMemory is the least time that an engine is taken to keep an unused part.
-	leastMemory = 2 * time.Second
-	// leastKept is the least part of an engine's memory that is taken to be left for
-	// parts that no request uses just now.
-	leastKept = 0.25
+	// minCacheLifetime is the least time for which an engine is assumed to keep an unused part.
+	minCacheLifetime = 2 * time.Second
+	// minUnusedShare is the least part of an engine's KV cache that is assumed to be available
+	// to parts which no request in flight uses.
+	minUnusedShare = 0.25
 )
 
-// memoryOfSide returns how long an engine of the side keeps a part of prompts that is
-// not used: until what its requests bring in has filled what they leave free.
-func (choice *choice) memoryOfSide() time.Duration {
+// cacheLifetimeOfSide returns how long an engine of the side keeps an unused prompt part: the
+// time in which newly prefilled tokens fill the cache that requests in flight leave free.
+func (choice *choice) cacheLifetimeOfSide() time.Duration {
 	capacity := float64(choice.demand.CacheTokens)
-	brought := choice.side.arrivals * choice.side.prompt * choice.service.read.share()
-	if capacity <= 0 || brought <= 0 {
-		return longestMemory
+	fillRate := choice.side.arrivals * choice.side.meanPrompt * choice.service.cacheMisses.ratio()
+	if capacity <= 0 || fillRate <= 0 {
+		return maxCacheLifetime
 	}
-	kept := max(capacity-choice.mean((*view).tokens), leastKept*capacity)
-	span := time.Duration(kept / brought * float64(time.Second))
-	return min(max(span, leastMemory), longestMemory)
+	free := max(capacity-choice.meanOfSide((*candidate).tokens), minUnusedShare*capacity)
+	span := time.Duration(free / fillRate * float64(time.Second))
+	return min(max(span, minCacheLifetime), maxCacheLifetime)
 }
 
-// readShare is the part of prompts that engines read, of this node's latest requests:
-// the rest they held or fetched. What they read takes their memory.
-type readShare struct {
-	// read and asked count tokens, fading.
-	read  float64
-	asked float64
-	at    time.Time
+// cacheMisses tracks the part of prompt tokens that engines had to prefill, over this node's
+// latest requests; the engines held or fetched the rest. Only prefilled tokens take up new
+// space in the cache.
+type cacheMisses struct {
+	// missed and requested are decaying token counts.
+	missed    float64
+	requested float64
+	at        time.Time
 }
 
-func (readShare *readShare) add(now time.Time, read, asked int) {
-	age := now.Sub(readShare.at)
-	readShare.read = fade(readShare.read, age, lengthMemory) + float64(read)
-	readShare.asked = fade(readShare.asked, age, lengthMemory) + float64(asked)
-	readShare.at = now
+func (cacheMisses *cacheMisses) add(now time.Time, missed, requested int) {
+	age := now.Sub(cacheMisses.at)
+	cacheMisses.missed = decay(cacheMisses.missed, age, lengthDecay) + float64(missed)
+	cacheMisses.requested = decay(cacheMisses.requested, age, lengthDecay) + float64(requested)
+	cacheMisses.at = now
 }
 
-// share returns the part, 1 when nothing was asked lately.
-func (readShare *readShare) share() float64 {
-	if readShare.asked <= 0 {
+// ratio returns the part of tokens that were prefilled, 1 if there were no requests lately.
+func (cacheMisses *cacheMisses) ratio() float64 {
+	if cacheMisses.requested <= 0 {
 		return 1
 	}
-	return readShare.read / readShare.asked
+	return cacheMisses.missed / cacheMisses.requested
 }
--- a/selector/others.go
+++ b/selector/others.go
@@ -7,90 +7,93 @@
 	"limpetcleat/messenger"
 )
 
-// ReportLife is how long a peer's report counts. Reports come ten times a second;
-// one that stays out for longer means a peer that is gone or cut off.
+// ReportLife is how long a peer's report counts. Reports are sent ten times a second; a longer
+// gap means that the peer has stopped or is disconnected.
 const ReportLife = 1500 * time.Millisecond
 
-// heardFrom is the part of all peers whose load must be known for the picture to
-// count as whole; a listed one may be down.
-const heardFrom = 0.75
+// minReportedShare is the part of all peers whose load must be known for the load of an
+// upstream to count as complete; it is below 1 because a listed peer may be down.
+const minReportedShare = 0.75
 
-// others is what peers report of their requests.
-type others struct {
-	// reports holds the latest of each peer that reports to this node.
+// peerReports holds what peers report of their requests.
+type peerReports struct {
+	// reports holds the latest report of each peer that reports to this node.
 	reports map[definer.VM]peerReport
-	// loads sums up their loads, so that a choice need not.
+	// loads is the sum of the reported loads, kept up to date so that a choice need not add
+	// them up.
 	loads map[definer.UpstreamStart]messenger.UpstreamLoad
-	// nodes counts the peers that the reports sum up, and peers how many there are;
-	// those not heard from count as the mean of the others.
+	// nodes counts the peers that the reports cover, and peers counts all there are; those not
+	// covered are assumed to have the mean load of the others.
 	nodes int
 	peers int
 }
 
 type peerReport struct {
-	at     time.Time
-	report *messenger.LoadReport
+	receivedAt time.Time
+	report     *messenger.LoadReport
 }
 
-func newOthers() others {
-	return others{
+func newPeerReports() peerReports {
+	return peerReports{
 		reports: make(map[definer.VM]peerReport),
 		loads:   make(map[definer.UpstreamStart]messenger.UpstreamLoad),
 	}
 }
 
-// partial tells whether the load of many peers is unknown.
-func (others *others) partial() bool { return float64(others.nodes) < heardFrom*float64(others.peers) }
+// incomplete reports whether the load of too many peers is unknown.
+func (peerReports *peerReports) incomplete() bool {
+	return float64(peerReports.nodes) < minReportedShare*float64(peerReports.peers)
+}
 
-// scale returns by how much the sums of the reports are to be multiplied.
-func (others *others) scale() float64 {
-	if others.nodes == 0 || others.peers <= others.nodes {
+// scale returns the factor that extrapolates the reported sums to all peers.
+func (peerReports *peerReports) scale() float64 {
+	if peerReports.nodes == 0 || peerReports.peers <= peerReports.nodes {
 		return 1
 	}
-	return float64(others.peers) / float64(others.nodes)
+	return float64(peerReports.peers) / float64(peerReports.nodes)
 }
 
-// learn puts a peer's report in the place of the one before.
-func (others *others) learn(now time.Time, from definer.VM, report *messenger.LoadReport) {
-	others.forget(from)
-	others.reports[from] = peerReport{at: now, report: report}
-	others.nodes += report.Nodes
+// replace stores a peer's report in place of its previous one.
+func (peerReports *peerReports) replace(now time.Time, from definer.VM, report *messenger.LoadReport) {
+	peerReports.remove(from)
+	peerReports.reports[from] = peerReport{receivedAt: now, report: report}
+	peerReports.nodes += report.Nodes
 	for _, load := range report.Loads {
-		others.loads[load.Start()] = others.loads[load.Start()].Plus(load)
+		peerReports.loads[load.Start()] = peerReports.loads[load.Start()].Plus(load)
 	}
 }
 
-// forget drops a peer's report.
-func (others *others) forget(from definer.VM) {
-	known, ok := others.reports[from]
+// remove removes a peer's report.
+func (peerReports *peerReports) remove(from definer.VM) {
+	known, ok := peerReports.reports[from]
 	if !ok {
 		return
 	}
-	delete(others.reports, from)
-	others.nodes -= known.report.Nodes
+	delete(peerReports.reports, from)
+	peerReports.nodes -= known.report.Nodes
 	for _, load := range known.report.Loads {
-		left := others.loads[load.Start()].Minus(load)
+		left := peerReports.loads[load.Start()].Minus(load)
 		if left.InFlight <= 0 {
-			delete(others.loads, load.Start())
+			delete(peerReports.loads, load.Start())
 			continue
 		}
-		others.loads[load.Start()] = left
+		peerReports.loads[load.Start()] = left
 	}
 }
 
-// expire drops the reports that no longer count.
-func (others *others) expire(now time.Time) {
-	for vm, report := range others.reports {
-		if now.Sub(report.at) > ReportLife {
-			others.forget(vm)
+// expire removes the reports older than ReportLife.
+func (peerReports *peerReports) expire(now time.Time) {
+	for vm, report := range peerReports.reports {
+		if now.Sub(report.receivedAt) > ReportLife {
+			peerReports.remove(vm)
 		}
 	}
 }
 
-// load returns what peers put on a start of an upstream in all.
-func (others *others) load(start definer.UpstreamStart) messenger.UpstreamLoad {
-	total := others.loads[start]
-	scale := others.scale()
+// load returns the total load of peers on a start of an upstream.
+func (peerReports *peerReports) load(start definer.UpstreamStart) messenger.UpstreamLoad {
+	total := peerReports.loads[start]
+	scale := peerReports.scale()
 	total.InFlight = int(scale * float64(total.InFlight))
 	total.Tokens = int(scale * float64(total.Tokens))
 	total.Unread = int(scale * float64(total.Unread))
@@ -98,17 +101,17 @@
 	return total
 }
 
-// works returns what the requests of a service took at peers, aged to now.
-func (others *others) works(now time.Time, service definer.PoolName) []messenger.KindWork {
-	scale := others.scale()
+// work returns the work of a service's requests at peers, decayed to now.
+func (peerReports *peerReports) work(now time.Time, service definer.PoolName) []messenger.KindWork {
+	scale := peerReports.scale()
 	var works []messenger.KindWork
-	for _, report := range others.reports {
+	for _, report := range peerReports.reports {
 		for _, work := range report.report.Kinds {
 			if work.Service != service {
 				continue
 			}
-			work.Work = time.Duration(scale * fade(float64(work.Work), now.Sub(report.at), divisionMemory))
-			work.Reading = time.Duration(scale * fade(float64(work.Reading), now.Sub(report.at), divisionMemory))
+			work.Work = time.Duration(scale * decay(float64(work.Work), now.Sub(report.receivedAt), workDecay))
+			work.Reading = time.Duration(scale * decay(float64(work.Reading), now.Sub(report.receivedAt), workDecay))
 			work.PromptTokens *= scale
 			work.Requests *= scale
 			works = append(works, work)
@@ -117,8 +120,8 @@
 	return works
 }
 
-// Report returns what this node's own requests do to the upstreams, and what was
-// read since the report before.
+// Report returns the load and the work of this node's own requests, and the reads since the
+// previous report.
 func (selector *Selector) Report(now time.Time) *messenger.LoadReport {
 	selector.mutex.Lock()
 	defer selector.mutex.Unlock()
@@ -130,12 +133,12 @@
 	}
 	report.Reads, selector.reads = selector.reads, nil
 	for name, service := range selector.services {
-		report.Kinds = append(report.Kinds, service.division.report(now, name)...)
+		report.Kinds = append(report.Kinds, service.partition.report(now, name)...)
 	}
 	return report
 }
 
-// load returns what this node's requests put on the upstream.
+// load returns the load of this node's requests on the upstream.
 func (state *state) load(now time.Time, id definer.UpstreamName) messenger.UpstreamLoad {
 	load := messenger.UpstreamLoad{Upstream: id, Incarnation: state.incarnation, InFlight: state.inFlight, Tokens: state.tokens, Unread: state.unread, Deferred: state.deferred}
 	if !state.lastByte.IsZero() {
@@ -144,44 +147,44 @@
 	return load
 }
 
-// Learn takes in a peer's report; peers is how many there are in all.
+// Learn applies a report from a peer; peers is the number of all peers.
 func (selector *Selector) Learn(now time.Time, from definer.VM, report *messenger.LoadReport, peers int) {
 	selector.mutex.Lock()
 	defer selector.mutex.Unlock()
-	selector.others.peers = peers
-	selector.others.learn(now, from, report)
+	selector.peerReports.peers = peers
+	selector.peerReports.replace(now, from, report)
 	for _, load := range report.Loads {
-		if known := selector.of(load.Start(), now); load.HasHeard && known.incarnation == load.Incarnation {
-			known.heard(now.Add(-load.Heard))
+		if known := selector.stateOf(load.Start(), now); load.HasHeard && known.incarnation == load.Incarnation {
+			known.recordActivity(now.Add(-load.Heard))
 		}
 	}
 	for _, read := range report.Reads {
-		known := selector.of(read.Start(), now)
+		known := selector.stateOf(read.Start(), now)
 		if known.incarnation != read.Incarnation {
-			continue // It has started again since, and knows nothing of it.
+			continue // The upstream has restarted since and its cache is empty.
 		}
 		for _, part := range read.Parts {
-			known.learnt(part, now)
+			known.recordPeerPart(part, now)
 		}
 	}
 }
 
-// Busy returns how many engines of a service the work of this node and its peers takes,
-// that which waits with it.
+// Busy returns how many engines of a service are occupied by the work of this node and its
+// peers, including the work that waits.
 func (selector *Selector) Busy(now time.Time, name definer.PoolName) float64 {
 	selector.mutex.Lock()
 	defer selector.mutex.Unlock()
-	selector.others.expire(now)
+	selector.peerReports.expire(now)
 	busy := 0.0
-	for _, kind := range selector.service(name).division.sum(now, selector.others.works(now, name)) {
-		busy += kind.Work.Seconds() / divisionMemory.Seconds()
+	for _, kind := range selector.service(name).partition.total(now, selector.peerReports.work(now, name)) {
+		busy += kind.Work.Seconds() / workDecay.Seconds()
 	}
 	return busy
 }
 
-// Forget drops a peer's report.
+// Forget removes the report of a peer.
 func (selector *Selector) Forget(from definer.VM) {
 	selector.mutex.Lock()
 	defer selector.mutex.Unlock()
-	selector.others.forget(from)
+	selector.peerReports.remove(from)
 }
--- a/selector/pace.go
+++ b/selector/pace.go
@@ -3,39 +3,41 @@
 import "time"
 
 const (
-	// firstPace is how many prompt tokens an engine is taken to read in a millisecond
-	// until it is known; models of 30 to 120 billion parameters read 20 to 100.
-	firstPace = 40.0
-	// paceStep is the part by which one observation moves the pace: forty of them
-	// correct it by three times, and one that is far off counts like any other.
-	paceStep = 0.03
-	// leastObserved is the least number of tokens from which a pace is learned: below
-	// it, what an answer takes beside reading counts for too much.
-	leastObserved = 2000
+	// initialSpeed is the assumed prefill speed, in tokens per millisecond, until one is
+	// observed; models of 30 to 120 billion parameters read 20 to 100.
+	initialSpeed = 40.0
+	// speedStep is the relative change of the speed for one observation: forty of them correct
+	// a factor of three, and an outlier counts no more than any other observation.
+	speedStep = 0.03
+	// minObservedTokens is the least number of tokens for which the speed is observed: with
+	// fewer, the parts of the latency other than prefill would distort it.
+	minObservedTokens = 2000
 )
 
-// pace is how fast the engines of a service read prompts. It follows the median of
-// what is observed: tokens waiting and asked for, over the time to the first event.
-type pace struct {
-	// tokens is how many are read in a millisecond, above 0.
+// prefillSpeed estimates how fast the engines of a service prefill prompts. It tracks the
+// median of the observed speeds: the tokens queued and requested, divided by the time to the
+// first event.
+type prefillSpeed struct {
+	// tokens is the speed in tokens per millisecond, above 0.
 	tokens float64
 }
 
-func newPace() pace { return pace{tokens: firstPace} }
+func newPrefillSpeed() prefillSpeed { return prefillSpeed{tokens: initialSpeed} }
 
-// reading returns how long an engine takes to read so many tokens.
-func (pace *pace) reading(tokens int) time.Duration {
-	return time.Duration(float64(tokens) / pace.tokens * float64(time.Millisecond))
+// prefillTime returns how long an engine takes to prefill the tokens.
+func (prefillSpeed *prefillSpeed) prefillTime(tokens int) time.Duration {
+	return time.Duration(float64(tokens) / prefillSpeed.tokens * float64(time.Millisecond))
 }
 
-// observe takes in that the first event behind so many unread tokens took so long.
-func (pace *pace) observe(tokens int, took time.Duration) {
-	if tokens < leastObserved || took <= 0 {
+// observe adjusts the speed by one observation: the first event came after the time took, with
+// that many tokens to prefill before it.
+func (prefillSpeed *prefillSpeed) observe(tokens int, took time.Duration) {
+	if tokens < minObservedTokens || took <= 0 {
 		return
 	}
-	if took < pace.reading(tokens) {
-		pace.tokens *= 1 + paceStep
+	if took < prefillSpeed.prefillTime(tokens) {
+		prefillSpeed.tokens *= 1 + speedStep
 		return
 	}
-	pace.tokens /= 1 + paceStep
+	prefillSpeed.tokens /= 1 + speedStep
 }
--- a/selector/restart_test.go
+++ b/selector/restart_test.go
@@ -13,8 +13,9 @@
 	"limpetcleat/selector"
 )
 
-// restarted returns a pool whose upstream of that place has started anew.
-func restarted(list []*registrar.Upstream, place int, incarnation definer.Incarnation) []*registrar.Upstream {
+// restartedPool returns a copy of the list in which the upstream at that index has the
+// incarnation.
+func restartedPool(list []*registrar.Upstream, place int, incarnation definer.Incarnation) []*registrar.Upstream {
 	anew := make([]*registrar.Upstream, len(list))
 	for index, upstream := range list {
 		later := *upstream
@@ -26,50 +27,49 @@
 	return anew
 }
 
-// TestARestartIsSentNothingOnWhatItHeld holds that with a later start goes what was
-// believed of the earlier one: the parts that it had read, the requests that it had, and
-// that it was left alone.
+// TestARestartIsSentNothingOnWhatItHeld checks that nothing observed of an upstream's earlier
+// start is applied to a later one: cached parts, requests in flight, failures and the pause.
 func TestARestartIsSentNothingOnWhatItHeld(t *testing.T) {
-	first := restarted(pool(1), 0, 10)
-	later := restarted(pool(1), 0, 20)
-	choice := selector.New("west")
-	read := choose(t, choice, start(), prompt(first, "k", "s", 50))
+	first := restartedPool(pool(1), 0, 10)
+	later := restartedPool(pool(1), 0, 20)
+	chooser := selector.New("west")
+	read := choose(t, chooser, start(), engineDemand(first, "k", "s", 50))
 	read.Begun(start())
-	held := choose(t, choice, start(), prompt(first, "k", "s", 50))
+	held := choose(t, chooser, start(), engineDemand(first, "k", "s", 50))
 	assert.Assert(t, strings.HasSuffix(held.Basis(), "known=true"), held.Basis())
 	held.End(start(), selector.Unreachable)
 
-	anew := choose(t, choice, start(), prompt(later, "k", "s", 50))
+	anew := choose(t, chooser, start(), engineDemand(later, "k", "s", 50))
 	assert.Assert(t, strings.HasSuffix(anew.Basis(), "known=false"), anew.Basis())
 	assert.Assert(t, strings.HasPrefix(anew.Basis(), "inFlight=0 "), anew.Basis())
 	assert.Assert(t, strings.Contains(anew.Basis(), "failures=0%"), anew.Basis())
-	assert.Assert(t, anew.Silent(), "nothing has come of this start")
+	assert.Assert(t, anew.Silent(), "nothing has come from this start")
 
-	// Requests of the earlier start that end late change nothing of the later one.
+	// Requests of the earlier start that end later do not affect the later one.
 	read.End(start(), selector.Failed)
-	next := choose(t, choice, start(), prompt(later, "k", "s", 50))
+	next := choose(t, chooser, start(), engineDemand(later, "k", "s", 50))
 	assert.Assert(t, strings.HasPrefix(next.Basis(), "inFlight=1 "), next.Basis())
 	assert.Assert(t, strings.Contains(next.Basis(), "failures=0%"), next.Basis())
-	report := choice.Report(start())
+	report := chooser.Report(start())
 	assert.Equal(t, len(report.Loads), 1)
 	assert.Equal(t, report.Loads[0].Incarnation, definer.Incarnation(20))
 	assert.Equal(t, report.Loads[0].InFlight, 2)
 }
 
-// TestAnEarlierStartComingLateChangesNothing holds that a list that is behind does not
-// bring back what was believed of an earlier start.
+// TestAnEarlierStartComingLateChangesNothing checks that a stale list of upstreams does not
+// replace the state of a later start by that of an earlier one.
 func TestAnEarlierStartComingLateChangesNothing(t *testing.T) {
-	first := restarted(pool(1), 0, 10)
-	later := restarted(pool(1), 0, 20)
-	choice := selector.New("west")
-	choose(t, choice, start(), prompt(later, "k", "s", 50)).Begun(start())
-	behind := choose(t, choice, start(), prompt(first, "k", "s", 50))
+	first := restartedPool(pool(1), 0, 10)
+	later := restartedPool(pool(1), 0, 20)
+	chooser := selector.New("west")
+	choose(t, chooser, start(), engineDemand(later, "k", "s", 50)).Begun(start())
+	behind := choose(t, chooser, start(), engineDemand(first, "k", "s", 50))
 	assert.Assert(t, strings.HasSuffix(behind.Basis(), "known=true"), behind.Basis())
 	assert.Assert(t, strings.HasPrefix(behind.Basis(), "inFlight=1 "), behind.Basis())
 }
 
-// TestReportsSpeakOfOneStart holds that what peers tell of an earlier start is not taken
-// in, and that what they tell of a later one is not lost.
+// TestReportsSpeakOfOneStart checks that peers' reports on an earlier start are ignored, and
+// that those on a later one are not lost.
 func TestReportsSpeakOfOneStart(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -84,15 +84,15 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			list := restarted(pool(1), 0, 20)
-			choice := selector.New("west")
-			choose(t, choice, start(), prompt(list, "k", "other", 50)).End(start(), selector.Abandoned)
-			choice.Learn(start(), "peer", &messenger.LoadReport{
+			list := restartedPool(pool(1), 0, 20)
+			chooser := selector.New("west")
+			choose(t, chooser, start(), engineDemand(list, "k", "other", 50)).End(start(), selector.Abandoned)
+			chooser.Learn(start(), "peer", &messenger.LoadReport{
 				Nodes: 1,
 				Loads: []messenger.UpstreamLoad{{Upstream: "u0", Incarnation: test.told, InFlight: 3, Heard: time.Millisecond, HasHeard: true}},
 				Reads: []messenger.PartsRead{{Upstream: "u0", Incarnation: test.told, Parts: []string{"s"}}},
 			}, 1)
-			chosen := choose(t, choice, start(), prompt(list, "k", "s", 50))
+			chosen := choose(t, chooser, start(), engineDemand(list, "k", "s", 50))
 			assert.Equal(t, strings.HasSuffix(chosen.Basis(), "known=true"), test.known, chosen.Basis())
 			assert.Assert(t, strings.Contains(chosen.Basis(), test.inFlight), chosen.Basis())
 		})
--- a/selector/saturation.go
+++ b/selector/saturation.go
@@ -6,84 +6,87 @@
 )
 
 const (
-	// waitShare is the part of the time left that a request which will be late may wait
-	// for its first event: behind more than that it is refused at once. In the model of
-	// a cold burst, at five times the usual load, 0.25 has 0.53 of the long prompts in
-	// time and 2 in 100 callers leave unserved; 0.5 has 0.46 and 4 in 100. At three times
-	// the load the two are alike.
-	waitShare = 0.25
-	// returnTime is the part of its time left after which a refused caller is to be back
-	// at the latest; callers honour no more.
-	returnTime = 1.0 / 3
-	// returnWait is the part of its objective that a caller who comes back should have
-	// to wait at most.
-	returnWait = 0.5
+	// maxWaitShare is the part of its time left for which a request that misses its objective
+	// may wait for its first event; it is refused at once if it would wait longer. In the model
+	// of a cold burst, at five times the usual load, 0.25 has 0.53 of the long prompts on time
+	// and 2 in 100 callers leave unserved; 0.5 has 0.46 and 4 in 100. At three times the load
+	// the two values give like results.
+	maxWaitShare = 0.25
+	// maxRetryShare is the part of its time left within which a refused caller must be told to
+	// retry; callers honour no longer delay.
+	maxRetryShare = 1.0 / 3
+	// retryWaitShare is the part of its objective that a retrying caller should have to wait at
+	// most.
+	retryWaitShare = 0.5
 )
 
 const (
-	// returnedShare is the part of the usual time left below which a caller is taken to
-	// come back after a refusal: callers' first times differ by less.
-	returnedShare = 0.83
-	// patienceWeight is the part by which a shorter time moves the usual one.
-	patienceWeight = 0.01
+	// retriedShare is the part of the usual timeout below which a request is taken to be a
+	// retry after a refusal: the timeouts of first attempts differ by less.
+	retriedShare = 0.83
+	// timeoutWeight is the weight of a shorter timeout in the moving average of the usual one.
+	timeoutWeight = 0.01
 )
 
-// Saturation tells that a request would be late at every upstream, and would wait for
-// so long that it is better to come back.
+// Saturation is the error for a request that would be late at every upstream and would wait so
+// long that the caller should rather retry later.
 type Saturation struct {
-	// Pause is after what time it can be expected to be served.
+	// Pause is the time after which the request can be expected to be served.
 	Pause time.Duration
 }
 
-// Error describes the saturation.
+// Error returns the message with the pause.
 func (saturation *Saturation) Error() string {
-	return fmt.Sprintf("all upstreams are saturated for %v", saturation.Pause)
+	return fmt.Sprintf("all upstreams are saturated; retry after %v", saturation.Pause)
 }
 
-// hopeless tells whether a request that is to be late at a candidate is better refused:
-// what is before it there takes too much of its time.
-func (choice *choice) hopeless(view *view) bool {
+// saturated reports whether the request should be refused at a candidate: it would be deferred,
+// and wait for more than maxWaitShare of its time left.
+func (choice *choice) saturated(candidate *candidate) bool {
 	left := choice.demand.TimeLeft
-	if !choice.demand.Engine || left <= 0 || !choice.deferred(view) {
+	if !choice.demand.Engine || left <= 0 || !choice.deferred(candidate) {
 		return false
 	}
-	behind := view.wait + choice.pace.reading(view.deferred())
-	return behind > time.Duration(waitShare*float64(left))
+	behind := candidate.wait + choice.prefillSpeed.prefillTime(candidate.deferred())
+	return behind > time.Duration(maxWaitShare*float64(left))
 }
 
-// pause returns when a refused caller can be expected to be served in time: when what
-// waits has been done but for a part of the objective, with new work coming in front.
-func (choice *choice) pause() time.Duration {
+// saturationPause returns the time after which a refused caller can be expected to be served on
+// time: when the queue has shrunk to retryWaitShare of the objective, given that new requests
+// keep arriving ahead of the caller.
+func (choice *choice) saturationPause() time.Duration {
 	demand := choice.demand
-	waiting := choice.pace.reading(int(choice.mean((*view).unread)))
-	excess := waiting - time.Duration(returnWait*float64(demand.Objective))
-	drained := time.Duration(float64(excess) / (1 - min(choice.side.busy, fullestSide)))
-	return choice.comeAgain(drained)
+	waiting := choice.prefillSpeed.prefillTime(int(choice.meanOfSide((*candidate).unread)))
+	excess := waiting - time.Duration(retryWaitShare*float64(demand.Objective))
+	drained := time.Duration(float64(excess) / (1 - min(choice.side.utilisation, maxUtilisation)))
+	return choice.retryAfter(drained)
 }
 
-// comeAgain returns when a caller is to be back for whom there is room after the time: not
-// before the others who were refused with it have been served, and within what it honours.
-func (choice *choice) comeAgain(after time.Duration) time.Duration {
+// retryAfter returns when a caller should retry if there is capacity after the given time: no
+// sooner than its objective, so that others refused with it are served first, and within what
+// it honours.
+func (choice *choice) retryAfter(after time.Duration) time.Duration {
 	demand := choice.demand
-	return min(max(after, demand.Objective), time.Duration(returnTime*float64(demand.TimeLeft)))
+	return min(max(after, demand.Objective), time.Duration(maxRetryShare*float64(demand.TimeLeft)))
 }
 
-// patience is how long the callers of a rule usually wait when they first come.
-type patience struct{ usual time.Duration }
+// callerTimeout is how long the callers of a rule usually wait at their first attempt.
+type callerTimeout struct{ usual time.Duration }
 
-// waited returns for how long the caller of a request has been waiting since its first
-// attempt, as far as that shows: one that comes back after a refusal has less time left
-// than others of its rule.
-func (patience *patience) waited(left time.Duration) time.Duration {
+// waitedBefore returns how long a caller with this time left has waited since its first
+// attempt, as far as can be told: a retry after a refusal has less time left than other
+// requests of its rule. For any other request it returns 0
+// and updates the usual timeout.
+func (callerTimeout *callerTimeout) waitedBefore(left time.Duration) time.Duration {
 	if left <= 0 {
 		return 0
 	}
-	if float64(left) < returnedShare*float64(patience.usual) {
-		return patience.usual - left
+	if float64(left) < retriedShare*float64(callerTimeout.usual) {
+		return callerTimeout.usual - left
 	}
-	if left > patience.usual {
-		patience.usual = left
+	if left > callerTimeout.usual {
+		callerTimeout.usual = left
 	}
-	patience.usual -= time.Duration(patienceWeight * float64(patience.usual-left))
+	callerTimeout.usual -= time.Duration(timeoutWeight * float64(callerTimeout.usual-left))
 	return 0
 }
--- a/selector/saturation_test.go
+++ b/selector/saturation_test.go
@@ -12,28 +12,29 @@
 	"limpetcleat/selector"
 )
 
-// patient is a demand that may be deferred, with an objective of a second, of a caller
-// who has so much time left.
-func patient(list []*registrar.Upstream, subject string, left time.Duration) *selector.Demand {
-	demand := prompt(list, "k", subject, 2000)
+// deferrableDemand returns a demand that may be deferred, with an objective of a second, for a
+// caller with that much time left.
+func deferrableDemand(list []*registrar.Upstream, subject string, left time.Duration) *selector.Demand {
+	demand := engineDemand(list, "k", subject, 2000)
 	demand.Objective, demand.TimeLeft, demand.Deferrable = time.Second, left, true
 	return demand
 }
 
-// load puts so many tokens of other requests on an engine that none has begun with.
-func load(t *testing.T, choice *selector.Selector, upstream *registrar.Upstream, tokens int) {
+// addLoad sends an engine a request with that many prompt tokens, which does not begin.
+func addLoad(t *testing.T, chooser *selector.Selector, upstream *registrar.Upstream, tokens int) {
 	t.Helper()
 	busy := &selector.Demand{Service: "pool", Kind: "other", Candidates: []*registrar.Upstream{upstream}, Engine: true, PromptTokens: tokens}
-	choose(t, choice, start(), busy)
+	choose(t, chooser, start(), busy)
 }
 
-// TestSaturatedRequestsAreRefused holds which requests are refused: those that would be
-// late at every engine and wait there for more than a quarter of their time. They are
-// told to come back within a third of it.
+// TestSaturatedRequestsAreRefused checks which requests are refused: those that would be late
+// at every engine and wait there for more than a quarter of their time. They are told to retry
+// within a third of it.
 func TestSaturatedRequestsAreRefused(t *testing.T) {
 	cases := []struct {
 		name string
-		// ahead is what every engine has to read before, in milliseconds at first.
+		// ahead is what every engine has to prefill first, in milliseconds at the initial
+		// speed.
 		ahead   int
 		left    time.Duration
 		demand  func(demand *selector.Demand)
@@ -49,15 +50,15 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			choice, list := selector.New("west"), pool(2)
+			chooser, list := selector.New("west"), pool(2)
 			for _, upstream := range list {
-				load(t, choice, upstream, test.ahead*40)
+				addLoad(t, chooser, upstream, test.ahead*40)
 			}
-			demand := patient(list, "s", test.left)
+			demand := deferrableDemand(list, "s", test.left)
 			if test.demand != nil {
 				test.demand(demand)
 			}
-			_, err := choice.Choose(start(), demand)
+			_, err := chooser.Choose(start(), demand)
 			var saturation *selector.Saturation
 			assert.Equal(t, errors.As(err, &saturation), test.refused, "%v", err)
 			if test.refused {
@@ -67,16 +68,16 @@
 	}
 }
 
-// TestRefusedRequestsAreNoWork holds that what is refused does not count as load: else
-// refusals would make the others' prospects worse.
+// TestRefusedRequestsAreNoWork checks that refused requests do not count as load: otherwise
+// each refusal would raise the expected wait and cause further refusals.
 func TestRefusedRequestsAreNoWork(t *testing.T) {
-	choice, list := selector.New("west"), pool(1)
-	load(t, choice, list[0], 400_000)
+	chooser, list := selector.New("west"), pool(1)
+	addLoad(t, chooser, list[0], 400_000)
 	for range 50 {
-		_, err := choice.Choose(start(), patient(list, "s", 10*time.Second))
+		_, err := chooser.Choose(start(), deferrableDemand(list, "s", 10*time.Second))
 		assert.Assert(t, err != nil)
 	}
-	report := choice.Report(start())
+	report := chooser.Report(start())
 	assert.Equal(t, len(report.Loads), 1)
 	assert.Equal(t, report.Loads[0].InFlight, 1)
 	for _, kind := range report.Kinds {
@@ -84,51 +85,51 @@
 	}
 }
 
-// TestThoseWhoComeBackAreLate holds that the objective counts from when a caller first
-// came: one that has less time left than others of its rule has been refused before, so
-// it is served behind those that can still be in time.
+// TestThoseWhoComeBackAreLate checks that the objective counts from a caller's first attempt: a
+// caller with less time left than others of its rule was refused before, so its request is
+// queued behind those that can still be on time.
 func TestThoseWhoComeBackAreLate(t *testing.T) {
-	choice, list := selector.New("west"), pool(2)
+	chooser, list := selector.New("west"), pool(2)
 	for _, left := range []time.Duration{9 * time.Second, 10 * time.Second, 8600 * time.Millisecond} {
-		assert.Assert(t, !choose(t, choice, start(), patient(list, "s", left)).Deferred(), "%v", left)
+		assert.Assert(t, !choose(t, chooser, start(), deferrableDemand(list, "s", left)).Deferred(), "%v", left)
 	}
-	assert.Assert(t, choose(t, choice, start(), patient(list, "s", 7*time.Second)).Deferred())
-	assert.Assert(t, !choose(t, choice, start(), patient(list, "s", 9*time.Second)).Deferred())
+	assert.Assert(t, choose(t, chooser, start(), deferrableDemand(list, "s", 7*time.Second)).Deferred())
+	assert.Assert(t, !choose(t, chooser, start(), deferrableDemand(list, "s", 9*time.Second)).Deferred())
 }
 
-// TestFullSlotsAreAWait holds that a request is late where all slots are taken for
-// longer than its objective, and that how long follows from how long answers last.
+// TestFullSlotsAreAWait checks that a request counts as late if all slots are occupied for
+// longer than its objective, and that this time is estimated from the duration of answers.
 func TestFullSlotsAreAWait(t *testing.T) {
 	for _, lasts := range []time.Duration{100 * time.Millisecond, 20 * time.Second} {
-		choice, list, now := selector.New("west"), pool(1), start()
+		chooser, list, now := selector.New("west"), pool(1), start()
 		short := &selector.Demand{Service: "pool", Kind: "other", Candidates: list, Engine: true, PromptTokens: 10}
 		for range 100 {
-			assignment := choose(t, choice, now, short)
+			assignment := choose(t, chooser, now, short)
 			assignment.Begun(now)
 			now = now.Add(lasts)
 			assignment.End(now, selector.Answered)
 		}
 		for range list[0].Slots {
-			choose(t, choice, now, short).Begun(now)
+			choose(t, chooser, now, short).Begun(now)
 		}
-		assert.Equal(t, choose(t, choice, now, patient(list, "s", time.Minute)).Deferred(), lasts > time.Second, "%v", lasts)
+		assert.Equal(t, choose(t, chooser, now, deferrableDemand(list, "s", time.Minute)).Deferred(), lasts > time.Second, "%v", lasts)
 	}
 }
 
-// TestTheHigherTierHasRoomFirst holds that when both sides have more work than engines,
-// the one with the higher tier gets more engines than its work stands for, so that its
-// prompts are read soon.
+// TestTheHigherTierHasRoomFirst checks that when both sides have more work than engines, the
+// side with the higher tier gets more engines than its share of the work, so that its prompts
+// are prefilled soon.
 func TestTheHigherTierHasRoomFirst(t *testing.T) {
 	engines := func(tier, prompts int) int {
-		choice, list, now, side := selector.New("west"), pool(40), start(), ""
+		chooser, list, now, side := selector.New("west"), pool(40), start(), ""
 		for step := range 1200 {
 			now = now.Add(5 * time.Millisecond)
-			long := prompt(list, "long", "l", 20_000)
+			long := engineDemand(list, "long", "l", 20_000)
 			long.Tier = 1
-			choose(t, choice, now, long)
+			choose(t, chooser, now, long)
 			if step%2 == 0 {
 				short := &selector.Demand{Service: "pool", Kind: "short", Tier: tier, Candidates: list, Engine: true, PromptTokens: prompts}
-				side = held(choose(t, choice, now, short), "side")
+				side = basisField(choose(t, chooser, now, short), "side")
 			}
 		}
 		var boundary int
--- a/selector/selector.go
+++ b/selector/selector.go
@@ -1,6 +1,8 @@
-// Package selector chooses the upstream of a request from what this node's own
-// requests have shown: how much it has sent where, what came back and how late,
-// and which prompts were read where.
+// Package selector chooses the upstream that a request is sent to (load balancing), from what
+// this node has observed of its own requests and what its peers report: requests in flight,
+// failures, delays, and which engines hold the prompt's shared parts in their prefix caches.
+// Reading a prompt on an engine is called prefill. An upstream's start is one run of its
+// process, identified by the incarnation; nothing observed of one start is applied to the next.
 package selector
 
 import (
@@ -12,126 +14,130 @@
 )
 
 const (
-	// maxReads bounds the readings that wait to be told to peers.
-	maxReads = 256
-	// forgetAfter is how long an upstream that is no longer listed is remembered.
-	forgetAfter = time.Minute
-	// sweepAt is how many upstreams may be known before those are forgotten.
-	sweepAt = 64
+	// maxQueuedReads bounds the reads queued for the next report to peers.
+	maxQueuedReads = 256
+	// stateLifetime is how long the state of an upstream that is no longer listed is kept.
+	stateLifetime = time.Minute
+	// sweepThreshold is how many upstreams must be known before such states are removed.
+	sweepThreshold = 64
 )
 
 // Selector chooses upstreams. It is safe for concurrent use.
 type Selector struct {
 	dataCentre definer.DataCentre
-	// mutex guards states and every Assignment; no other lock is taken under it.
-	mutex    sync.Mutex
-	states   map[definer.UpstreamName]*state
-	services map[definer.PoolName]*service
-	others   others
-	// reads are the readings that peers have not been told of, at most maxReads.
+	// mutex guards the fields below and every Assignment; no other lock is taken while it is
+	// held.
+	mutex       sync.Mutex
+	states      map[definer.UpstreamName]*state
+	services    map[definer.PoolName]*service
+	peerReports peerReports
+	// reads lists the reads not yet reported to peers, at most maxQueuedReads.
 	reads []messenger.PartsRead
 }
 
-// New returns a selector for a node of the data centre.
+// New returns a Selector for a node in the data centre.
 func New(dataCentre definer.DataCentre) *Selector {
 	return &Selector{
-		dataCentre: dataCentre,
-		states:     make(map[definer.UpstreamName]*state),
-		services:   make(map[definer.PoolName]*service),
-		others:     newOthers(),
+		dataCentre:  dataCentre,
+		states:      make(map[definer.UpstreamName]*state),
+		services:    make(map[definer.PoolName]*service),
+		peerReports: newPeerReports(),
 	}
 }
 
-// Choose returns the upstream that a request is expected to be served by
-// soonest. The error is of kind NoUpstream. The caller ends the assignment.
+// Choose returns an assignment of the request to the upstream that is expected to serve it at
+// the lowest cost. The caller must end the assignment with End or Withheld. The error is an
+// *Error of kind NoUpstream, Saturated, Limited or BackingOff.
 func (selector *Selector) Choose(now time.Time, demand *Demand) (*Assignment, error) {
 	selector.mutex.Lock()
 	defer selector.mutex.Unlock()
-	selector.forget(now)
-	choice := selector.consider(now, demand)
+	selector.sweep(now)
+	choice := selector.newChoice(now, demand)
 	best, cost := choice.cheapest(false)
 	if best == nil {
-		// All are left alone: rather try one than none.
+		// All eligible upstreams are paused: trying one is better than failing the request.
 		best, cost = choice.cheapest(true)
 	}
 	if best == nil {
-		return choice.wait()
+		return choice.assignWaiting()
 	}
-	if choice.hopeless(best) {
-		return nil, fail("choose", Saturated, "%w", &Saturation{Pause: choice.pause()})
+	if choice.saturated(best) {
+		return nil, fail("choose", Saturated, "%w", &Saturation{Pause: choice.saturationPause()})
 	}
 	return choice.assign(best, cost), nil
 }
 
-// wait returns the assignment of a request that no upstream takes at once, if one is expected
-// to take it within its patience. The error is of kind NoUpstream, Limited or BackingOff.
-func (choice *choice) wait() (*Assignment, error) {
+// assignWaiting returns an assignment that waits for a permit, if one is expected within the
+// demand's patience. The error is of kind NoUpstream, Limited or BackingOff.
+func (choice *choice) assignWaiting() (*Assignment, error) {
 	demand := choice.demand
-	view, until := choice.soonest()
-	if view == nil {
-		if after, backsOff := choice.backoffOver(); backsOff {
-			return nil, fail("choose", BackingOff, "%w", &Limitation{Pause: choice.comeAgain(after)})
+	candidate, until := choice.earliestPermit()
+	if candidate == nil {
+		if after, backsOff := choice.shortestBackoff(); backsOff {
+			return nil, fail("choose", BackingOff, "%w", &Limitation{Pause: choice.retryAfter(after)})
 		}
-		return nil, fail("choose", NoUpstream, "%d upstreams are listed, %d were tried", len(demand.Candidates), len(demand.Tried))
+		return nil, fail("choose", NoUpstream, "no upstream may be tried: %d are listed, %d were tried", len(demand.Candidates), len(demand.Tried))
 	}
 	after := until.Sub(choice.now)
 	if after > demand.Patience {
-		return nil, fail("choose", Limited, "%w", &Limitation{Pause: choice.comeAgain(after)})
+		return nil, fail("choose", Limited, "%w", &Limitation{Pause: choice.retryAfter(after)})
 	}
-	assignment := choice.assign(view, after)
+	assignment := choice.assign(candidate, after)
 	assignment.waits = true
 	return assignment, nil
 }
 
-// Limit tells whether an upstream has a limit, so that requests to it need permits.
+// Limit records whether a start of an upstream has a rate limit, in which case each request to
+// it needs a permit.
 func (selector *Selector) Limit(now time.Time, start definer.UpstreamStart, limited bool) {
 	selector.mutex.Lock()
 	defer selector.mutex.Unlock()
-	if state := selector.of(start, now); state.incarnation == start.Incarnation {
-		state.limited, state.permits = limited, nil
+	if state := selector.stateOf(start, now); state.incarnation == start.Incarnation {
+		state.limited, state.noPermitUntil = limited, nil
 	}
 }
 
-// service is what is known of the engines of one service together.
+// service is what is known of all engines of one service together.
 type service struct {
-	division division
-	pace     pace
-	// read is what this node's requests bring into the memory of engines.
-	read readShare
-	// stay is how long answers take an engine's slot, from their first event on.
-	stay stay
+	partition    partition
+	prefillSpeed prefillSpeed
+	// cacheMisses is the part of prompt tokens that engines had to prefill.
+	cacheMisses cacheMisses
+	// slotTime is the mean time that an answer occupies an engine's slot, from its first event
+	// on.
+	slotTime slotTime
 }
 
 func (selector *Selector) service(name definer.PoolName) *service {
 	known, ok := selector.services[name]
 	if !ok {
-		known = &service{division: division{kinds: make(map[string]*kind)}, pace: newPace()}
+		known = &service{partition: partition{rules: make(map[string]*ruleWork)}, prefillSpeed: newPrefillSpeed()}
 		selector.services[name] = known
 	}
 	return known
 }
 
-// of returns what is known of an upstream's latest start that was heard of, which may be
-// later than the one asked for; mutex is held. With a later start all that was known of
-// the one before goes: what it had read and under way, its failures, pauses and delays.
-func (selector *Selector) of(start definer.UpstreamStart, now time.Time) *state {
+// stateOf returns the state of the latest known start of an upstream, which may be later than
+// the start passed in; mutex is held. A later start replaces the state of the one before: its
+// cached parts, requests in flight, failures, pauses and delays.
+func (selector *Selector) stateOf(start definer.UpstreamStart, now time.Time) *state {
 	known, ok := selector.states[start.Upstream]
 	if !ok || known.incarnation < start.Incarnation {
 		known = &state{incarnation: start.Incarnation, parts: make(map[string]partState)}
 		selector.states[start.Upstream] = known
 	}
-	known.seen = now
+	known.lastSeen = now
 	return known
 }
 
-// forget drops the upstreams that have not been candidates for long; mutex is
-// held.
-func (selector *Selector) forget(now time.Time) {
-	if len(selector.states) < sweepAt {
+// sweep removes the states of upstreams that have not been looked up for stateLifetime and
+// have neither requests in flight nor a limit; mutex is held.
+func (selector *Selector) sweep(now time.Time) {
+	if len(selector.states) < sweepThreshold {
 		return
 	}
 	for id, state := range selector.states {
-		if state.inFlight == 0 && !state.limited && now.Sub(state.seen) > forgetAfter {
+		if state.inFlight == 0 && !state.limited && now.Sub(state.lastSeen) > stateLifetime {
 			delete(selector.states, id)
 		}
 	}
--- a/selector/state.go
+++ b/selector/state.go
@@ -10,103 +10,109 @@
 )
 
 const (
-	// failureMemory is how long a failure counts: its share falls to 1/e in it.
-	// The platform's troubles last some 4 to 6 s; this forgets within as long.
-	failureMemory = 4 * time.Second
-	// delayMemory is the same for the delay seen beyond what was expected.
-	delayMemory = time.Second
-	// failureWeight is the part of a failure share that one outcome moves.
+	// failureDecay is the time constant of the failure share: it falls to 1/e in this time. The
+	// platform's outages last some 4 to 6 s, and a failure is forgotten in about as long.
+	failureDecay = 4 * time.Second
+	// delayDecay is the time constant of the observed delay beyond the expected one.
+	delayDecay = time.Second
+	// failureWeight is the weight of one outcome in the moving average of failures.
 	failureWeight = 0.2
-	// delayWeight is the same for a delay.
+	// delayWeight is the weight of one observation in the moving average of the delay.
 	delayWeight = 0.3
-	// firstPause and maxPause bound how long an upstream that could not be
-	// reached is left alone; the pause doubles with each failure in a row.
+	// firstPause and maxPause bound how long no request is sent to an upstream that could not
+	// be reached; the pause doubles with each consecutive failure.
 	firstPause = 500 * time.Millisecond
 	maxPause   = 4 * time.Second
-	// goneFor is how long an upstream whose address another has is left alone; its
-	// entry goes within some heartbeats of the platform, each 1 to 2 s.
-	goneFor = 30 * time.Second
-	// longestMemory is the longest that a part that was read counts as cached. It is
-	// above the span within which the platform counts a second reading (some 10 s).
-	longestMemory = 30 * time.Second
-	// maxParts bounds the parts remembered for one upstream.
+	// gonePause is how long no request is sent to an upstream whose address is now another's.
+	// The platform removes the entry within a few of its heartbeats, which are 1 to 2 s apart.
+	gonePause = 30 * time.Second
+	// maxCacheLifetime bounds how long a part counts as cached after its last use. It is above
+	// the span within which the platform counts a second prefill (some 10 s).
+	maxCacheLifetime = 30 * time.Second
+	// maxParts is how many parts may be stored for one upstream before old ones are evicted.
 	maxParts = 4096
-	// toldShare is the part of the time that an engine keeps a part in which peers need
-	// not be told again that it was used there.
-	toldShare = 1.0 / 3
+	// reportedShare is the part of a part's cache lifetime during which its use at the same
+	// engine is not reported to peers again.
+	reportedShare = 1.0 / 3
 )
 
-// state is what this node knows of one start of an upstream from its own requests.
+// state is what this node knows of one start of an upstream.
 type state struct {
-	// incarnation is that of the start that the rest is true of; 0 is unknown.
+	// incarnation identifies the start that the other fields describe; 0 is unknown.
 	incarnation definer.Incarnation
 	// inFlight counts requests sent and not yet ended.
 	inFlight int
-	// tokens counts what those may take of an engine's memory.
+	// tokens counts the tokens that the requests in flight may occupy in the engine's KV cache.
 	tokens int
-	// unread counts prompt tokens of requests that have no first event yet.
+	// unread counts the prompt tokens of the requests without a first event, except the
+	// deferred ones.
 	unread int
-	// deferred counts those of requests that are behind all others there.
+	// deferred counts the prompt tokens of the deferred requests without a first event.
 	deferred int
-	// failures is the share of late outcomes that were failures, 0 to 1.
+	// failures is the decaying share of failures among outcomes, 0 to 1, as of failuresAt.
 	failures   float64
 	failuresAt time.Time
-	// delay is what first events took beyond what was expected.
+	// delay is the decaying average by which first events came later than expected, as of
+	// delayAt.
 	delay   time.Duration
 	delayAt time.Time
-	// pauseUntil is when it may be tried again after it could not be reached.
+	// pauseUntil is when the upstream may be tried again after it could not be reached or was
+	// gone.
 	pauseUntil time.Time
-	// limited is set while the upstream has a limit, and requests to it need permits.
+	// limited is set while the upstream has a limit, so that requests to it need permits.
 	limited bool
-	// permits holds, by tier, until when no permit is expected; nil is none.
-	permits map[int]time.Time
-	// backoffUntil is until when it wants nothing from this node; unproven is set from then on
-	// until it has taken a request, and tried while one request tries it.
+	// noPermitUntil holds, by tier, the time before which no permit is expected; nil if none
+	// was denied.
+	noPermitUntil map[int]time.Time
+	// backoffUntil is the end of the backoff that the upstream asked for. needsProbe is set
+	// with the backoff and until the upstream accepts a request; probing is set while the one
+	// request that tests it is in flight.
 	backoffUntil time.Time
-	unproven     bool
-	tried        bool
-	// broken counts failures to reach it in a row.
-	broken int
-	// lastByte is when anything last came from it, to this node or to a peer that
+	needsProbe   bool
+	probing      bool
+	// consecutiveFailures counts the failures to reach the upstream since it last responded.
+	consecutiveFailures int
+	// lastByte is when anything last came from the upstream, to this node or to a peer that
 	// reported it.
 	lastByte time.Time
-	// parts holds what is known of the parts that were read there.
+	// parts holds the prompt parts used there, by ID.
 	parts map[string]partState
-	// seen is when it was last a candidate.
-	seen time.Time
+	// lastSeen is when the state was last looked up, as a candidate or for a report or a limit.
+	lastSeen time.Time
 }
 
-// partState is what is known of a part of prompts at one upstream.
+// partState is what is known of one prompt part at one upstream.
 type partState struct {
-	// readAt is when it was last used there, and toldAt when all peers were last
-	// told so.
-	readAt time.Time
-	toldAt time.Time
+	// usedAt is when the part was last used there; reportedAt is when its use was last reported
+	// to all peers.
+	usedAt     time.Time
+	reportedAt time.Time
 }
 
-// fade returns a value that falls to 1/e within the memory.
-func fade(value float64, age, memory time.Duration) float64 {
+// decay returns the value after exponential decay over age: it falls to 1/e in each
+// timeConstant.
+func decay(value float64, age, timeConstant time.Duration) float64 {
 	if age <= 0 {
 		return value
 	}
-	return value * math.Exp(-age.Seconds()/memory.Seconds())
+	return value * math.Exp(-age.Seconds()/timeConstant.Seconds())
 }
 
 func (state *state) failureShare(now time.Time) float64 {
-	return fade(state.failures, now.Sub(state.failuresAt), failureMemory)
+	return decay(state.failures, now.Sub(state.failuresAt), failureDecay)
 }
 
 func (state *state) expectedDelay(now time.Time) time.Duration {
-	return time.Duration(fade(float64(state.delay), now.Sub(state.delayAt), delayMemory))
+	return time.Duration(decay(float64(state.delay), now.Sub(state.delayAt), delayDecay))
 }
 
-// paused tells whether the upstream is left alone: its pause lasts, or the one
-// request that tries it after the pause has not ended.
+// paused reports whether no request should be sent to the upstream: its pause has not ended, or
+// the one request that tries it after the pause is still in flight.
 func (state *state) paused(now time.Time) bool {
-	return now.Before(state.pauseUntil) || state.broken > 0 && state.inFlight > 0
+	return now.Before(state.pauseUntil) || state.consecutiveFailures > 0 && state.inFlight > 0
 }
 
-func (state *state) outcome(now time.Time, failed bool) {
+func (state *state) recordOutcome(now time.Time, failed bool) {
 	share := state.failureShare(now) * (1 - failureWeight)
 	if failed {
 		share += failureWeight
@@ -114,43 +120,43 @@
 	state.failures, state.failuresAt = share, now
 }
 
-func (state *state) delayed(now time.Time, delay time.Duration) {
+func (state *state) recordDelay(now time.Time, delay time.Duration) {
 	known := state.expectedDelay(now)
 	state.delay = known + time.Duration(delayWeight*float64(max(delay, 0)-known))
 	state.delayAt = now
 }
 
-// unreachable leaves the upstream alone for a while.
-func (state *state) unreachable(now time.Time) {
-	pause := timer.Doubled(firstPause, maxPause, state.broken)
-	state.broken++
+// recordUnreachable starts a pause, twice as long as the one before, up to maxPause.
+func (state *state) recordUnreachable(now time.Time) {
+	pause := timer.Doubled(firstPause, maxPause, state.consecutiveFailures)
+	state.consecutiveFailures++
 	state.pauseUntil = now.Add(pause)
 }
 
-// heard notes that something came from the upstream, to this node or a peer.
-func (state *state) heard(at time.Time) {
+// recordActivity records that something came from the upstream, to this node or to a peer.
+func (state *state) recordActivity(at time.Time) {
 	if at.After(state.lastByte) {
 		state.lastByte = at
 	}
 }
 
-// reached notes that something came from the upstream to this node.
-func (state *state) reached(now time.Time) {
-	state.heard(now)
-	state.broken = 0
+// recordResponse records that something came from the upstream to this node.
+func (state *state) recordResponse(now time.Time) {
+	state.recordActivity(now)
+	state.consecutiveFailures = 0
 	state.pauseUntil = time.Time{}
 }
 
-// remember notes that the parts were read there and returns those that peers are
-// to be told of.
-func (state *state) remember(parts []Part, now time.Time, memory time.Duration) []string {
-	state.forgetParts(now)
+// recordParts records the use of the parts at the upstream and returns the IDs of those to
+// report to peers.
+func (state *state) recordParts(parts []Part, now time.Time, cacheLifetime time.Duration) []string {
+	state.evictParts(now)
 	var news []string
 	for _, part := range parts {
 		known := state.parts[part.ID]
-		known.readAt = now
-		if now.Sub(known.toldAt) > time.Duration(toldShare*float64(memory)) {
-			known.toldAt = now
+		known.usedAt = now
+		if now.Sub(known.reportedAt) > time.Duration(reportedShare*float64(cacheLifetime)) {
+			known.reportedAt = now
 			news = append(news, part.ID)
 		}
 		state.parts[part.ID] = known
@@ -158,42 +164,45 @@
 	return news
 }
 
-// learnt notes that a peer told all others that a part was read there.
-func (state *state) learnt(part string, now time.Time) {
-	state.parts[part] = partState{readAt: now, toldAt: now}
+// recordPeerPart records that a peer has told all others of the part's use.
+func (state *state) recordPeerPart(part string, now time.Time) {
+	state.parts[part] = partState{usedAt: now, reportedAt: now}
 }
 
-// unlearn forgets the parts of a request that was sent then and of which nothing
-// came; peers that were told forget them in time, and avoid an upstream that fails.
-func (state *state) unlearn(parts []Part, sentAt time.Time) {
+// discardParts removes the parts of a request sent at sentAt to which nothing was returned,
+// unless they were used again since. It sends no correction to peers: their entries expire, and
+// they avoid an upstream that fails.
+func (state *state) discardParts(parts []Part, sentAt time.Time) {
 	for _, part := range parts {
-		if state.parts[part.ID].readAt.Equal(sentAt) {
+		if state.parts[part.ID].usedAt.Equal(sentAt) {
 			delete(state.parts, part.ID)
 		}
 	}
 }
 
-// forgetParts makes room when there are too many parts.
-func (state *state) forgetParts(now time.Time) {
+// evictParts removes the parts unused for half of maxCacheLifetime when more than maxParts are
+// stored.
+func (state *state) evictParts(now time.Time) {
 	if len(state.parts) <= maxParts {
 		return
 	}
-	maps.DeleteFunc(state.parts, func(_ string, known partState) bool { return now.Sub(known.readAt) > longestMemory/2 })
+	maps.DeleteFunc(state.parts, func(_ string, known partState) bool { return now.Sub(known.usedAt) > maxCacheLifetime/2 })
 }
 
-// holds tells whether a part is believed to be cached there.
-func (state *state) holds(part string, now time.Time, memory time.Duration) bool {
+// holds reports whether a part is believed to be cached there.
+func (state *state) holds(part string, now time.Time, cacheLifetime time.Duration) bool {
 	known, ok := state.parts[part]
-	return ok && now.Sub(known.readAt) <= memory
+	return ok && now.Sub(known.usedAt) <= cacheLifetime
 }
 
-// cached returns how many tokens of the parts, from the first on, this node
-// believes to be cached there. A part is kept only behind those before it.
-func (state *state) cached(parts []Part, now time.Time, memory time.Duration) int {
+// cachedTokens returns how many leading tokens of the parts are believed to be cached there. An
+// engine caches a part only together with all parts before it, so the last cached part
+// determines the count.
+func (state *state) cachedTokens(parts []Part, now time.Time, cacheLifetime time.Duration) int {
 	tokens, deepest := 0, 0
 	for _, part := range parts {
 		tokens += part.Tokens
-		if state.holds(part.ID, now, memory) {
+		if state.holds(part.ID, now, cacheLifetime) {
 			deepest = tokens
 		}
 	}
--- a/selector/stay.go
+++ b/selector/stay.go
@@ -3,33 +3,35 @@
 import "time"
 
 const (
-	// firstStay is how long an answer is taken to last until one has ended: some
-	// hundred tokens of 10 ms each.
-	firstStay = time.Second
-	// stayWeight is the part by which one answer moves the mean: some twenty make it.
-	stayWeight = 0.05
-	// stayBound is how many times the mean one answer counts as at most.
-	stayBound = 5
+	// initialSlotTime is the assumed duration of an answer until one has ended: some hundred
+	// tokens of 10 ms each.
+	initialSlotTime = time.Second
+	// slotTimeWeight is the weight of one answer in the moving average, which thus covers some
+	// twenty.
+	slotTimeWeight = 0.05
+	// slotTimeBound is how many times the average one answer counts as at most.
+	slotTimeBound = 5
 )
 
-// stay is the mean of how long answers take their slots, of this node's latest.
-type stay struct {
-	known bool
-	span  time.Duration
+// slotTime is the moving average of the time that answers occupy a slot, over this node's
+// latest.
+type slotTime struct {
+	known   bool
+	average time.Duration
 }
 
-func (stay *stay) mean() time.Duration {
-	if !stay.known {
-		return firstStay
+func (slotTime *slotTime) mean() time.Duration {
+	if !slotTime.known {
+		return initialSlotTime
 	}
-	return stay.span
+	return slotTime.average
 }
 
-func (stay *stay) observe(span time.Duration) {
-	if !stay.known {
-		stay.known, stay.span = true, span
+func (slotTime *slotTime) observe(span time.Duration) {
+	if !slotTime.known {
+		slotTime.known, slotTime.average = true, span
 		return
 	}
-	span = min(span, stayBound*stay.span+time.Millisecond)
-	stay.span += time.Duration(stayWeight * float64(span-stay.span))
+	span = min(span, slotTimeBound*slotTime.average+time.Millisecond)
+	slotTime.average += time.Duration(slotTimeWeight * float64(span-slotTime.average))
 }
--- a/selector/supply.go
+++ b/selector/supply.go
@@ -3,40 +3,43 @@
 import "time"
 
 const (
-	// basePrice is what reading cached tokens again costs while nobody waits, against
-	// its time: the platform bills it at about half of what a long request earns.
+	// basePrice is the price of prefilling cached tokens again while no request waits, as a
+	// multiple of the prefill time: the platform bills this time at about half of what a long
+	// request earns.
 	basePrice = 8.0
-	// coldShare is the part of the price that counts against reading a subject that is
-	// known nowhere elsewhere than all nodes would: most likely no peer reads it now.
-	coldShare = 0.25
-	// fullestSide bounds how busy the engines of a side count as, so that the price of
-	// their time stays finite: at 0.9 a millisecond is passed on ten times.
-	fullestSide = 0.9
+	// coldPriceShare is the part of the price that is charged for a subject that no engine is
+	// known to hold, at an engine other than the one all nodes prefer: most likely no peer is
+	// having it prefilled now.
+	coldPriceShare = 0.25
+	// maxUtilisation caps the utilisation used in prices, to keep them finite: at 0.9 a delay
+	// of a millisecond is passed on ten times.
+	maxUtilisation = 0.9
 )
 
-// missing counts the tokens of the shared parts that a candidate would have to read.
-func (choice *choice) missing(view *view) int {
-	return choice.demand.sharedTokens() - view.cached
+// missingTokens counts the tokens of the shared parts that a candidate would have to prefill.
+func (choice *choice) missingTokens(candidate *candidate) int {
+	return choice.demand.sharedTokens() - candidate.cachedTokens
 }
 
-// supplyCost returns what it costs others and the operator that a candidate does not
-// hold the shared parts. Of a subject that is known nowhere, all nodes prefer the same
-// engine.
-func (choice *choice) supplyCost(view *view) time.Duration {
-	if !choice.known {
-		return choice.coldCost(view)
+// cacheMissCost returns what it costs other requests and the operator that a candidate does not
+// hold the shared parts. If no candidate holds the subject, the cost favours the engine that
+// all nodes prefer for it.
+func (choice *choice) cacheMissCost(candidate *candidate) time.Duration {
+	if !choice.subjectCached {
+		return choice.coldCost(candidate)
 	}
-	return time.Duration(choice.price * float64(choice.pace.reading(choice.missing(view))))
+	return time.Duration(choice.price * float64(choice.prefillSpeed.prefillTime(choice.missingTokens(candidate))))
 }
 
-func (choice *choice) coldCost(view *view) time.Duration {
-	if view.upstream.ID == choice.preferred {
+// coldCost returns the cost of prefilling a subject that no engine is known to hold.
+func (choice *choice) coldCost(candidate *candidate) time.Duration {
+	if candidate.upstream.ID == choice.preferred {
 		return 0
 	}
-	price := coldShare * choice.price
-	if choice.selector.others.partial() {
-		// Nodes know too little of each other's readings to agree otherwise.
+	price := coldPriceShare * choice.price
+	if choice.selector.peerReports.incomplete() {
+		// Nodes know too little of each other's prefills to agree on an engine otherwise.
 		price = choice.price
 	}
-	return time.Duration(price * float64(choice.pace.reading(choice.demand.sharedTokens())))
+	return time.Duration(price * float64(choice.prefillSpeed.prefillTime(choice.demand.sharedTokens())))
 }
--- a/selector/view.go
+++ b/selector/view.go
@@ -8,53 +8,55 @@
 	"limpetcleat/registrar"
 )
 
-// view is what is known of one candidate when an upstream is chosen.
-type view struct {
+// candidate is an upstream as seen while a request is being assigned.
+type candidate struct {
 	upstream *registrar.Upstream
 	state    *state
-	// load is what peers have there.
+	// load is the load that the requests of peers put on it.
 	load messenger.UpstreamLoad
-	// share is how much of it belongs to the request's side, 0 to 1. It and what
-	// follows are set for engines only.
+	// share is how much of the engine belongs to the request's side of the partition, 0 to 1.
+	// It and the fields below are set for engines only.
 	share float64
 	// wait is how long a request without a prompt would wait there for its first event.
 	wait time.Duration
-	// cached counts the tokens of the prompt's shared parts that it is believed to
-	// hold.
-	cached int
+	// cachedTokens counts the tokens of the prompt's shared parts that the engine is believed
+	// to hold.
+	cachedTokens int
 }
 
-// inFlight counts the requests of all nodes there.
-func (view *view) inFlight() int { return view.state.inFlight + view.load.InFlight }
+// inFlight counts the requests in flight there, of this node and of its peers.
+func (candidate *candidate) inFlight() int { return candidate.state.inFlight + candidate.load.InFlight }
 
-// unread counts the prompt tokens there that no first event has come for.
-func (view *view) unread() int { return view.state.unread + view.load.Unread }
+// unread counts the prompt tokens there of requests without a first event, except the deferred
+// ones.
+func (candidate *candidate) unread() int { return candidate.state.unread + candidate.load.Unread }
 
-// deferred counts those of requests that are behind all others there.
-func (view *view) deferred() int { return view.state.deferred + view.load.Deferred }
+// deferred counts the prompt tokens there of deferred requests without a first event.
+func (candidate *candidate) deferred() int { return candidate.state.deferred + candidate.load.Deferred }
 
-// tokens counts what the requests there may take of an engine's memory.
-func (view *view) tokens() int { return view.state.tokens + view.load.Tokens }
+// tokens counts the tokens that the requests there may occupy in the engine's KV cache.
+func (candidate *candidate) tokens() int { return candidate.state.tokens + candidate.load.Tokens }
 
-// look returns the views of all candidates.
-func (choice *choice) look() []view {
+// newCandidates returns the demand's candidates with their states and the load from peers.
+func (choice *choice) newCandidates() []candidate {
 	demand, selector := choice.demand, choice.selector
-	views := make([]view, len(demand.Candidates))
+	candidates := make([]candidate, len(demand.Candidates))
 	for index, upstream := range demand.Candidates {
-		state := selector.of(upstream.Start(), choice.now)
+		state := selector.stateOf(upstream.Start(), choice.now)
 		start := definer.UpstreamStart{Upstream: upstream.ID, Incarnation: state.incarnation}
-		views[index] = view{upstream: upstream, state: state, load: selector.others.load(start)}
+		candidates[index] = candidate{upstream: upstream, state: state, load: selector.peerReports.load(start)}
 	}
-	return views
+	return candidates
 }
 
-// mean returns the mean of a count over the engines of the request's side.
-func (choice *choice) mean(count func(*view) int) float64 {
+// meanOfSide returns the mean of a count over the engines of the request's side, weighted by
+// share.
+func (choice *choice) meanOfSide(count func(*candidate) int) float64 {
 	total, engines := 0.0, 0.0
-	for index := range choice.views {
-		view := &choice.views[index]
-		total += view.share * float64(count(view))
-		engines += view.share
+	for index := range choice.candidates {
+		candidate := &choice.candidates[index]
+		total += candidate.share * float64(count(candidate))
+		engines += candidate.share
 	}
 	if engines == 0 {
 		return 0
@@ -62,22 +64,22 @@
 	return total / engines
 }
 
-func (choice *choice) near(view *view) bool {
-	return view.upstream.DataCentre == choice.selector.dataCentre
+func (choice *choice) near(candidate *candidate) bool {
+	return candidate.upstream.DataCentre == choice.selector.dataCentre
 }
 
-// waitAt returns how long a request without a prompt would wait at a candidate for its
-// first event.
-func (choice *choice) waitAt(view *view) time.Duration {
-	return view.state.expectedDelay(choice.now) + choice.pace.reading(view.unread()) + choice.slotWait(view)
+// expectedWait returns how long a request without a prompt would wait at a candidate for its
+// first event: the recent delay, the prefill before it and the wait for a slot.
+func (choice *choice) expectedWait(candidate *candidate) time.Duration {
+	return candidate.state.expectedDelay(choice.now) + choice.prefillSpeed.prefillTime(candidate.unread()) + choice.slotWait(candidate)
 }
 
-// slotWait returns how long a request would wait there for a slot.
-func (choice *choice) slotWait(view *view) time.Duration {
-	slots := view.upstream.Slots
-	ahead := view.inFlight() + 1 - slots
+// slotWait returns how long a request would wait there for a free slot.
+func (choice *choice) slotWait(candidate *candidate) time.Duration {
+	slots := candidate.upstream.Slots
+	ahead := candidate.inFlight() + 1 - slots
 	if slots <= 0 || ahead <= 0 {
 		return 0
 	}
-	return choice.service.stay.mean() * time.Duration(ahead) / time.Duration(slots)
+	return choice.service.slotTime.mean() * time.Duration(ahead) / time.Duration(slots)
 }
