--- a/admitter/admitter.go
+++ b/admitter/admitter.go
@@ -8,71 +8,72 @@
 )
 
 const (
-	// fresh is how long a hint is acted on. After that, one ask goes to the
-	// owner and brings a new hint.
-	fresh = 2 * time.Second
-	// believed is how long a hint still tells which of two shards is better.
-	believed = 5 * time.Second
-	// doubt is the factor by which a hint must exceed the bound: the owner knows
-	// better, so only the clear cases are refused here.
-	doubt = 1.5
-	// leastRetry and longestRetry bound what a refused caller is told.
-	leastRetry   = time.Second
-	longestRetry = 5 * time.Minute
+	// hintFreshness is how long a hint decides alone. After that, one request in each such span
+	// goes to the owner in spite of the hint, and the answer brings a new hint.
+	hintFreshness = 2 * time.Second
+	// hintLifetime is how long a hint is used to compare the waits of shards.
+	hintLifetime = 5 * time.Second
+	// safetyFactor is the factor by which a wait must exceed the bound for a refusal: the
+	// owner's data is more recent, so only clear cases are refused here.
+	safetyFactor = 1.5
+	// minRetryAfter and maxRetryAfter bound the retry delay that a refused caller is told.
+	minRetryAfter = time.Second
+	maxRetryAfter = 5 * time.Minute
 )
 
-// key is what hints are kept by.
-type key struct {
+// hintKey identifies a hint.
+type hintKey struct {
 	shard messenger.Shard
 	class definer.ClassName
 }
 
-// hint is an expected wait as the owner last told it.
+// hint is the expected wait that the owner last reported.
 type hint struct {
-	wait  time.Duration
-	heard time.Time
-	// probed is when an ask was last let through in spite of the hint.
-	probed time.Time
+	wait       time.Duration
+	receivedAt time.Time
+	// probedAt is when a request was last sent to the owner in spite of the hint, at first when
+	// the hint was received.
+	probedAt time.Time
 }
 
-// Request is what is judged.
+// Request is a request for which admission is decided.
 type Request struct {
 	Shard messenger.Shard
 	Class *definer.Class
 	// Arrival is when the request reached this entry VM.
 	Arrival time.Time
-	// Deadline is zero when there is none.
+	// Deadline is zero if the request has none.
 	Deadline time.Time
 }
 
-// Verdict tells what becomes of a request.
+// Verdict is the decision on a request.
 type Verdict struct {
-	// Reason is empty when the request goes to the owner.
+	// Reason is empty if the request goes to the owner.
 	Reason messenger.RefusalReason
-	// RetryAfter is when a refused caller should come again.
+	// RetryAfter is the time after which a refused caller should retry.
 	RetryAfter time.Duration
 }
 
-// Admitted tells whether the request goes to the owner.
+// Admitted reports whether the request goes to the owner.
 func (verdict Verdict) Admitted() bool { return verdict.Reason == "" }
 
-// Admitter keeps the last hint of each shard and class: what an owner said of
-// the wait that a new request has to expect there.
+// Admitter stores the last hint for each shard and class: the wait that the owner expects for a
+// new request. It is not safe for concurrent use.
 type Admitter struct {
-	// hints holds one entry for each pair of shard and class heard of. Their
-	// number is bounded by the shards and classes that were configured.
-	hints map[key]*hint
+	// hints holds one entry for each pair of shard and class with a hint; their number is
+	// bounded by the configured shards and classes.
+	hints map[hintKey]*hint
 }
 
-// New returns an admitter that has heard nothing and admits everything.
-func New() *Admitter { return &Admitter{hints: make(map[key]*hint)} }
+// New returns an Admitter without hints, which admits everything.
+func New() *Admitter { return &Admitter{hints: make(map[hintKey]*hint)} }
 
-// Hear takes in the expected wait that an owner told.
+// Hear stores the expected wait reported by the owner.
 func (admitter *Admitter) Hear(now time.Time, shard messenger.Shard, class definer.ClassName, wait time.Duration) {
-	admitter.hints[key{shard: shard, class: class}] = &hint{wait: wait, heard: now, probed: now}
+	admitter.hints[hintKey{shard: shard, class: class}] = &hint{wait: wait, receivedAt: now, probedAt: now}
 }
 
-// Forget drops the hints of a shard, because its owner changed.
+// Forget removes the hints of a shard, because its owner has changed.
 func (admitter *Admitter) Forget(shard messenger.Shard) {
 	for at := range admitter.hints {
 		if at.shard == shard {
@@ -81,27 +82,27 @@
 	}
 }
 
-// Wait returns the wait to expect at a shard; 0 when nothing was heard of late.
+// Wait returns the expected wait at a shard, 0 if there is no hint within hintLifetime.
 func (admitter *Admitter) Wait(now time.Time, shard messenger.Shard, class definer.ClassName) time.Duration {
-	found, ok := admitter.hints[key{shard: shard, class: class}]
-	if !ok || now.Sub(found.heard) > believed {
+	found, ok := admitter.hints[hintKey{shard: shard, class: class}]
+	if !ok || now.Sub(found.receivedAt) > hintLifetime {
 		return 0
 	}
 	return found.wait
 }
 
-// Judge refuses a request that by the last fresh hint has no hope to start in
-// time. Protected classes always go to the owner.
+// Judge refuses a request that by the last hint cannot start before its deadline or within its
+// class's longest wait. Requests of protected classes are always admitted.
 func (admitter *Admitter) Judge(now time.Time, request Request) Verdict {
-	found, ok := admitter.hints[key{shard: request.Shard, class: request.Class.Name()}]
+	found, ok := admitter.hints[hintKey{shard: request.Shard, class: request.Class.Name()}]
 	if !ok || request.Class.Protected() {
 		return Verdict{}
 	}
-	if now.Sub(found.heard) >= fresh && now.Sub(found.probed) >= fresh {
-		found.probed = now
+	if now.Sub(found.receivedAt) >= hintFreshness && now.Sub(found.probedAt) >= hintFreshness {
+		found.probedAt = now
 		return Verdict{}
 	}
-	wait := max(found.wait-now.Sub(found.heard), 0)
+	wait := max(found.wait-now.Sub(found.receivedAt), 0)
 	if !request.Deadline.IsZero() && exceeds(wait, request.Deadline.Sub(now)) {
 		return refusal(messenger.DeadlineMissed, wait)
 	}
@@ -111,10 +112,11 @@
 	return Verdict{}
 }
 
+// exceeds reports whether the wait is above the bound by more than safetyFactor.
 func exceeds(wait, bound time.Duration) bool {
-	return wait > 0 && float64(wait) > doubt*float64(bound)
+	return wait > 0 && float64(wait) > safetyFactor*float64(bound)
 }
 
 func refusal(reason messenger.RefusalReason, retry time.Duration) Verdict {
-	return Verdict{Reason: reason, RetryAfter: min(max(retry, leastRetry), longestRetry)}
+	return Verdict{Reason: reason, RetryAfter: min(max(retry, minRetryAfter), maxRetryAfter)}
 }
--- a/admitter/admitter_test.go
+++ b/admitter/admitter_test.go
@@ -10,7 +10,7 @@
 	"limpetcleat/messenger"
 )
 
-func classes(t testing.TB) (ordinary, protected *definer.Class) {
+func testClasses(t testing.TB) (ordinary, protected *definer.Class) {
 	configuration, err := definer.Build(1, definer.Document{Classes: []definer.ClassDocument{
 		{Name: "confirm", Protected: true, Attainment: 0.9, LongestWaitMs: 1000},
 		{Name: "draft", Tier: 1, Attainment: 0.9, LongestWaitMs: 10_000},
@@ -20,7 +20,7 @@
 }
 
 func TestHopelessRequestsAreRefusedWithoutAMessage(t *testing.T) {
-	ordinary, protected := classes(t)
+	ordinary, protected := testClasses(t)
 	heard := time.Unix(1000, 0)
 	for _, test := range []struct {
 		name     string
@@ -57,10 +57,10 @@
 }
 
 func TestOneRequestProbesAStaleHint(t *testing.T) {
-	ordinary, _ := classes(t)
+	ordinary, _ := testClasses(t)
 	admitter, shard, now := New(), messenger.Shard{Pool: "shared"}, time.Unix(1000, 0)
 	request := Request{Shard: shard, Class: ordinary, Arrival: now.Add(3 * time.Second)}
-	assert.Assert(t, admitter.Judge(now, request).Admitted(), "nothing was heard yet")
+	assert.Assert(t, admitter.Judge(now, request).Admitted(), "there is no hint yet")
 	admitter.Hear(now, shard, ordinary.Name(), time.Minute)
 	assert.Assert(t, admitter.Judge(now.Add(3*time.Second), request).Admitted())
 	assert.Assert(t, !admitter.Judge(now.Add(3*time.Second), request).Admitted())
@@ -69,7 +69,7 @@
 }
 
 func BenchmarkJudge(b *testing.B) {
-	ordinary, _ := classes(b)
+	ordinary, _ := testClasses(b)
 	admitter, heard, shard := New(), time.Unix(1000, 0), messenger.Shard{Pool: "shared"}
 	admitter.Hear(heard, shard, ordinary.Name(), time.Second)
 	for b.Loop() {
--- a/admitter/doc.go
+++ b/admitter/doc.go
@@ -1,4 +1,5 @@
-// Package admitter decides at an entry VM, before any message is sent, whether
-// a request has no hope to start in time. It is free of input, output, clocks
-// and goroutines.
+// Package admitter implements admission control at an entry VM: before any message is sent, it
+// refuses a request that has no chance to start in time, by the queue wait that the shard's
+// owner last reported. It performs no I/O, reads no clock and starts no goroutines; callers
+// pass in the time.
 package admitter
--- a/budgeter/budgeter.go
+++ b/budgeter/budgeter.go
@@ -1,4 +1,6 @@
-// Package budgeter bounds how many requests are sent more than once.
+// Package budgeter implements a retry budget: over a sliding window it bounds the retries of
+// each service by a share of its first sends plus a fixed allowance, so that retries cannot
+// multiply the load of an overloaded service. The allowance is divided among all nodes.
 package budgeter
 
 import (
@@ -8,34 +10,35 @@
 	"limpetcleat/definer"
 )
 
-// bucketCount is the number of parts that the window is counted in.
+// bucketCount is the number of buckets that the window is divided into.
 const bucketCount = 10
 
-// Policy is what the budget allows.
+// Policy sets the size of the budget.
 type Policy struct {
-	// Share is how many repeats a first send earns.
+	// Share is the number of retries allowed per first send.
 	Share float64
-	// Slack is how many repeats a window allows all nodes together beside that.
+	// Slack is the number of retries per window allowed to all nodes together in addition to
+	// Share.
 	Slack float64
-	// Nodes returns how many nodes share the slack; it is at least 1.
+	// Nodes returns the number of nodes that Slack is divided among; it is at least 1.
 	Nodes func() int
-	// Window is the span that is counted.
+	// Window is the length of the sliding window.
 	Window time.Duration
 }
 
-// Budgeter counts first sends and repeats by service over a sliding window. It
-// is safe for concurrent use.
+// Budgeter counts first sends and retries by service over a sliding window. It is safe for
+// concurrent use.
 type Budgeter struct {
 	policy Policy
-	// start is what spans are counted from, so that steps of the wall clock do
-	// not count.
+	// start is the origin of the bucket numbers; with a monotonic clock reading, wall clock
+	// changes have no effect on them.
 	start time.Time
-	// mutex guards windows; no other lock is taken under it.
+	// mutex guards windows; no other lock is taken while it is held.
 	mutex   sync.Mutex
 	windows map[definer.PoolName]*window
 }
 
-// New returns a budget in which nothing was spent.
+// New returns a Budgeter with an unspent budget. Bucket numbers count from start.
 func New(policy Policy, start time.Time) *Budgeter {
 	return &Budgeter{policy: policy, start: start, windows: make(map[definer.PoolName]*window)}
 }
@@ -44,48 +47,47 @@
 func (budgeter *Budgeter) First(service definer.PoolName, now time.Time) {
 	budgeter.mutex.Lock()
 	defer budgeter.mutex.Unlock()
-	budgeter.at(service, now).firsts++
+	budgeter.bucket(service, now).firstSends++
 }
 
-// Take counts a repeat and tells whether it is allowed; one that is not allowed
-// is not counted.
+// Take reports whether a retry is allowed, and counts it if so.
 func (budgeter *Budgeter) Take(service definer.PoolName, now time.Time) bool {
 	budgeter.mutex.Lock()
 	defer budgeter.mutex.Unlock()
-	bucket := budgeter.at(service, now)
-	firsts, repeats := budgeter.windows[service].sum()
-	if float64(repeats)+1 > budgeter.policy.Slack/float64(budgeter.policy.Nodes())+budgeter.policy.Share*float64(firsts) {
+	bucket := budgeter.bucket(service, now)
+	firstSends, retries := budgeter.windows[service].totals()
+	if float64(retries)+1 > budgeter.policy.Slack/float64(budgeter.policy.Nodes())+budgeter.policy.Share*float64(firstSends) {
 		return false
 	}
-	bucket.repeats++
+	bucket.retries++
 	return true
 }
 
-// at returns the bucket of the time; mutex is held.
-func (budgeter *Budgeter) at(service definer.PoolName, now time.Time) *bucket {
+// bucket returns the service's bucket for the time; mutex is held.
+func (budgeter *Budgeter) bucket(service definer.PoolName, now time.Time) *bucket {
 	current, ok := budgeter.windows[service]
 	if !ok {
 		current = &window{}
 		budgeter.windows[service] = current
 	}
-	return current.at(int64(now.Sub(budgeter.start) / (budgeter.policy.Window / bucketCount)))
+	return current.bucket(int64(now.Sub(budgeter.start) / (budgeter.policy.Window / bucketCount)))
 }
 
 // window is a ring of buckets.
 type window struct {
 	buckets [bucketCount]bucket
-	// newest is the number of the newest bucket, counted from the start.
+	// newest is the number of the newest bucket; numbers count from the Budgeter's start.
 	newest int64
 }
 
 type bucket struct {
-	firsts  int
-	repeats int
+	firstSends int
+	retries    int
 }
 
-// at clears the buckets that time has passed and returns that of the number. A
-// number before the newest, from a clock set back, counts as the newest.
-func (window *window) at(number int64) *bucket {
+// bucket clears the buckets that have expired and returns the one with the number. If the
+// number is below the newest, because the clock was set back, it returns the newest.
+func (window *window) bucket(number int64) *bucket {
 	if number-window.newest >= bucketCount {
 		window.buckets = [bucketCount]bucket{}
 		window.newest = number
@@ -97,10 +99,10 @@
 	return &window.buckets[window.newest%bucketCount]
 }
 
-func (window *window) sum() (firsts, repeats int) {
+func (window *window) totals() (firstSends, retries int) {
 	for _, bucket := range window.buckets {
-		firsts += bucket.firsts
-		repeats += bucket.repeats
+		firstSends += bucket.firstSends
+		retries += bucket.retries
 	}
-	return firsts, repeats
+	return firstSends, retries
 }
--- a/budgeter/budgeter_test.go
+++ b/budgeter/budgeter_test.go
@@ -9,10 +9,10 @@
 	"limpetcleat/budgeter"
 )
 
-func nodes(count int) func() int { return func() int { return count } }
+func fixedNodes(count int) func() int { return func() int { return count } }
 
 func TestTakeKeepsToShareAndSlack(t *testing.T) {
-	budget := budgeter.New(budgeter.Policy{Share: 0.2, Slack: 6, Nodes: nodes(3), Window: 10 * time.Second}, time.Unix(1000, 0))
+	budget := budgeter.New(budgeter.Policy{Share: 0.2, Slack: 6, Nodes: fixedNodes(3), Window: 10 * time.Second}, time.Unix(1000, 0))
 	now := time.Unix(1000, 0)
 	taken := func(tries int) int {
 		count := 0
@@ -28,30 +28,30 @@
 		budget.First("s", now)
 	}
 	assert.Equal(t, taken(10), 4)
-	// What was spent comes back once the window has passed, and with it goes
-	// what the first sends earned.
+	// Spent retries become available again once the window has passed, and the retries earned
+	// by first sends in it expire.
 	now = now.Add(9 * time.Second)
 	assert.Equal(t, taken(5), 0)
 	now = now.Add(2 * time.Second)
 	assert.Equal(t, taken(5), 2)
-	// A clock set back neither panics nor earns anything.
+	// A clock that is set back neither causes a panic nor allows a retry.
 	now = now.Add(-time.Hour)
 	assert.Equal(t, taken(5), 0)
 }
 
-// TestNodesKeepToTheSlackTogether holds that the nodes of a fleet of any size
-// together repeat no more than the slack, without any first sends.
+// TestNodesKeepToTheSlackTogether checks that, without first sends, the retries of all nodes
+// together do not exceed the slack, for fleets of any size.
 func TestNodesKeepToTheSlackTogether(t *testing.T) {
 	for _, count := range []int{1, 8, 48, 71, 182, 390} {
 		const slack = 182
 		now := time.Unix(1000, 0)
-		repeats := 0
+		retries := 0
 		for range count {
-			budget := budgeter.New(budgeter.Policy{Slack: slack, Nodes: nodes(count), Window: 10 * time.Second}, now)
+			budget := budgeter.New(budgeter.Policy{Slack: slack, Nodes: fixedNodes(count), Window: 10 * time.Second}, now)
 			for budget.Take("s", now) {
-				repeats++
+				retries++
 			}
 		}
-		assert.Assert(t, repeats <= slack, "%d nodes repeat %d times", count, repeats)
+		assert.Assert(t, retries <= slack, "%d nodes retry %d times", count, retries)
 	}
 }
--- a/ranker/ranker.go
+++ b/ranker/ranker.go
@@ -1,11 +1,12 @@
-// Package ranker orders things for a key so that all nodes find the same order without
-// agreeing on it (rendezvous hashing).
+// Package ranker implements rendezvous hashing (highest random weight): it ranks names for a
+// key, so that all nodes compute the same order without communication. Keys are spread evenly
+// over the names.
 package ranker
 
 import "hash/fnv"
 
-// Weight returns the weight of a name for a key: the name with the highest goes first, and
-// each is the first one for as many keys as any other.
+// Weight returns the weight of a name for a key. The name with the highest weight is the first
+// choice for the key; each name is the first choice for about as many keys as any other.
 func Weight(key, name string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(key)) // A hash's Write never fails.
@@ -14,8 +15,8 @@
 	return mix(hash.Sum64())
 }
 
-// mix spreads the bits of a sum, of which FNV leaves the high ones alike for
-// texts that differ at their end (the finaliser of MurmurHash3).
+// mix spreads the bits of an FNV sum with the finaliser of MurmurHash3: FNV leaves the high
+// bits alike for texts that differ only at their end.
 func mix(sum uint64) uint64 {
 	sum ^= sum >> 33
 	sum *= 0xff51afd7ed558ccd
--- a/ranker/ranker_test.go
+++ b/ranker/ranker_test.go
@@ -9,8 +9,8 @@
 	"limpetcleat/ranker"
 )
 
-// TestWeightsSpreadKeysEvenly holds that each of some like-named nodes is first for about as
-// many keys.
+// TestWeightsSpreadKeysEvenly checks that each of several nodes with similar names is the first
+// choice for about as many keys.
 func TestWeightsSpreadKeysEvenly(t *testing.T) {
 	const names, keys = 8, 8000
 	first := make(map[string]int)
