--- a/admitter/admitter.go
+++ b/admitter/admitter.go
@@ -92,7 +92,8 @@
 }
 
 // Judge refuses a request that by the last hint cannot start before its deadline or within its
-// class's longest wait. Requests of protected classes are always admitted.
+// class's longest wait. Requests of protected classes are always admitted, and so is one
+// request per hintFreshness once the hint is older than that, to get a new hint.
 func (admitter *Admitter) Judge(now time.Time, request Request) Verdict {
 	found, ok := admitter.hints[hintKey{shard: request.Shard, class: request.Class.Name()}]
 	if !ok || request.Class.Protected() {
