--- a/quarantiner/doc.go
+++ b/quarantiner/doc.go
@@ -1,11 +1,12 @@
-// Package quarantiner tells which requests make the upstreams that run them end, so that
-// such a request is not sent to one upstream after the other: it is held off.
+// Package quarantiner finds queries of death: requests that crash the upstreams that run them.
+// It quarantines these requests, so that they are not sent to one upstream after the other.
 //
-// What is known is a set of facts, "this request was on that upstream when it ended", each of
-// which may be cleared. Nodes tell each other their facts; which requests are held off
-// follows from the facts alone, so that nodes with the same facts hold off the same ones.
+// What a node knows is a set of facts of the form "this request was on that upstream when it
+// crashed", each of which may be cleared. Nodes exchange their facts. Which requests are held
+// off (quarantined) follows from the facts alone, so that nodes with equal facts hold off the
+// same requests.
 //
-// All requests on an upstream that ends are suspects and one is guilty. A request is held off
-// once enough upstreams have ended under it and it was served by none meanwhile. The ends
-// under a request that is held off are explained by it and no longer count against others.
+// All requests on an upstream that crashes are suspects, and one of them is the culprit. A
+// request is held off once enough upstreams have crashed under it while none served it. The
+// crashes under a held-off request are attributed to it and no longer count against others.
 package quarantiner
--- a/quarantiner/identity.go
+++ b/quarantiner/identity.go
@@ -9,24 +9,27 @@
 	"limpetcleat/definer"
 )
 
-// identityVersion begins what is hashed. Nodes that differ in what they hash must differ in
-// it, so that none takes another's identity for one of its own.
+// identityVersion is the first part of the hashed data. Versions of the software that hash other
+// data must use another identityVersion, so that no node takes an identity computed by another
+// version for one of its own.
 const identityVersion = "limpetcleat request 1"
 
-// Subject is what makes two requests the same.
+// Subject holds the parts of a request that its identity is computed from. Two requests with
+// equal parts are the same request.
 type Subject struct {
-	// Organisation is the caller's; requests without a key have none and are one caller's.
+	// Organisation is the caller's organisation. Requests without an API key have none and share
+	// the empty organisation.
 	Organisation definer.OrganisationName
 	Method       string
 	Host         string
-	// Target is the path with the query.
+	// Target is the path with the query string.
 	Target string
 	Body   []byte
 }
 
-// Identify returns the identity of a request. Each part is hashed behind its length, and the
-// organisation comes from the key, so that no caller can make a request that has the
-// identity of another organisation's.
+// Identify returns the identity of a request. Each part is preceded by its length in the hash,
+// and the organisation is derived from the API key, so that no caller can forge the identity of
+// another organisation's request.
 func Identify(subject *Subject) definer.RequestIdentity {
 	sum := sha256.New()
 	write(sum, identityVersion)
@@ -38,7 +41,7 @@
 	return definer.RequestIdentity(sum.Sum(nil)[:definer.RequestIdentityBytes])
 }
 
-// write hashes a text behind its length; a hash takes any write.
+// write hashes the length of a text and the text. Writing to a hash never fails.
 func write(sum hash.Hash, text string) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(text)))
--- a/quarantiner/identity_test.go
+++ b/quarantiner/identity_test.go
@@ -13,14 +13,14 @@
 	return quarantiner.Subject{Organisation: "guild", Method: "POST", Host: "h.example", Target: "/a/b?c=d", Body: []byte("text")}
 }
 
-// TestIdentityIsSharedByAllVersions holds the identity of one request to the letter: nodes of
-// two versions side by side must mean the same request.
+// TestIdentityIsSharedByAllVersions compares the identity of one request with a fixed value:
+// nodes of two versions that run side by side must compute the same identity.
 func TestIdentityIsSharedByAllVersions(t *testing.T) {
 	fixed := subject()
 	assert.Equal(t, quarantiner.Identify(&fixed).String(), "b6395a5b60074526d23dd6487c4a3336")
 }
 
-// TestIdentityTellsRequestsApart holds what is the same request and what is another.
+// TestIdentityTellsRequestsApart checks which changes of a request change its identity.
 func TestIdentityTellsRequestsApart(t *testing.T) {
 	cases := []struct {
 		name   string
--- a/quarantiner/list.go
+++ b/quarantiner/list.go
@@ -8,24 +8,25 @@
 	"limpetcleat/definer"
 )
 
-// Suspicion is what is known of one request, for operators.
+// Suspicion describes a suspected request to operators.
 type Suspicion struct {
 	Identity definer.RequestIdentity
-	// Held tells whether it is held off, since when, and how much longer at the most.
+	// Held reports whether the request is held off, Since is for how long it has been, and Left
+	// is how much longer it will be at most.
 	Held  bool
 	Since time.Duration
 	Left  time.Duration
-	// Upstreams are the starts that ended under it, without those it is cleared of, ToldBy
-	// the nodes that told so; this node's own are among neither.
+	// Upstreams are the upstream processes that crashed under the request, without the crashes
+	// that it is cleared of. ToldBy are the peers that reported them, without this node.
 	Upstreams []definer.UpstreamStart
 	ToldBy    []definer.VM
-	// FirstAgo is how long ago the first of them ended.
+	// FirstAgo is how long ago the first of these crashes happened.
 	FirstAgo time.Duration
-	// Refused counts the attempts that this node held off.
+	// Refused is the number of attempts that this node refused.
 	Refused int
 }
 
-// Pairs returns names and values for a line of the log.
+// Pairs returns the suspicion as alternating keys and values for a log event.
 func (suspicion Suspicion) Pairs() []any {
 	return []any{
 		"identity", suspicion.Identity, "ends", len(suspicion.Upstreams), "upstreams", suspicion.Upstreams, "toldBy", suspicion.ToldBy,
@@ -33,15 +34,15 @@
 	}
 }
 
-// List returns what is known of each request under which an upstream has ended that it is
-// not cleared of; those that are held off first.
+// List returns the requests under which an upstream has crashed that they are not cleared of,
+// held-off requests first.
 func (quarantiner *Quarantiner) List(now time.Time) []Suspicion {
 	quarantiner.mutex.Lock()
 	defer quarantiner.mutex.Unlock()
 	var list []Suspicion
-	for _, known := range quarantiner.suspects {
-		if known.doubts() > 0 {
-			list = append(list, known.suspicion(now))
+	for _, suspect := range quarantiner.suspects {
+		if suspect.unclearedCrashes() > 0 {
+			list = append(list, suspect.suspicion(now))
 		}
 	}
 	slices.SortFunc(list, func(left, right Suspicion) int {
@@ -50,21 +51,21 @@
 	return list
 }
 
-// suspicion returns what is known of the request.
+// suspicion returns the description of the suspect for operators.
 func (suspect *suspect) suspicion(now time.Time) Suspicion {
-	listed := Suspicion{Identity: suspect.identity, Held: suspect.held, Refused: suspect.refused}
-	if suspect.held {
+	listed := Suspicion{Identity: suspect.identity, Held: suspect.isHeld, Refused: suspect.refused}
+	if suspect.isHeld {
 		listed.Since = now.Sub(suspect.heldSince)
-		listed.Left = max(HoldFor-now.Sub(suspect.latest()), 0)
+		listed.Left = max(HoldFor-now.Sub(suspect.latestUnclearedCrash()), 0)
 	}
-	for _, fall := range suspect.falls {
-		if fall.cleared {
+	for _, crash := range suspect.crashes {
+		if crash.cleared {
 			continue
 		}
-		listed.Upstreams = append(listed.Upstreams, fall.start)
-		listed.FirstAgo = max(listed.FirstAgo, now.Sub(fall.at))
-		if fall.toldBy != "" && !slices.Contains(listed.ToldBy, fall.toldBy) {
-			listed.ToldBy = append(listed.ToldBy, fall.toldBy)
+		listed.Upstreams = append(listed.Upstreams, crash.start)
+		listed.FirstAgo = max(listed.FirstAgo, now.Sub(crash.at))
+		if crash.reportedBy != "" && !slices.Contains(listed.ToldBy, crash.reportedBy) {
+			listed.ToldBy = append(listed.ToldBy, crash.reportedBy)
 		}
 	}
 	return listed
--- a/quarantiner/quarantiner.go
+++ b/quarantiner/quarantiner.go
@@ -10,81 +10,82 @@
 	"limpetcleat/definer"
 )
 
-// settleFor is how long a request that is held off waits for word that clears it before it
-// is refused. When many upstreams end at once under one that is asked often, their ends become
-// known before the word of a node that has served it does. It is twice what a fact takes to
-// all nodes at most: three intervals of reports of 0.1 s each, and their ways.
-const settleFor = 700 * time.Millisecond
-
-// verdictPoll is the time between two looks at a verdict that is not settled; few requests
-// wait for one.
-const verdictPoll = 25 * time.Millisecond
-
-// maxSuspects bounds the requests that are remembered, some 200 bytes each with one end. A
-// caller that sends other ones all the time fills it with those that ended one upstream.
+// clearanceWait is how long a request waits for a clearing fact after it is held off, before it
+// is refused. When many upstreams crash at once under a request that is sent often, the crashes
+// become known before the fact that a node has served the request. It is twice the longest time
+// that a fact takes to all nodes: three report intervals of 0.1 s each, and the network delays.
+const clearanceWait = 700 * time.Millisecond
+
+// verdictPollInterval is the time between two checks of a request whose verdict may still be
+// cleared. Few requests wait at a time, so that polling is cheap.
+const verdictPollInterval = 25 * time.Millisecond
+
+// maxSuspects bounds the suspects, at some 200 bytes each with one crash. A caller that sends a
+// different request each time fills the table with requests under which one upstream crashed.
 const maxSuspects = 4096
 
-// roomShare is the part of them that is forgotten at once when they are too many.
-const roomShare = 8
+// evictionDivisor is the part of the suspects, one in evictionDivisor, that is evicted when the
+// table is full.
+const evictionDivisor = 8
 
-// Release is why a request is no longer held off.
+// Release is the reason why a request is no longer held off.
 type Release string
 
 const (
-	// Cleared means that it was served, here or at another node, or that an operator has
-	// lifted it.
+	// Cleared means that the request was served, by this or another node, or that an operator has
+	// lifted the hold.
 	Cleared Release = "cleared"
-	// Explained means that another request is known to have caused the ends.
+	// Explained means that the crashes are attributed to another request.
 	Explained Release = "explained"
-	// Over means that HoldFor has passed.
-	Over Release = "over"
+	// Expired means that HoldFor has passed, or that the suspect was evicted.
+	Expired Release = "over"
 )
 
-// Quarantiner knows which requests are held off. It is safe for concurrent use. It reads no
-// clock: all times are handed in.
+// Quarantiner decides which requests are held off. It is safe for concurrent use. It reads no
+// clock: the callers pass all times.
 type Quarantiner struct {
-	// heldOff and released are told of each verdict that changes.
+	// heldOff is called when a request is held off, and released when it no longer is.
 	heldOff  func(Suspicion)
 	released func(Suspicion, Release)
-	// refreshTimes is how often facts are told again in reports of each scope.
-	refreshTimes [scopeCount]int
-	// count is told how many requests are held off and how many suspected.
+	// refreshRepeats is the number of reports of each scope in which a refresh repeats a fact.
+	refreshRepeats [scopeCount]int
+	// count is called with the numbers of held-off and suspected requests.
 	count func(held, suspected int)
-	// mutex guards the rest; no other lock is taken under it.
+	// mutex guards the fields below. No other lock is taken while it is held.
 	mutex    sync.Mutex
 	suspects map[definer.RequestIdentity]*suspect
-	// grave are those of suspects that have heldFalls ends or more, cleared ones included:
-	// few, so that a verdict need not look at all.
-	grave map[definer.RequestIdentity]*suspect
-	// held counts those that are held off.
-	held   int
-	served served
-	// untold are the facts that are still to be told, in the order in which they became
-	// known; each has an entry in it once.
-	untold []untold
-	// refreshed is when facts were last told again, and refreshedUpTo the last request of
-	// which they were.
-	refreshed     time.Time
-	refreshedUpTo definer.RequestIdentity
+	// candidates are the suspects with at least holdThreshold crashes, cleared crashes included.
+	// They are few, so that updating the verdicts need not visit all suspects.
+	candidates map[definer.RequestIdentity]*suspect
+	// heldCount is the number of requests that are held off.
+	heldCount int
+	served    served
+	// pending are the facts that are still to be reported, each once, in the order in which they
+	// became known.
+	pending []pendingFact
+	// refreshedAt is the time of the last refresh, and lastRefreshed the last request whose facts
+	// were refreshed.
+	refreshedAt   time.Time
+	lastRefreshed definer.RequestIdentity
 }
 
 // Option changes one setting of a Quarantiner.
 type Option func(*Quarantiner)
 
-// WithVerdicts sets what is told of each request that is held off from now on, and of each
-// that no longer is; neither may block or call the Quarantiner. The default is nothing.
+// WithVerdicts sets the functions that are called when a request is held off and when it no
+// longer is. Neither may block or call the Quarantiner. The default does nothing.
 func WithVerdicts(heldOff func(Suspicion), released func(Suspicion, Release)) Option {
 	return func(quarantiner *Quarantiner) { quarantiner.heldOff, quarantiner.released = heldOff, released }
 }
 
-// WithoutRefreshUp has facts told again to members and between groups alone, where many
-// members report to one node.
+// WithoutRefreshUp excludes reports from members to their aggregator from the periodic refresh of
+// facts. It is for deployments in which many members report to one node.
 func WithoutRefreshUp() Option {
-	return func(quarantiner *Quarantiner) { quarantiner.refreshTimes[toAggregator] = 0 }
+	return func(quarantiner *Quarantiner) { quarantiner.refreshRepeats[toAggregator] = 0 }
 }
 
-// WithCounts sets what is told how many requests are held off, and how many are suspected,
-// whenever that may have changed; it must not block. The default, and nil, is nothing.
+// WithCounts sets the function that is called with the numbers of held-off and suspected requests
+// whenever they may have changed. It must not block. The default does nothing, and nil keeps it.
 func WithCounts(count func(held, suspected int)) Option {
 	return func(quarantiner *Quarantiner) {
 		if count != nil {
@@ -93,15 +94,15 @@
 	}
 }
 
-// New returns a Quarantiner that suspects nothing.
+// New returns a Quarantiner without suspects.
 func New(options ...Option) *Quarantiner {
 	quarantiner := &Quarantiner{
-		heldOff:      func(Suspicion) {},
-		released:     func(Suspicion, Release) {},
-		refreshTimes: [scopeCount]int{1, 1, 1},
-		count:        func(int, int) {},
-		suspects:     make(map[definer.RequestIdentity]*suspect),
-		grave:        make(map[definer.RequestIdentity]*suspect),
+		heldOff:        func(Suspicion) {},
+		released:       func(Suspicion, Release) {},
+		refreshRepeats: [scopeCount]int{1, 1, 1},
+		count:          func(int, int) {},
+		suspects:       make(map[definer.RequestIdentity]*suspect),
+		candidates:     make(map[definer.RequestIdentity]*suspect),
 	}
 	for _, option := range options {
 		option(quarantiner)
@@ -109,76 +110,79 @@
 	return quarantiner
 }
 
-// Verdict tells whether a request may be sent.
+// Verdict states whether a request may be sent.
 type Verdict struct {
-	// Left is how long it is held off from now on at the longest; 0 if it is not.
+	// Left is how much longer the request is held off at most; 0 means that it may be sent.
 	Left time.Duration
-	// Wait is after what time to look again, while word may still come that clears it; 0
-	// once it is to be refused.
+	// Wait is the time after which to check again, while a clearing fact may still arrive; 0
+	// means that a request that is held off is refused.
 	Wait time.Duration
 }
 
-// Check returns the verdict on a request.
+// Check returns the verdict on a request. It counts a refusal if the request is held off without
+// a time to wait.
 func (quarantiner *Quarantiner) Check(now time.Time, identity definer.RequestIdentity) Verdict {
 	quarantiner.mutex.Lock()
 	defer quarantiner.mutex.Unlock()
-	known, ok := quarantiner.suspects[identity]
-	if !ok || !known.held {
+	suspect, ok := quarantiner.suspects[identity]
+	if !ok || !suspect.isHeld {
 		return Verdict{}
 	}
-	settles := max(settleFor-now.Sub(known.heldSince), 0)
-	verdict := Verdict{Left: HoldFor - now.Sub(known.latest()), Wait: min(settles, verdictPoll)}
+	clearance := max(clearanceWait-now.Sub(suspect.heldSince), 0)
+	verdict := Verdict{Left: HoldFor - now.Sub(suspect.latestUnclearedCrash()), Wait: min(clearance, verdictPollInterval)}
 	if verdict.Left <= 0 {
-		quarantiner.release(now, known, Over)
+		quarantiner.release(now, suspect, Expired)
 		return Verdict{}
 	}
 	if verdict.Wait == 0 {
-		known.refused++
+		suspect.refused++
 	}
 	return verdict
 }
 
-// Doubts returns how many upstreams have ended under a request that it may have caused to.
+// Doubts returns how many crashes a request may have caused: those known under it that it is not
+// cleared of.
 func (quarantiner *Quarantiner) Doubts(identity definer.RequestIdentity) int {
 	quarantiner.mutex.Lock()
 	defer quarantiner.mutex.Unlock()
-	if known, ok := quarantiner.suspects[identity]; ok {
-		return known.doubts()
+	if suspect, ok := quarantiner.suspects[identity]; ok {
+		return suspect.unclearedCrashes()
 	}
 	return 0
 }
 
-// MayRepeat tells whether a request that was on an upstream when it ended may be sent again
-// within its attempt: not if the next end would be the one from which on it is held off.
+// MayRepeat reports whether a request that was on an upstream when it crashed may be sent again
+// within the attempt. It may not if one more crash would reach the threshold at which it is held
+// off.
 func (quarantiner *Quarantiner) MayRepeat(identity definer.RequestIdentity) bool {
-	return quarantiner.Doubts(identity) < heldFalls-1
+	return quarantiner.Doubts(identity) < holdThreshold-1
 }
 
-// Count returns how many requests are known under which an upstream ended.
+// Count returns the number of suspects: requests under which an upstream has crashed.
 func (quarantiner *Quarantiner) Count() int {
 	quarantiner.mutex.Lock()
 	defer quarantiner.mutex.Unlock()
 	return len(quarantiner.suspects)
 }
 
-// IsTelling tells whether facts are still to be told.
+// IsTelling reports whether facts are still to be reported to peers.
 func (quarantiner *Quarantiner) IsTelling() bool {
 	quarantiner.mutex.Lock()
 	defer quarantiner.mutex.Unlock()
-	return len(quarantiner.untold) > 0
+	return len(quarantiner.pending) > 0
 }
 
-// Fell takes in that an upstream has ended with a request of this node on it.
+// Fell records that an upstream has crashed with a request of this node on it.
 func (quarantiner *Quarantiner) Fell(now time.Time, start definer.UpstreamStart, identity definer.RequestIdentity) {
 	quarantiner.mutex.Lock()
 	defer quarantiner.mutex.Unlock()
-	if quarantiner.note(now, identity, &fall{start: start, at: now}, true) {
-		quarantiner.judge(now)
+	if quarantiner.addFact(now, identity, &crash{start: start, at: now}, true) {
+		quarantiner.updateVerdicts(now)
 	}
 }
 
-// Served takes in that an upstream of this node has run a request whole: it is cleared of
-// the ends that are known.
+// Served records that an upstream has completed a request of this node, which clears the request
+// of all known crashes.
 func (quarantiner *Quarantiner) Served(now time.Time, identity definer.RequestIdentity) {
 	quarantiner.mutex.Lock()
 	defer quarantiner.mutex.Unlock()
@@ -186,143 +190,146 @@
 	quarantiner.clear(now, identity)
 }
 
-// Lift clears a request of the ends that are known, here and then everywhere, and tells
-// whether any were. It is for operators.
+// Lift clears a request of all known crashes on behalf of an operator, on this node and, by its
+// reports, on all others. It reports whether there were any.
 func (quarantiner *Quarantiner) Lift(now time.Time, identity definer.RequestIdentity) bool {
 	quarantiner.mutex.Lock()
 	defer quarantiner.mutex.Unlock()
 	return quarantiner.clear(now, identity)
 }
 
-// clear clears a request of all known ends and tells whether there were any; mutex is held.
+// clear clears a request of all known crashes and reports whether there were any. The mutex is
+// held.
 func (quarantiner *Quarantiner) clear(now time.Time, identity definer.RequestIdentity) bool {
-	known, ok := quarantiner.suspects[identity]
-	if !ok || known.doubts() == 0 {
+	suspect, ok := quarantiner.suspects[identity]
+	if !ok || suspect.unclearedCrashes() == 0 {
 		return false
 	}
-	for _, fall := range known.falls {
-		if !fall.cleared {
-			fall.cleared = true
-			quarantiner.toTell(identity, fall, true)
+	for _, crash := range suspect.crashes {
+		if !crash.cleared {
+			crash.cleared = true
+			quarantiner.enqueue(identity, crash, true)
 		}
 	}
-	known.changedAt = now
-	quarantiner.judge(now)
+	suspect.changedAt = now
+	quarantiner.updateVerdicts(now)
 	return true
 }
 
-// note takes in a fact and tells whether it was news. One that this node or those below it
-// have found out is told to all, others to the members alone. The mutex is held.
-func (quarantiner *Quarantiner) note(now time.Time, identity definer.RequestIdentity, found *fall, below bool) bool {
-	known := quarantiner.suspect(now, identity)
-	fact := known.find(found.start, found.at)
+// addFact records a fact and reports whether it was new or has become cleared. Facts that this
+// node or its members (toAll) found, or that this node clears, are reported in all scopes, facts
+// of other nodes to the members alone. The mutex is held.
+func (quarantiner *Quarantiner) addFact(now time.Time, identity definer.RequestIdentity, found *crash, toAll bool) bool {
+	suspect := quarantiner.findOrAdd(now, identity)
+	fact := suspect.find(found.start, found.at)
 	isNew := fact == nil
 	if isNew {
 		fact = found
-		known.add(fact)
-		if len(known.falls) >= heldFalls {
-			quarantiner.grave[identity] = known
+		suspect.add(fact)
+		if len(suspect.crashes) >= holdThreshold {
+			quarantiner.candidates[identity] = suspect
 		}
 	}
 	cleared := fact.cleared || found.cleared
-	if !cleared && quarantiner.served.since(fact.at, identity) {
-		cleared, below = true, true
+	if !cleared && quarantiner.served.clears(fact.at, identity) {
+		cleared, toAll = true, true
 	}
 	if !isNew && cleared == fact.cleared {
 		return false
 	}
 	fact.cleared = cleared
-	known.changedAt = now
-	quarantiner.toTell(identity, fact, below)
+	suspect.changedAt = now
+	quarantiner.enqueue(identity, fact, toAll)
 	return true
 }
 
-// suspect returns what is known of a request; mutex is held.
-func (quarantiner *Quarantiner) suspect(now time.Time, identity definer.RequestIdentity) *suspect {
-	known, ok := quarantiner.suspects[identity]
+// findOrAdd returns the suspect of an identity, which it adds if there is none. The mutex is
+// held.
+func (quarantiner *Quarantiner) findOrAdd(now time.Time, identity definer.RequestIdentity) *suspect {
+	entry, ok := quarantiner.suspects[identity]
 	if !ok {
 		if len(quarantiner.suspects) >= maxSuspects {
-			quarantiner.makeRoom(now)
+			quarantiner.evict(now)
 		}
-		known = &suspect{identity: identity}
-		quarantiner.suspects[identity] = known
+		entry = &suspect{identity: identity}
+		quarantiner.suspects[identity] = entry
 	}
-	return known
+	return entry
 }
 
-// makeRoom forgets a part of the requests, the least suspected ones and of those the ones
-// that changed first, so that the rest need not be looked through for each new one; mutex is
-// held.
-func (quarantiner *Quarantiner) makeRoom(now time.Time) {
-	known := slices.SortedFunc(maps.Values(quarantiner.suspects), func(left, right *suspect) int {
+// evict forgets a part of the suspects: those with the fewest uncleared crashes, and among equals
+// those that changed first. It forgets many at once so that not every new suspect needs a scan of
+// the table. The mutex is held.
+func (quarantiner *Quarantiner) evict(now time.Time) {
+	ranked := slices.SortedFunc(maps.Values(quarantiner.suspects), func(left, right *suspect) int {
 		return cmp.Or(
-			cmp.Compare(left.doubts(), right.doubts()),
+			cmp.Compare(left.unclearedCrashes(), right.unclearedCrashes()),
 			left.changedAt.Compare(right.changedAt),
 			cmp.Compare(left.identity, right.identity),
 		)
 	})
-	for _, least := range known[:maxSuspects/roomShare] {
-		quarantiner.forget(now, least)
+	for _, suspect := range ranked[:maxSuspects/evictionDivisor] {
+		quarantiner.forget(now, suspect)
 	}
 }
 
-// forget forgets a request; mutex is held.
-func (quarantiner *Quarantiner) forget(now time.Time, known *suspect) {
-	if known.held {
-		quarantiner.release(now, known, Over)
+// forget removes a suspect, and releases it first if it is held off. The mutex is held.
+func (quarantiner *Quarantiner) forget(now time.Time, suspect *suspect) {
+	if suspect.isHeld {
+		quarantiner.release(now, suspect, Expired)
 	}
-	delete(quarantiner.suspects, known.identity)
-	delete(quarantiner.grave, known.identity)
+	delete(quarantiner.suspects, suspect.identity)
+	delete(quarantiner.candidates, suspect.identity)
 }
 
-// judge settles from the facts which requests are held off; mutex is held.
-func (quarantiner *Quarantiner) judge(now time.Time) {
-	guilty := convict(quarantiner.grave)
-	// In one order, so that the log of a run repeats.
-	for _, identity := range slices.Sorted(maps.Keys(quarantiner.grave)) {
-		known := quarantiner.grave[identity]
+// updateVerdicts derives from the facts which requests are held off. The mutex is held.
+func (quarantiner *Quarantiner) updateVerdicts(now time.Time) {
+	culprits := findCulprits(quarantiner.candidates)
+	// Sorted, so that the log is the same in each run of a simulation.
+	for _, identity := range slices.Sorted(maps.Keys(quarantiner.candidates)) {
+		suspect := quarantiner.candidates[identity]
 		switch {
-		case guilty[identity] && !known.held && now.Sub(known.latest()) < HoldFor:
-			quarantiner.hold(now, known)
-		case known.held && known.doubts() == 0:
-			quarantiner.release(now, known, Cleared)
-		case known.held && !guilty[identity]:
-			quarantiner.release(now, known, Explained)
+		case culprits[identity] && !suspect.isHeld && now.Sub(suspect.latestUnclearedCrash()) < HoldFor:
+			quarantiner.hold(now, suspect)
+		case suspect.isHeld && suspect.unclearedCrashes() == 0:
+			quarantiner.release(now, suspect, Cleared)
+		case suspect.isHeld && !culprits[identity]:
+			quarantiner.release(now, suspect, Explained)
 		}
 	}
-	quarantiner.tellCounts()
+	quarantiner.reportCounts()
 }
 
-// hold begins to hold a request off; mutex is held.
-func (quarantiner *Quarantiner) hold(now time.Time, known *suspect) {
-	known.held, known.heldSince = true, now
-	quarantiner.held++
-	quarantiner.heldOff(known.suspicion(now))
+// hold starts to hold a request off. The mutex is held.
+func (quarantiner *Quarantiner) hold(now time.Time, suspect *suspect) {
+	suspect.isHeld, suspect.heldSince = true, now
+	quarantiner.heldCount++
+	quarantiner.heldOff(suspect.suspicion(now))
 }
 
-// release ends that a request is held off; mutex is held.
-func (quarantiner *Quarantiner) release(now time.Time, known *suspect, why Release) {
-	quarantiner.released(known.suspicion(now), why)
-	known.held = false
-	quarantiner.held--
-	quarantiner.tellCounts()
+// release stops holding a request off, for the reason. The mutex is held.
+func (quarantiner *Quarantiner) release(now time.Time, suspect *suspect, reason Release) {
+	quarantiner.released(suspect.suspicion(now), reason)
+	suspect.isHeld = false
+	quarantiner.heldCount--
+	quarantiner.reportCounts()
 }
 
-// tellCounts tells how many requests are held off and suspected; mutex is held.
-func (quarantiner *Quarantiner) tellCounts() {
-	quarantiner.count(quarantiner.held, len(quarantiner.suspects))
+// reportCounts passes the numbers of held-off and suspected requests to count. The mutex is held.
+func (quarantiner *Quarantiner) reportCounts() {
+	quarantiner.count(quarantiner.heldCount, len(quarantiner.suspects))
 }
 
-// expire forgets what is too old, and releases what was held off for long enough; mutex is
-// held.
+// expire removes crashes older than crashRetention and suspects without crashes, and releases
+// requests that were held off for HoldFor. The mutex is held.
 func (quarantiner *Quarantiner) expire(now time.Time) {
-	for _, known := range quarantiner.suspects {
-		known.falls = slices.DeleteFunc(known.falls, func(fall *fall) bool { return now.Sub(fall.at) > fallLife })
-		if known.held && now.Sub(known.latest()) >= HoldFor {
-			quarantiner.release(now, known, Over)
+	for _, suspect := range quarantiner.suspects {
+		suspect.crashes = slices.DeleteFunc(suspect.crashes, func(crash *crash) bool { return now.Sub(crash.at) > crashRetention })
+		if suspect.isHeld && now.Sub(suspect.latestUnclearedCrash()) >= HoldFor {
+			quarantiner.release(now, suspect, Expired)
 		}
-		if len(known.falls) == 0 {
-			quarantiner.forget(now, known)
+		if len(suspect.crashes) == 0 {
+			quarantiner.forget(now, suspect)
 		}
 	}
 }
--- a/quarantiner/quarantiner_test.go
+++ b/quarantiner/quarantiner_test.go
@@ -14,36 +14,37 @@
 	"limpetcleat/quarantiner"
 )
 
-// began is when the stepped clocks of the tests begin.
+// began returns the time at which the simulated clocks of the tests start.
 func began() time.Time { return time.Unix(1000, 0) }
 
-// identity returns the identity of a request that the name stands for.
+// identity returns the identity of a request with the name as its target.
 func identity(name string) definer.RequestIdentity {
 	return quarantiner.Identify(&quarantiner.Subject{Target: name})
 }
 
-// start returns a start of the numbered upstream.
+// start returns the upstream process of a number.
 func start(number int) definer.UpstreamStart {
 	return definer.UpstreamStart{Upstream: definer.UpstreamName(fmt.Sprintf("u%d", number)), Incarnation: 1}
 }
 
-// step is something that happens at a time; requests are told by letters.
+// step is an event at a time after the start of the test. Requests are named by single letters.
 type step struct {
 	at time.Duration
-	// ended is the upstream that ends under the requests; 0 is none.
+	// ended is the upstream that crashes with the requests on it; 0 is none.
 	ended    int
 	requests string
-	// served are requests that are served then, lifted those that an operator lifts.
+	// served are the requests that are served in this step, and lifted those that an operator
+	// lifts.
 	served string
 	lifted string
 }
 
-// play has the steps happen at one node.
+// play applies the steps to one node and returns the time of the last step.
 func play(node *quarantiner.Quarantiner, steps []step) time.Time {
 	now := began()
 	for _, step := range steps {
 		now = began().Add(step.at)
-		node.Tell(now, messenger.MemberLoad) // Nodes report all the time.
+		node.Tell(now, messenger.MemberLoad) // Nodes report continuously.
 		for _, request := range step.requests {
 			node.Fell(now, start(step.ended), identity(string(request)))
 		}
@@ -57,7 +58,7 @@
 	return now
 }
 
-// TestHeldOff holds which requests are held off, after what happened at one node.
+// TestHeldOff checks which requests one node holds off after a sequence of events.
 func TestHeldOff(t *testing.T) {
 	second := time.Second
 	cases := []struct {
@@ -84,7 +85,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			node := quarantiner.New()
 			now := play(node, test.steps)
-			node.Tell(now, messenger.MemberLoad) // Looks after what time alone changes.
+			node.Tell(now, messenger.MemberLoad) // Expires old facts.
 			held := ""
 			for _, request := range "ghij" {
 				if left := node.Check(now, identity(string(request))).Left; left > 0 {
@@ -97,8 +98,8 @@
 	}
 }
 
-// TestUpstreamsWithoutStartsEndMoreThanOnce holds that an upstream that does not tell its
-// starts can end again under a request, when it has had time to come back.
+// TestUpstreamsWithoutStartsEndMoreThanOnce checks that an upstream that does not announce its
+// incarnation can crash again under a request, once it has had time to come back.
 func TestUpstreamsWithoutStartsEndMoreThanOnce(t *testing.T) {
 	node := quarantiner.New()
 	unknown := definer.UpstreamStart{Upstream: "u"}
@@ -109,7 +110,7 @@
 	assert.Assert(t, node.Check(began().Add(3*time.Second), identity("g")).Left > 0)
 }
 
-// TestListTellsOperators holds what an operator sees of a request that is held off.
+// TestListTellsOperators checks what operators see of a request that is held off.
 func TestListTellsOperators(t *testing.T) {
 	node := quarantiner.New()
 	now := began()
@@ -129,8 +130,8 @@
 	assert.Equal(t, list[1].Held, false)
 }
 
-// TestMillionsOfRequestsAreBounded has a caller send another request each time: what is known
-// of one that is held off stays, and the rest is bounded.
+// TestMillionsOfRequestsAreBounded has a caller send a different request each time: the facts
+// about a request that is held off stay, and the number of other suspects is bounded.
 func TestMillionsOfRequestsAreBounded(t *testing.T) {
 	held, suspected := 0, 0
 	node := quarantiner.New(quarantiner.WithCounts(func(nowHeld, nowSuspected int) { held, suspected = nowHeld, nowSuspected }))
@@ -152,8 +153,8 @@
 	assert.Equal(t, told, 256)
 }
 
-// BenchmarkRequest is what a request of 800 bytes costs on its way, each another one, while as
-// many are suspected as are remembered.
+// BenchmarkRequest measures what a request of 800 bytes costs on its way, a different one each
+// time, while the table of suspects is full.
 func BenchmarkRequest(bench *testing.B) {
 	node := quarantiner.New()
 	for number := range 4096 {
@@ -173,7 +174,8 @@
 	}
 }
 
-// TestMemoryIsBounded holds how much memory a full table and 2,100 requests a second take.
+// TestMemoryIsBounded checks how much memory a full table of suspects and 2,100 served requests a
+// second take.
 func TestMemoryIsBounded(t *testing.T) {
 	const most = 8 << 20
 	var before, after runtime.MemStats
@@ -207,8 +209,8 @@
 	}
 }
 
-// BenchmarkLearnAmongSuspects is one end with 20 requests on it, among as many suspects as
-// are remembered.
+// BenchmarkLearnAmongSuspects measures one reported crash with 20 requests on it while the table
+// of suspects is full.
 func BenchmarkLearnAmongSuspects(bench *testing.B) {
 	node := quarantiner.New()
 	for number := range 4096 {
--- a/quarantiner/served.go
+++ b/quarantiner/served.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// servedLife is how long before an end a request must have been served to be cleared of
-	// it: one that is asked again and again is on most upstreams that end. It is below the
-	// 3 s within which a request that has turned bad must be known.
-	servedLife = 2 * time.Second
-	// maxServed bounds the requests remembered as served in a servedLife; at 2,100 requests a
-	// second and 390 nodes a node serves 11 in that time.
+	// servedWindow is how long before a crash a request must have been served to be cleared of
+	// it: a request that is sent again and again is on most upstreams that crash. It is below the
+	// 3 s within which a request that has begun to cause crashes must be found.
+	servedWindow = 2 * time.Second
+	// maxServed bounds the requests remembered for one servedWindow. At 2,100 requests a second
+	// and 390 nodes, a node serves 11 requests in that time.
 	maxServed = 8192
 )
 
-// served remembers the requests that were served of late, in two parts of which the older
-// is dropped whole.
+// served remembers the recently served requests in two generations; the older one is dropped as a
+// whole.
 type served struct {
 	current, previous map[definer.RequestIdentity]time.Time
-	// rotated is when the parts changed last.
+	// rotated is when a new generation was started last.
 	rotated time.Time
 }
 
-// note takes in that a request was served.
+// note records that a request was served.
 func (served *served) note(now time.Time, identity definer.RequestIdentity) {
-	if served.current == nil || now.Sub(served.rotated) >= servedLife {
+	if served.current == nil || now.Sub(served.rotated) >= servedWindow {
 		served.previous, served.current = served.current, make(map[definer.RequestIdentity]time.Time)
 		served.rotated = now
 	}
@@ -35,11 +35,11 @@
 	}
 }
 
-// since tells whether a request was served in the servedLife before a time, or later.
-func (served *served) since(at time.Time, identity definer.RequestIdentity) bool {
+// clears reports whether a request was served less than a servedWindow before the time, or later.
+func (served *served) clears(at time.Time, identity definer.RequestIdentity) bool {
 	latest, known := served.current[identity]
 	if !known {
 		latest, known = served.previous[identity]
 	}
-	return known && at.Sub(latest) < servedLife
+	return known && at.Sub(latest) < servedWindow
 }
--- a/quarantiner/suspect.go
+++ b/quarantiner/suspect.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// sameFall is within what time two nodes speak of the same end of an upstream that does
-	// not tell its starts: they see it within milliseconds and tell it within some hundred,
-	// and an upstream takes seconds to come back.
-	sameFall = time.Second
-	// maxFalls bounds the ends remembered for one request. The users saw 20 under one; from
-	// heldFalls on, more of them only explain what happened to others.
-	maxFalls = 24
+	// sameCrashWindow is the time within which two reports of crashes mean the same crash of an
+	// upstream that does not announce its incarnation. Nodes see a crash within milliseconds and
+	// report it within some hundred milliseconds, and an upstream takes seconds to come back.
+	sameCrashWindow = time.Second
+	// maxCrashes bounds the crashes remembered for one request. The users saw 20 under one
+	// request. Beyond holdThreshold, further crashes only serve to clear other suspects.
+	maxCrashes = 24
 )
 
-// scopes are the places of the counters of what is still to be told.
+// Scopes of reports, as indexes of the counters of pending reports.
 const (
 	toAggregator = iota
 	toGroups
@@ -26,85 +26,87 @@
 	scopeCount
 )
 
-// fall is the end of an upstream with a request on it.
-type fall struct {
+// crash is the crash of an upstream with a request on it: one fact about the request.
+type crash struct {
 	start definer.UpstreamStart
 	at    time.Time
-	// cleared is set once the request is known not to have caused it, and stays.
+	// cleared is set once the request is known not to have caused the crash, and is never reset.
 	cleared bool
-	// toldBy is who told it first; empty for this node itself.
-	toldBy definer.VM
-	// tells counts the reports of each scope in which it is still to be told.
-	tells [scopeCount]int
+	// reportedBy is the peer that reported the crash first; empty for this node itself.
+	reportedBy definer.VM
+	// pendingReports is the number of reports of each scope that are still to include the fact.
+	pendingReports [scopeCount]int
 }
 
-// is tells whether it is the end of the upstream's start at about the time.
-func (fall *fall) is(start definer.UpstreamStart, at time.Time) bool {
-	if fall.start != start {
+// matches reports whether this is a crash of the upstream process at about the time. The time
+// counts only for upstreams without an incarnation.
+func (crash *crash) matches(start definer.UpstreamStart, at time.Time) bool {
+	if crash.start != start {
 		return false
 	}
-	return start.Incarnation > 0 || fall.at.Sub(at).Abs() < sameFall
+	return start.Incarnation > 0 || crash.at.Sub(at).Abs() < sameCrashWindow
 }
 
-// untold tells whether it is still to be told to anybody.
-func (fall *fall) untold() bool { return fall.tells != [scopeCount]int{} }
+// isPending reports whether any report is still to include the fact.
+func (crash *crash) isPending() bool { return crash.pendingReports != [scopeCount]int{} }
 
-// suspect is a request under which upstreams have ended.
+// suspect is a request under which upstreams have crashed.
 type suspect struct {
 	identity definer.RequestIdentity
-	// falls are in the order in which they became known, at most maxFalls.
-	falls []*fall
-	// changedAt is when a fact was added or cleared last.
+	// crashes are in the order in which they became known, at most maxCrashes.
+	crashes []*crash
+	// changedAt is when a fact was last added or cleared.
 	changedAt time.Time
-	// held is set while the request is held off, heldSince when that began.
-	held      bool
+	// isHeld is set while the request is held off, since heldSince.
+	isHeld    bool
 	heldSince time.Time
-	// refused counts the attempts that were held off here.
+	// refused is the number of attempts that this node refused.
 	refused int
 }
 
-// find returns the known fact of an end, or nil.
-func (suspect *suspect) find(start definer.UpstreamStart, at time.Time) *fall {
-	for _, fall := range suspect.falls {
-		if fall.is(start, at) {
-			return fall
+// find returns the known crash of an upstream process at about the time, or nil.
+func (suspect *suspect) find(start definer.UpstreamStart, at time.Time) *crash {
+	for _, crash := range suspect.crashes {
+		if crash.matches(start, at) {
+			return crash
 		}
 	}
 	return nil
 }
 
-// add takes in an end; the oldest makes room.
-func (suspect *suspect) add(fall *fall) {
-	if len(suspect.falls) >= maxFalls {
-		suspect.falls = slices.Delete(suspect.falls, 0, 1)
+// add appends a crash; at maxCrashes it drops the one that became known first.
+func (suspect *suspect) add(crash *crash) {
+	if len(suspect.crashes) >= maxCrashes {
+		suspect.crashes = slices.Delete(suspect.crashes, 0, 1)
 	}
-	suspect.falls = append(suspect.falls, fall)
+	suspect.crashes = append(suspect.crashes, crash)
 }
 
-// doubts counts the ends that it may have caused.
-func (suspect *suspect) doubts() int {
+// unclearedCrashes returns the number of crashes that the request may have caused.
+func (suspect *suspect) unclearedCrashes() int {
 	count := 0
-	for _, fall := range suspect.falls {
-		if !fall.cleared {
+	for _, crash := range suspect.crashes {
+		if !crash.cleared {
 			count++
 		}
 	}
 	return count
 }
 
-// latest returns when the latest end happened that it may have caused; zero if none did.
-func (suspect *suspect) latest() time.Time {
+// latestUnclearedCrash returns the time of the latest crash that the request may have caused, or
+// the zero time if there is none.
+func (suspect *suspect) latestUnclearedCrash() time.Time {
 	var latest time.Time
-	for _, fall := range suspect.falls {
-		if !fall.cleared && fall.at.After(latest) {
-			latest = fall.at
+	for _, crash := range suspect.crashes {
+		if !crash.cleared && crash.at.After(latest) {
+			latest = crash.at
 		}
 	}
 	return latest
 }
 
-// place returns the counter of a report's scope.
-func place(scope messenger.LoadScope) int {
+// scopeIndex returns the index of a report's scope in the counters of pending reports.
+func scopeIndex(scope messenger.LoadScope) int {
 	switch scope {
 	case messenger.MemberLoad:
 		return toAggregator
--- a/quarantiner/telling.go
+++ b/quarantiner/telling.go
@@ -9,184 +9,190 @@
 )
 
 const (
-	// tellTimes is in how many reports of each scope a fact is told: one may be lost.
-	tellTimes = 2
-	// maxTold bounds the facts in one report, some 20 bytes each.
-	maxTold = 256
-	// maxLearnt bounds the facts that are taken from one report; another version may tell
-	// more than this one does.
-	maxLearnt = 4 * maxTold
-	// maxName bounds an upstream's name in bytes.
-	maxName = 256
-	// refreshEvery is the time between two times that facts are told again, for nodes that
-	// have started or were cut off since; they must know within 3 s. refreshMost is of how
-	// many requests each time: with three ends each, some 0.5 KB.
-	refreshEvery = time.Second
-	refreshMost  = 4
-	// refreshFor is how long the facts of a request that is not held off are told again
-	// after they changed, and refreshFalls how many it must have: a node that misses those
-	// of fewer loses nothing but an end.
-	refreshFor   = time.Minute
-	refreshFalls = heldFalls - 1
+	// reportRepeats is the number of reports of each scope that include a fact, since a report
+	// may be lost.
+	reportRepeats = 2
+	// maxReportedFacts bounds the facts in one report, at some 20 bytes each.
+	maxReportedFacts = 256
+	// maxLearnedFacts bounds the facts that are taken from one report. It exceeds
+	// maxReportedFacts because a peer of another version may report more.
+	maxLearnedFacts = 4 * maxReportedFacts
+	// maxNameBytes bounds the length of an upstream's name.
+	maxNameBytes = 256
+	// refreshInterval is the time between two refreshes, which report known facts again for nodes
+	// that have started or were cut off since; these must know of a held-off request within 3 s.
+	// Each refresh covers refreshRequests requests, some 0.5 KB with three crashes each.
+	refreshInterval = time.Second
+	refreshRequests = 4
+	// refreshPeriod is how long after a change the facts of a request that is not held off are
+	// refreshed, and refreshThreshold the number of crashes that it must have. A node that misses
+	// the facts of requests with fewer crashes only learns of one crash too few.
+	refreshPeriod    = time.Minute
+	refreshThreshold = holdThreshold - 1
 )
 
-// untold is a fact that is still to be told.
-type untold struct {
+// pendingFact is a fact that is still to be reported.
+type pendingFact struct {
 	identity definer.RequestIdentity
-	fall     *fall
+	crash    *crash
 }
 
-// toTell notes that a fact is to be told, to all or to the members alone; mutex is held.
-func (quarantiner *Quarantiner) toTell(identity definer.RequestIdentity, fall *fall, toAll bool) {
+// enqueue schedules the reports of a fact, in all scopes or to the members alone. The mutex is
+// held.
+func (quarantiner *Quarantiner) enqueue(identity definer.RequestIdentity, crash *crash, toAll bool) {
 	if toAll {
-		quarantiner.queue(identity, fall, [scopeCount]int{tellTimes, tellTimes, tellTimes})
+		quarantiner.enqueueRepeats(identity, crash, [scopeCount]int{reportRepeats, reportRepeats, reportRepeats})
 		return
 	}
-	quarantiner.queue(identity, fall, [scopeCount]int{toMembers: tellTimes})
+	quarantiner.enqueueRepeats(identity, crash, [scopeCount]int{toMembers: reportRepeats})
 }
 
-// queue has a fact told so many times in reports of each scope, or as often as is still to
-// come; mutex is held.
-func (quarantiner *Quarantiner) queue(identity definer.RequestIdentity, fall *fall, times [scopeCount]int) {
-	if !fall.untold() {
-		quarantiner.untold = append(quarantiner.untold, untold{identity, fall})
+// enqueueRepeats schedules at least the given number of reports of a fact in each scope. The
+// mutex is held.
+func (quarantiner *Quarantiner) enqueueRepeats(identity definer.RequestIdentity, crash *crash, times [scopeCount]int) {
+	if !crash.isPending() {
+		quarantiner.pending = append(quarantiner.pending, pendingFact{identity, crash})
 	}
-	for place := range times {
-		fall.tells[place] = max(fall.tells[place], times[place])
+	for index := range times {
+		crash.pendingReports[index] = max(crash.pendingReports[index], times[index])
 	}
 }
 
-// Tell returns the facts for this node's next report of the scope. It also looks after what
-// time alone changes.
+// Tell returns the facts for this node's next report of the scope. Once every refreshInterval it
+// also expires old facts and refreshes known ones.
 func (quarantiner *Quarantiner) Tell(now time.Time, scope messenger.LoadScope) []messenger.UpstreamFall {
 	quarantiner.mutex.Lock()
 	defer quarantiner.mutex.Unlock()
-	if now.Sub(quarantiner.refreshed) >= refreshEvery {
-		quarantiner.refreshed = now
+	if now.Sub(quarantiner.refreshedAt) >= refreshInterval {
+		quarantiner.refreshedAt = now
 		quarantiner.expire(now)
 		quarantiner.refresh(now)
 	}
-	if len(quarantiner.untold) == 0 {
+	if len(quarantiner.pending) == 0 {
 		return nil
 	}
-	place := place(scope)
-	told := newTold(now)
-	quarantiner.untold = slices.DeleteFunc(quarantiner.untold, func(untold untold) bool {
-		if untold.fall.tells[place] > 0 && told.count < maxTold {
-			untold.fall.tells[place]--
-			told.add(untold)
+	index := scopeIndex(scope)
+	builder := newReportBuilder(now)
+	quarantiner.pending = slices.DeleteFunc(quarantiner.pending, func(pending pendingFact) bool {
+		if pending.crash.pendingReports[index] > 0 && builder.count < maxReportedFacts {
+			pending.crash.pendingReports[index]--
+			builder.add(pending)
 		}
-		return !untold.fall.untold()
+		return !pending.crash.isPending()
 	})
-	return told.falls
+	return builder.falls
 }
 
-// refresh has the facts of some requests told again, in turn; mutex is held.
+// refresh schedules the facts of the next refreshRequests requests for another report, in
+// rotation. The mutex is held.
 func (quarantiner *Quarantiner) refresh(now time.Time) {
-	var grave []definer.RequestIdentity
-	for identity, known := range quarantiner.suspects {
-		late := len(known.falls) >= refreshFalls && now.Sub(known.changedAt) < refreshFor
-		if known.held || late {
-			grave = append(grave, identity)
+	var due []definer.RequestIdentity
+	for identity, suspect := range quarantiner.suspects {
+		recent := len(suspect.crashes) >= refreshThreshold && now.Sub(suspect.changedAt) < refreshPeriod
+		if suspect.isHeld || recent {
+			due = append(due, identity)
 		}
 	}
-	slices.Sort(grave)
-	next, _ := slices.BinarySearch(grave, quarantiner.refreshedUpTo+"\x00")
-	for count := range min(refreshMost, len(grave)) {
-		identity := grave[(next+count)%len(grave)]
-		quarantiner.refreshedUpTo = identity
-		for _, fall := range quarantiner.suspects[identity].falls {
-			quarantiner.queue(identity, fall, quarantiner.refreshTimes)
+	slices.Sort(due)
+	next, _ := slices.BinarySearch(due, quarantiner.lastRefreshed+"\x00")
+	for count := range min(refreshRequests, len(due)) {
+		identity := due[(next+count)%len(due)]
+		quarantiner.lastRefreshed = identity
+		for _, crash := range quarantiner.suspects[identity].crashes {
+			quarantiner.enqueueRepeats(identity, crash, quarantiner.refreshRepeats)
 		}
 	}
 }
 
-// told gathers the facts of a report, those of one end together.
-type told struct {
+// reportBuilder collects the facts of a report, grouped by crash.
+type reportBuilder struct {
 	now   time.Time
 	falls []messenger.UpstreamFall
-	// places holds the place in falls of each end.
-	places map[endKey]int
-	count  int
+	// indexes maps each crash to its index in falls.
+	indexes map[crashKey]int
+	count   int
 }
 
-// endKey names an end among those that a report tells.
-type endKey struct {
+// crashKey identifies a crash within a report.
+type crashKey struct {
 	start definer.UpstreamStart
 	at    time.Time
 }
 
-func newTold(now time.Time) *told { return &told{now: now, places: make(map[endKey]int)} }
+func newReportBuilder(now time.Time) *reportBuilder {
+	return &reportBuilder{now: now, indexes: make(map[crashKey]int)}
+}
 
-// add takes in a fact.
-func (told *told) add(untold untold) {
-	key := endKey{untold.fall.start, untold.fall.at}
-	place, ok := told.places[key]
+// add adds a fact to the report.
+func (builder *reportBuilder) add(pending pendingFact) {
+	key := crashKey{pending.crash.start, pending.crash.at}
+	index, ok := builder.indexes[key]
 	if !ok {
-		place = len(told.falls)
-		told.places[key] = place
-		told.falls = append(told.falls, messenger.UpstreamFall{
-			Upstream: key.start.Upstream, Incarnation: key.start.Incarnation, Age: told.now.Sub(key.at),
+		index = len(builder.falls)
+		builder.indexes[key] = index
+		builder.falls = append(builder.falls, messenger.UpstreamFall{
+			Upstream: key.start.Upstream, Incarnation: key.start.Incarnation, Age: builder.now.Sub(key.at),
 		})
 	}
-	end := &told.falls[place]
-	if untold.fall.cleared {
-		end.Cleared = append(end.Cleared, untold.identity)
+	end := &builder.falls[index]
+	if pending.crash.cleared {
+		end.Cleared = append(end.Cleared, pending.identity)
 	} else {
-		end.Suspects = append(end.Suspects, untold.identity)
+		end.Suspects = append(end.Suspects, pending.identity)
 	}
-	told.count++
+	builder.count++
 }
 
-// Learn takes in the facts of a peer's report. What cannot be true is passed over: a peer
-// may be of another version, or wrong.
+// Learn merges the facts of a peer's report. Facts that cannot be true are ignored, since the
+// peer may be of another version or faulty.
 func (quarantiner *Quarantiner) Learn(now time.Time, from definer.VM, scope messenger.LoadScope, falls []messenger.UpstreamFall) {
 	if len(falls) == 0 {
 		return
 	}
 	quarantiner.mutex.Lock()
 	defer quarantiner.mutex.Unlock()
-	learner := learner{quarantiner: quarantiner, now: now, from: from, below: scope == messenger.MemberLoad, left: maxLearnt}
+	learner := learner{quarantiner: quarantiner, now: now, from: from, fromMember: scope == messenger.MemberLoad, remaining: maxLearnedFacts}
 	for index := range falls {
-		learner.learn(&falls[index])
+		learner.learnCrash(&falls[index])
 	}
-	if learner.news {
-		quarantiner.judge(now)
+	if learner.changed {
+		quarantiner.updateVerdicts(now)
 	}
 }
 
-// learner takes in the facts of one report; the quarantiner's mutex is held.
+// learner merges the facts of one report. The quarantiner's mutex is held.
 type learner struct {
 	quarantiner *Quarantiner
 	now         time.Time
 	from        definer.VM
-	// below is set for what members report.
-	below bool
-	// left is how many facts may still be taken in.
-	left int
-	news bool
+	// fromMember is set if a member of this aggregator sent the report.
+	fromMember bool
+	// remaining is the number of facts that may still be merged, and changed is set once one was
+	// new.
+	remaining int
+	changed   bool
 }
 
-func (learner *learner) learn(end *messenger.UpstreamFall) {
-	possible := end.Upstream != "" && len(end.Upstream) <= maxName && end.Age >= 0 && end.Age <= fallLife
+func (learner *learner) learnCrash(end *messenger.UpstreamFall) {
+	possible := end.Upstream != "" && len(end.Upstream) <= maxNameBytes && end.Age >= 0 && end.Age <= crashRetention
 	if !possible {
 		return
 	}
 	for _, identity := range end.Suspects {
-		learner.note(end, identity, false)
+		learner.learnFact(end, identity, false)
 	}
 	for _, identity := range end.Cleared {
-		learner.note(end, identity, true)
+		learner.learnFact(end, identity, true)
 	}
 }
 
-func (learner *learner) note(end *messenger.UpstreamFall, identity definer.RequestIdentity, cleared bool) {
-	if len(identity) != definer.RequestIdentityBytes || learner.left == 0 {
+func (learner *learner) learnFact(end *messenger.UpstreamFall, identity definer.RequestIdentity, cleared bool) {
+	if len(identity) != definer.RequestIdentityBytes || learner.remaining == 0 {
 		return
 	}
-	learner.left--
-	found := &fall{start: end.Start(), at: learner.now.Add(-end.Age), cleared: cleared, toldBy: learner.from}
-	if learner.quarantiner.note(learner.now, identity, found, learner.below) {
-		learner.news = true
+	learner.remaining--
+	found := &crash{start: end.Start(), at: learner.now.Add(-end.Age), cleared: cleared, reportedBy: learner.from}
+	if learner.quarantiner.addFact(learner.now, identity, found, learner.fromMember) {
+		learner.changed = true
 	}
 }
--- a/quarantiner/telling_test.go
+++ b/quarantiner/telling_test.go
@@ -12,8 +12,8 @@
 	"limpetcleat/quarantiner"
 )
 
-// TestFactsAreToldTwiceAndThenAgain holds how often a fact is told: in two reports of each
-// scope, and from the second end under a request on once a second.
+// TestFactsAreToldTwiceAndThenAgain checks how often a fact is reported: in two reports of each
+// scope, and, from the second crash under a request on, again once a second.
 func TestFactsAreToldTwiceAndThenAgain(t *testing.T) {
 	node := quarantiner.New()
 	now := began()
@@ -39,8 +39,8 @@
 	assert.Equal(t, tells(messenger.MemberLoad), 0, "that ends")
 }
 
-// TestWhatOthersToldGoesDown holds that what comes from above is told to members alone, so
-// that it is not handed up again.
+// TestWhatOthersToldGoesDown checks that facts from other groups are reported to members alone,
+// so that they are not sent back up.
 func TestWhatOthersToldGoesDown(t *testing.T) {
 	fall := []messenger.UpstreamFall{{Upstream: "u1", Incarnation: 1, Suspects: []definer.RequestIdentity{identity("g")}}}
 	cases := []struct {
@@ -61,8 +61,9 @@
 	}
 }
 
-// TestClearingIsTold has a request that one node has served be held off at another: the first
-// one's word frees it, also when both learn of the ends only then.
+// TestClearingIsTold has one node hold off a request that another node has served: the report of
+// the other node releases it, although that node learns of the crashes only after it served the
+// request.
 func TestClearingIsTold(t *testing.T) {
 	serving, holding := quarantiner.New(), quarantiner.New()
 	now := began()
@@ -78,7 +79,7 @@
 	assert.Equal(t, holding.Doubts(identity("i")), 0)
 }
 
-// TestWrongReportsAreIgnored holds what a wrong neighbour cannot bring about.
+// TestWrongReportsAreIgnored checks that invalid reports of a peer change nothing.
 func TestWrongReportsAreIgnored(t *testing.T) {
 	good := identity("g")
 	cases := []struct {
@@ -101,8 +102,8 @@
 	}
 }
 
-// TestNodesAgree has facts happen at three nodes in any order, and all tell each other: they
-// hold off the same requests, whichever way the facts came.
+// TestNodesAgree has events happen at three nodes in random order, and all nodes exchange their
+// facts: they must hold off the same requests, in whatever order the facts arrived.
 func TestNodesAgree(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -138,8 +139,8 @@
 	})
 }
 
-// FuzzLearn has reports of any content come: nothing grows beyond its bound, nothing is told
-// that no node could take in.
+// FuzzLearn merges reports of arbitrary content: no bound may be exceeded, and no node may report
+// what another would reject.
 func FuzzLearn(f *testing.F) {
 	f.Add("u1", uint64(1), int64(0), []byte("0123456789abcdef0123456789abcdef"), true)
 	f.Add("", uint64(0), int64(-1), []byte("x"), false)
--- a/quarantiner/verdict.go
+++ b/quarantiner/verdict.go
@@ -9,87 +9,91 @@
 )
 
 const (
-	// heldFalls is under how many ends a request is held off that nothing else explains. The
-	// users count sends from the third end on. With two, a caller whose request meets two
-	// failing upstreams in a row, as in any loss of several at once, would be refused.
-	heldFalls = 3
-	// companyFalls is the same for one of whose ends all but one are explained by others: two
-	// such requests that always run side by side would hide behind each other.
-	companyFalls = 4
-	// HoldFor is how long after the latest end a request is held off at the longest. Behind
-	// that it is tried, and held off again at the first end.
+	// holdThreshold is the number of crashes under a request, attributed to no other, from which
+	// on it is held off. The users count the sends from the third crash on. With two, a caller
+	// whose request meets two failing upstreams in a row, as when several are lost at once, would
+	// be refused.
+	holdThreshold = 3
+	// sharedHoldThreshold is the number of uncleared crashes from which on a request is held off
+	// if at least one of them is attributed to no other request. Without it, two culprits that
+	// always run side by side would exonerate each other.
+	sharedHoldThreshold = 4
+	// HoldFor is how long after the latest crash a request is held off at most. After that it is
+	// tried again, and held off at the first crash.
 	HoldFor = 10 * time.Minute
-	// FreshRun is how long after the first part of its answer a request may still have made
-	// its upstream end: one that does so does it soon after it begins. It keeps those that had
-	// run for longer from being suspected, most of those that break off with a busy engine.
+	// FreshRun is how long after the first part of its answer a request may still be suspected of
+	// crashing its upstream: a culprit does so soon after it begins. This spares the requests
+	// that had run for longer, which are most of those that break off with a busy engine.
 	FreshRun = time.Second
-	// fallLife is how long an end is remembered.
-	fallLife = time.Hour
+	// crashRetention is how long a crash is remembered.
+	crashRetention = time.Hour
 )
 
-// causes are the ends that requests which are held off have caused.
-type causes map[definer.UpstreamStart][]*fall
+// attributedCrashes are the crashes that were caused by requests found to be culprits.
+type attributedCrashes map[definer.UpstreamStart][]*crash
 
-// explain tells whether they have caused an end.
-func (causes causes) explain(end *fall) bool {
-	return slices.ContainsFunc(causes[end.start], func(known *fall) bool { return known.is(end.start, end.at) })
+// contains reports whether a crash is attributed to a culprit.
+func (attributed attributedCrashes) contains(found *crash) bool {
+	return slices.ContainsFunc(attributed[found.start], func(other *crash) bool { return other.matches(found.start, found.at) })
 }
 
-// add takes in the ends that a request has caused.
-func (causes causes) add(guilty *suspect) {
-	for _, fall := range guilty.falls {
-		if !fall.cleared {
-			causes[fall.start] = append(causes[fall.start], fall)
+// add attributes all uncleared crashes of a culprit to it.
+func (attributed attributedCrashes) add(culprit *suspect) {
+	for _, crash := range culprit.crashes {
+		if !crash.cleared {
+			attributed[crash.start] = append(attributed[crash.start], crash)
 		}
 	}
 }
 
-// unexplained counts the ends that a request may have caused and no other has.
-func (causes causes) unexplained(suspect *suspect) int {
+// unexplained returns the number of crashes that the request may have caused and that are
+// attributed to no other.
+func (attributed attributedCrashes) unexplained(suspect *suspect) int {
 	count := 0
-	for _, fall := range suspect.falls {
-		if !fall.cleared && !causes.explain(fall) {
+	for _, crash := range suspect.crashes {
+		if !crash.cleared && !attributed.contains(crash) {
 			count++
 		}
 	}
 	return count
 }
 
-// isGuilty tells whether so many ends, and of them so many that nothing else explains, are
-// enough.
-func isGuilty(doubts, unexplained int) bool {
-	return unexplained >= heldFalls || doubts >= companyFalls && unexplained > 0
+// isCulprit reports whether the number of uncleared crashes, and the number of these that are
+// attributed to no other request, suffice to hold a request off.
+func isCulprit(uncleared, unexplained int) bool {
+	return unexplained >= holdThreshold || uncleared >= sharedHoldThreshold && unexplained > 0
 }
 
-// convict returns the requests that make upstreams end. Those under which most ended come
-// first: the guilty one was on each, its company on some.
-func convict(grave map[definer.RequestIdentity]*suspect) map[definer.RequestIdentity]bool {
-	candidates := candidates(grave)
-	guilty := make(map[definer.RequestIdentity]bool)
-	known := make(causes)
+// findCulprits returns the requests that crash upstreams. It takes the candidates with the most
+// unexplained crashes first: the culprit was on each upstream that it crashed, the other requests
+// only on some of them.
+func findCulprits(suspects map[definer.RequestIdentity]*suspect) map[definer.RequestIdentity]bool {
+	candidates := sortedCandidates(suspects)
+	culprits := make(map[definer.RequestIdentity]bool)
+	attributed := make(attributedCrashes)
 	for len(candidates) > 0 {
 		worst := slices.MaxFunc(candidates, func(left, right *suspect) int {
 			return cmp.Or(
-				cmp.Compare(known.unexplained(left), known.unexplained(right)),
-				cmp.Compare(left.doubts(), right.doubts()),
+				cmp.Compare(attributed.unexplained(left), attributed.unexplained(right)),
+				cmp.Compare(left.unclearedCrashes(), right.unclearedCrashes()),
 			)
 		})
-		if !isGuilty(worst.doubts(), known.unexplained(worst)) {
+		if !isCulprit(worst.unclearedCrashes(), attributed.unexplained(worst)) {
 			break
 		}
-		guilty[worst.identity] = true
-		known.add(worst)
+		culprits[worst.identity] = true
+		attributed.add(worst)
 		candidates = slices.DeleteFunc(candidates, func(candidate *suspect) bool { return candidate == worst })
 	}
-	return guilty
+	return culprits
 }
 
-// candidates returns the requests that may be guilty, in one order: nodes must come to the
-// same verdict, in whichever order they have learnt the facts.
-func candidates(grave map[definer.RequestIdentity]*suspect) []*suspect {
+// sortedCandidates returns the requests with at least holdThreshold uncleared crashes, sorted by
+// identity: nodes must reach the same verdicts in whatever order they learned the facts.
+func sortedCandidates(suspects map[definer.RequestIdentity]*suspect) []*suspect {
 	var found []*suspect
-	for _, suspect := range grave {
-		if suspect.doubts() >= heldFalls {
+	for _, suspect := range suspects {
+		if suspect.unclearedCrashes() >= holdThreshold {
 			found = append(found, suspect)
 		}
 	}
