--- a/throttler/ask.go
+++ b/throttler/ask.go
@@ -11,21 +11,22 @@
 	"limpetcleat/messenger"
 )
 
-// Take asks for a permit to send a request to an upstream, which is granted at once where no
-// limit is known. It returns when that is decided, the patience is over or the context ends.
+// Take asks for a permit to send a request to an upstream. Without a known limit the permit is
+// granted at once. Take returns when the issuer has decided, when no decision has arrived in time,
+// or when the context ends.
 func (throttler *Throttler) Take(ctx context.Context, need Need) Permit {
 	announcement, _ := throttler.announcer.Of(time.Now(), need.Start)
 	if _, limited := announcement.Limit.PerSecond(); !limited {
 		return Permit{Granted: true}
 	}
-	ask := throttler.begin(time.Now(), need)
-	defer throttler.end(ask)
+	ask := throttler.sendAsk(time.Now(), need)
+	defer throttler.forgetAsk(ask)
 	permit, outcome := throttler.await(ctx, ask)
 	throttler.count(outcome)
 	return permit
 }
 
-// ask is one of this node's, on its way.
+// ask is a request for a permit that this node has sent and that is not decided on yet.
 type ask struct {
 	need    Need
 	number  uint64
@@ -34,29 +35,29 @@
 	answers chan messenger.PermitAnswer
 }
 
-// begin asks the node that hands out the permits.
-func (throttler *Throttler) begin(now time.Time, need Need) *ask {
-	view := throttler.look()
+// sendAsk asks the node that issues the permits.
+func (throttler *Throttler) sendAsk(now time.Time, need Need) *ask {
+	list := throttler.listNodes()
 	throttler.mutex.Lock()
 	defer throttler.mutex.Unlock()
-	throttler.number++
-	ask := &ask{need: need, number: throttler.number, sentAt: now, answers: make(chan messenger.PermitAnswer, 2)}
+	throttler.lastNumber++
+	ask := &ask{need: need, number: throttler.lastNumber, sentAt: now, answers: make(chan messenger.PermitAnswer, 2)}
 	throttler.asks[ask.number] = ask.answers
-	node, found := throttler.issuerOf(now, throttler.order(now, view.nodes, need.Start, need.DataCentre))
+	node, found := throttler.issuerOf(now, throttler.order(now, list.nodes, need.Start, need.DataCentre))
 	ask.issuer = node
 	switch {
 	case !found:
-		ask.answers <- messenger.PermitAnswer{Verdict: messenger.PermitDenied, After: answerPatience}
+		ask.answers <- messenger.PermitAnswer{Verdict: messenger.PermitDenied, After: answerTimeout}
 	case node.VM == throttler.self.VM:
 		own := issuer.Ask{ID: issuer.AskID{From: throttler.self.VM, Number: ask.number}, Tier: need.Tier, Patience: need.Patience}
-		throttler.serve(now, view, need.Start, need.DataCentre, own, "")
+		throttler.decide(now, list, need.Start, need.DataCentre, own, "")
 	default:
 		throttler.sender.Send(context.Background(), node.Address, throttler.message(now, ask))
 	}
 	return ask
 }
 
-// message returns the message of an ask.
+// message returns the wire message of an ask.
 func (throttler *Throttler) message(now time.Time, ask *ask) *messenger.PermitAsk {
 	return &messenger.PermitAsk{
 		Number: ask.number, Announcement: throttler.announcer.Encoded(now, ask.need.Start), DataCentre: ask.need.DataCentre,
@@ -64,9 +65,9 @@
 	}
 }
 
-// await waits until an ask is decided on.
+// await waits until an ask is decided on, times out or is withdrawn.
 func (throttler *Throttler) await(ctx context.Context, ask *ask) (Permit, Outcome) {
-	patience := time.NewTimer(answerPatience)
+	patience := time.NewTimer(answerTimeout)
 	defer patience.Stop()
 	queued := false
 	for {
@@ -79,29 +80,29 @@
 				return Permit{After: max(answer.After, time.Millisecond)}, Denied
 			case messenger.PermitQueued:
 				queued = true
-				patience.Reset(ask.need.Patience + answerPatience)
+				patience.Reset(ask.need.Patience + answerTimeout)
 			}
 		case <-ctx.Done():
 			throttler.withdraw(time.Now(), ask)
-			return Permit{After: answerPatience}, Withdrawn
+			return Permit{After: answerTimeout}, Withdrawn
 		case <-patience.C:
 			throttler.unanswered(time.Now(), ask, queued)
-			return Permit{After: answerPatience}, Unanswered
+			return Permit{After: answerTimeout}, Unanswered
 		}
 	}
 }
 
-// end forgets an ask.
-func (throttler *Throttler) end(ask *ask) {
+// forgetAsk removes an ask, so that later answers to it are ignored.
+func (throttler *Throttler) forgetAsk(ask *ask) {
 	throttler.mutex.Lock()
 	defer throttler.mutex.Unlock()
 	delete(throttler.asks, ask.number)
 }
 
-// withdraw takes an ask back that may be queued.
+// withdraw cancels an ask that may be queued.
 func (throttler *Throttler) withdraw(now time.Time, ask *ask) {
 	if ask.issuer.VM == "" {
-		return // Nobody was asked.
+		return // No node was asked.
 	}
 	if ask.issuer.VM != throttler.self.VM {
 		message := throttler.message(now, ask)
@@ -111,10 +112,10 @@
 	}
 	throttler.mutex.Lock()
 	defer throttler.mutex.Unlock()
-	throttler.drop(ask.need.Start, issuer.AskID{From: throttler.self.VM, Number: ask.number})
+	throttler.withdrawQueued(ask.need.Start, issuer.AskID{From: throttler.self.VM, Number: ask.number})
 }
 
-// unanswered notes that nothing was said to an ask in time, or nothing more since it was
+// unanswered handles an ask that was not answered in time, or not decided on in time after it was
 // queued.
 func (throttler *Throttler) unanswered(now time.Time, ask *ask, queued bool) {
 	if queued {
@@ -128,32 +129,33 @@
 	throttler.noteSilence(now, ask.issuer.VM, ask.sentAt)
 }
 
-// noteSilence notes that a node said nothing to what it was sent at the time; mutex is held.
+// noteSilence records that a node has not answered a message sent at the time. The mutex is held.
 func (throttler *Throttler) noteSilence(now time.Time, vm definer.VM, sentAt time.Time) {
 	contact := throttler.contact(vm)
-	if contact.heardAt.After(sentAt) || contact.backsOff(now) {
-		return // It has said something since, or others have noted its silence.
+	if contact.heardAt.After(sentAt) || contact.isBackingOff(now) {
+		return // It has answered since, or its silence is already recorded.
 	}
-	contact.silent(now)
+	contact.recordSilence(now)
 	if contact.silences == 1 {
 		throttler.log(logger.EventIssuerSilent, "peer", vm, "afterMs", now.Sub(sentAt).Milliseconds())
 	}
 }
 
-// receiveAnswer takes in the decision on an ask.
+// receiveAnswer processes the decision on an ask.
 func (throttler *Throttler) receiveAnswer(now time.Time, from definer.VM, answer *messenger.PermitAnswer) {
 	throttler.mutex.Lock()
 	defer throttler.mutex.Unlock()
-	throttler.contact(from).heard(now)
+	throttler.contact(from).recordAnswer(now)
 	if before := answer.Before; before != nil && before.VM != throttler.self.VM {
-		// The sender stands in for it and hears from it: it is to be asked again.
+		// The sender stands in for this earlier node but hears from it, so that it can be asked
+		// again.
 		throttler.contact(before.VM).backoffUntil = time.Time{}
-		throttler.meet(now, exchanger.Peer{VM: before.VM, DataCentre: before.DataCentre, Address: before.Address})
+		throttler.addUnlisted(now, exchanger.Peer{VM: before.VM, DataCentre: before.DataCentre, Address: before.Address})
 	}
 	throttler.deliver(answer)
 }
 
-// deliver hands an answer to who waits for it; mutex is held.
+// deliver passes an answer to the goroutine that waits for it, if any. The mutex is held.
 func (throttler *Throttler) deliver(answer *messenger.PermitAnswer) {
 	answers, waits := throttler.asks[answer.Number]
 	if !waits {
@@ -161,6 +163,6 @@
 	}
 	select {
 	case answers <- *answer:
-	default: // At most two are to come; more are repeated by the network or wrong.
+	default: // An ask gets at most two answers; others are duplicates or errors.
 	}
 }
--- a/throttler/doc.go
+++ b/throttler/doc.go
@@ -1,6 +1,8 @@
-// Package throttler keeps the requests of all nodes to an upstream within the limit that it
-// has announced. For each such upstream one node hands out permits, each for one request; the
-// others ask it before they send. Which node does follows from the list of nodes, and is
-// agreed with nobody: where lists differ, or nodes cannot reach each other, two may do so for
-// a while, the later one in the order at half the rate or less.
+// Package throttler limits the rate of requests that all nodes together send to an upstream to
+// the limit that the upstream has announced. For each upstream with a limit, one node issues
+// permits, each for one request, and the other nodes ask it for a permit before they send.
+//
+// The issuing node follows from the list of nodes, without an agreement between the nodes. Where
+// lists differ, or nodes cannot reach each other, two nodes may issue permits for a while, the
+// later one in the order at half the rate or less.
 package throttler
--- a/throttler/list.go
+++ b/throttler/list.go
@@ -6,28 +6,28 @@
 	"limpetcleat/definer"
 )
 
-// Issuance is what this node hands out of an upstream's permits, for operators.
+// Issuance describes to operators the permits that this node issues for an upstream.
 type Issuance struct {
 	Start definer.UpstreamStart
-	// PerSecond is the permits a second as of the last ask, Position how many nodes go before
-	// this one by now.
+	// PerSecond is the rate of permits as of the last ask, and Position the current number of
+	// present nodes earlier in the order.
 	PerSecond float64
 	Position  int
-	// Waiting counts the asks that wait, AskedAgo is how long ago the last one came.
+	// Waiting is the number of queued asks, and AskedAgo the time since the last ask.
 	Waiting  int
 	AskedAgo time.Duration
 }
 
-// Issuances returns the upstreams whose permits this node hands out, in no order.
+// Issuances returns the upstreams whose permits this node issues, in no particular order.
 func (throttler *Throttler) Issuances(now time.Time) []Issuance {
-	view := throttler.look()
+	list := throttler.listNodes()
 	throttler.mutex.Lock()
 	defer throttler.mutex.Unlock()
 	var issuances []Issuance
 	for start, issuance := range throttler.issuances {
-		order := throttler.order(now, view.nodes, start, issuance.dataCentre)
+		order := throttler.order(now, list.nodes, start, issuance.dataCentre)
 		issuances = append(issuances, Issuance{
-			Start: start, PerSecond: issuance.issuer.Rate(), Position: throttler.countPresent(now, before(order, throttler.self.VM)),
+			Start: start, PerSecond: issuance.issuer.Rate(), Position: throttler.countPresent(now, predecessors(order, throttler.self.VM)),
 			Waiting: issuance.issuer.Waiting(), AskedAgo: now.Sub(issuance.askedAt),
 		})
 	}
--- a/throttler/order.go
+++ b/throttler/order.go
@@ -13,56 +13,58 @@
 )
 
 const (
-	// answerPatience is how long a node may take to say anything to an ask; the way there
-	// and back takes some milliseconds.
-	answerPatience = 100 * time.Millisecond
-	// firstBackoff and maxBackoff bound how long a node that said nothing is passed over.
+	// answerTimeout is how long a node may take to answer an ask; the round trip takes some
+	// milliseconds.
+	answerTimeout = 100 * time.Millisecond
+	// firstBackoff and maxBackoff bound how long a node that did not answer is passed over.
 	firstBackoff = time.Second
 	maxBackoff   = 8 * time.Second
-	// goneAfter is how long a node must have been silent to count as gone; before that, one
-	// that stands in for it hands out fewer permits, for it may be cut off only from some.
-	goneAfter = 3 * time.Second
-	// probeEvery is how long a node counts as heard from before it is asked for a sign, and
-	// the least time between two such asks.
-	probeEvery = time.Second
+	// goneTimeout is how long a node must have been silent to count as gone. Before that, the
+	// node that stands in for it issues permits at a lower rate, since the silent one may be cut
+	// off only from some nodes.
+	goneTimeout = 3 * time.Second
+	// probeInterval is how long after its last message a node is probed, and the least time
+	// between two probes.
+	probeInterval = time.Second
 )
 
-// view is the list of nodes as this one knows it.
-type view struct {
+// nodeList is the list of nodes as this node knows it.
+type nodeList struct {
 	nodes []exchanger.Peer
-	// known is set once the list was read.
+	// known is set once the list has been read.
 	known bool
 }
 
-// look returns the list of nodes. It is called without the mutex held: who keeps the list may
-// be waiting for it.
-func (throttler *Throttler) look() view {
+// listNodes returns the list of nodes. The mutex must not be held, since the keeper of the list
+// may be waiting for it.
+func (throttler *Throttler) listNodes() nodeList {
 	nodes, known := throttler.fleet.Nodes()
-	return view{nodes: nodes, known: known}
+	return nodeList{nodes: nodes, known: known}
 }
 
-// contact is what is known of a node's answers.
+// contact records whether a node answers.
 type contact struct {
 	heardAt time.Time
-	// silentSince is when it first said nothing to an ask, zero when it has answered since.
+	// silentSince is when the node first failed to answer; zero if it has answered since.
 	silentSince time.Time
-	// backoffUntil is until when it is not asked; silences counts those in a row.
+	// backoffUntil is the time before which the node is not asked, and silences the number of
+	// consecutive unanswered messages.
 	backoffUntil time.Time
 	silences     int
-	// probedAt is when it was last asked for a sign, zero before the first time.
+	// probedAt is when the node was last probed; zero if it never was.
 	probedAt time.Time
 }
 
-// heard notes that the node said something.
-func (contact *contact) heard(now time.Time) {
+// recordAnswer records a message from the node and ends its backoff.
+func (contact *contact) recordAnswer(now time.Time) {
 	contact.heardAt = now
 	contact.silentSince = time.Time{}
 	contact.backoffUntil = time.Time{}
 	contact.silences = 0
 }
 
-// silent notes that it said nothing.
-func (contact *contact) silent(now time.Time) {
+// recordSilence records that the node did not answer, and doubles its backoff.
+func (contact *contact) recordSilence(now time.Time) {
 	if contact.silentSince.IsZero() {
 		contact.silentSince = now
 	}
@@ -70,41 +72,40 @@
 	contact.silences++
 }
 
-// backsOff tells whether it is not to be asked yet.
-func (contact *contact) backsOff(now time.Time) bool { return now.Before(contact.backoffUntil) }
+// isBackingOff reports whether the node is not to be asked yet.
+func (contact *contact) isBackingOff(now time.Time) bool { return now.Before(contact.backoffUntil) }
 
-// gone tells whether it is taken to have ended.
-func (contact *contact) gone(now time.Time) bool {
-	return !contact.silentSince.IsZero() && now.Sub(contact.silentSince) >= goneAfter
+// isGone reports whether the node has been silent for goneTimeout and counts as ended.
+func (contact *contact) isGone(now time.Time) bool {
+	return !contact.silentSince.IsZero() && now.Sub(contact.silentSince) >= goneTimeout
 }
 
-// unlistedIssuer is a node that hands out permits and may not be on the list yet.
+// unlistedIssuer is a node that issues permits and may not be on the list yet.
 type unlistedIssuer struct {
 	peer    exchanger.Peer
 	heardAt time.Time
 }
 
-// meet notes a node that says that it hands out permits; mutex is held.
-func (throttler *Throttler) meet(now time.Time, peer exchanger.Peer) {
-	maps.DeleteFunc(throttler.unlisted, func(_ definer.VM, known unlistedIssuer) bool { return now.Sub(known.heardAt) > goneAfter })
+// addUnlisted records a node that is known to issue permits. The mutex is held.
+func (throttler *Throttler) addUnlisted(now time.Time, peer exchanger.Peer) {
+	maps.DeleteFunc(throttler.unlisted, func(_ definer.VM, known unlistedIssuer) bool { return now.Sub(known.heardAt) > goneTimeout })
 	throttler.unlisted[peer.VM] = unlistedIssuer{peer: peer, heardAt: now}
 }
 
-// withUnlisted returns the nodes with those that hand out permits and are not on the list;
-// mutex is held.
+// withUnlisted returns the nodes and those issuers that are not on the list. The mutex is held.
 func (throttler *Throttler) withUnlisted(now time.Time, nodes []exchanger.Peer) []exchanger.Peer {
 	for vm, known := range throttler.unlisted {
 		listed := slices.ContainsFunc(nodes, func(node exchanger.Peer) bool { return node.VM == vm })
-		if !listed && now.Sub(known.heardAt) <= goneAfter {
+		if !listed && now.Sub(known.heardAt) <= goneTimeout {
 			nodes = append(slices.Clone(nodes), known.peer)
 		}
 	}
 	return nodes
 }
 
-// order returns the nodes that hand out an upstream's permits, the first before all others:
-// those of its data centre, as they reach it whenever it can be reached, or all if these are
-// all gone. The mutex is held.
+// order returns the nodes that may issue an upstream's permits, in order of precedence. They are
+// the nodes of the upstream's data centre, which reach it whenever it can be reached, or all
+// nodes if those are all gone. The mutex is held.
 func (throttler *Throttler) order(now time.Time, nodes []exchanger.Peer, start definer.UpstreamStart, dataCentre definer.DataCentre) []exchanger.Peer {
 	nodes = throttler.withUnlisted(now, nodes)
 	var near []exchanger.Peer
@@ -112,7 +113,7 @@
 	for _, node := range nodes {
 		if node.DataCentre == dataCentre {
 			near = append(near, node)
-			present = present || throttler.present(now, node)
+			present = present || throttler.isPresent(now, node)
 		}
 	}
 	if !present {
@@ -128,24 +129,24 @@
 	return near
 }
 
-// present tells whether a node is not gone; mutex is held.
-func (throttler *Throttler) present(now time.Time, node exchanger.Peer) bool {
-	return node.VM == throttler.self.VM || !throttler.contact(node.VM).gone(now)
+// isPresent reports whether a node is not gone. The mutex is held.
+func (throttler *Throttler) isPresent(now time.Time, node exchanger.Peer) bool {
+	return node.VM == throttler.self.VM || !throttler.contact(node.VM).isGone(now)
 }
 
-// countPresent counts the nodes that are not gone; mutex is held.
+// countPresent returns the number of nodes that are not gone. The mutex is held.
 func (throttler *Throttler) countPresent(now time.Time, nodes []exchanger.Peer) int {
 	count := 0
 	for _, node := range nodes {
-		if throttler.present(now, node) {
+		if throttler.isPresent(now, node) {
 			count++
 		}
 	}
 	return count
 }
 
-// before returns the nodes that go before the given one in an order.
-func before(order []exchanger.Peer, vm definer.VM) []exchanger.Peer {
+// predecessors returns the nodes before the given one in an order, or all if it is not in it.
+func predecessors(order []exchanger.Peer, vm definer.VM) []exchanger.Peer {
 	place := slices.IndexFunc(order, func(node exchanger.Peer) bool { return node.VM == vm })
 	if place < 0 {
 		return order
@@ -153,17 +154,18 @@
 	return order[:place]
 }
 
-// issuerOf returns the first node that is not being passed over; mutex is held.
+// issuerOf returns the first node in an order that is not in a backoff. The mutex is held.
 func (throttler *Throttler) issuerOf(now time.Time, order []exchanger.Peer) (exchanger.Peer, bool) {
 	for _, node := range order {
-		if node.VM == throttler.self.VM || !throttler.contact(node.VM).backsOff(now) {
+		if node.VM == throttler.self.VM || !throttler.contact(node.VM).isBackingOff(now) {
 			return node, true
 		}
 	}
 	return exchanger.Peer{}, false
 }
 
-// contact returns what is known of a node's answers; mutex is held.
+// contact returns the contact record of a node, which it creates if there is none. The mutex is
+// held.
 func (throttler *Throttler) contact(vm definer.VM) *contact {
 	known, ok := throttler.contacts[vm]
 	if !ok {
--- a/throttler/throttler.go
+++ b/throttler/throttler.go
@@ -12,53 +12,53 @@
 	"limpetcleat/timer"
 )
 
-// Fleet lists the nodes that may hand out permits.
+// Fleet lists the nodes that may issue permits.
 type Fleet interface {
-	// Nodes returns all nodes, this one among them, and whether the list was read yet. The
+	// Nodes returns all nodes, this one included, and whether the list has been read yet. The
 	// caller must not change the slice.
 	Nodes() (nodes []exchanger.Peer, known bool)
 }
 
-// Sender sends messages to peers; it never blocks.
+// Sender sends messages to peers without blocking.
 type Sender interface {
 	Send(ctx context.Context, address string, message messenger.Message)
 }
 
-// Outcome is what became of an ask, for metrics.
+// Outcome is the result of an ask, for metrics.
 type Outcome string
 
 const (
-	// Granted asks got a permit.
+	// Granted means that the ask got a permit, or needed none any more.
 	Granted Outcome = "granted"
-	// Denied asks got none.
+	// Denied means that the ask got no permit.
 	Denied Outcome = "denied"
-	// Unanswered asks were told nothing.
+	// Unanswered means that no decision arrived in time.
 	Unanswered Outcome = "unanswered"
-	// Withdrawn asks waited for longer than their caller did.
+	// Withdrawn means that the caller's context ended before a decision.
 	Withdrawn Outcome = "withdrawn"
 )
 
-// Need is what a request needs a permit for.
+// Need describes a request that needs a permit.
 type Need struct {
 	Start definer.UpstreamStart
-	// DataCentre is the upstream's.
+	// DataCentre is the data centre of the upstream.
 	DataCentre definer.DataCentre
-	// Tier is the rank of the request; 0 is the highest.
+	// Tier is the tier of the request; 0 is the highest.
 	Tier int
-	// Patience is how long it can wait for the permit.
+	// Patience is how long the request can wait for the permit.
 	Patience time.Duration
 }
 
-// Permit is the answer to a Need.
+// Permit is the result of Take.
 type Permit struct {
-	// Granted permits let the request be sent, at once and once.
+	// Granted reports whether the request may be sent, at once and only once.
 	Granted bool
-	// After is after what time it is worth asking again for this upstream.
+	// After is the time after which to ask again for this upstream, if not granted.
 	After time.Duration
 }
 
-// Throttler asks for permits, and hands them out where it is this node that does. It is safe
-// for concurrent use.
+// Throttler asks the issuing nodes for permits, and issues the permits of the upstreams for which
+// this node is the issuer. It is safe for concurrent use.
 //
 // Lock order: mutex first, then the announcer's, the timer's or the sender's.
 type Throttler struct {
@@ -68,36 +68,38 @@
 	announcer *announcer.Announcer
 	log       func(number int, pairs ...any)
 	count     func(outcome Outcome)
-	// due has the issuers looked at whose queued asks are to be decided on.
+	// due calls decideQueued for upstreams whose queued asks are due.
 	due *timer.Service[definer.UpstreamStart]
-	// schedule is the due service's Set.
+	// schedule is the Set method of due; tests replace it.
 	schedule func(start definer.UpstreamStart, at time.Time)
 
 	mutex    sync.Mutex
 	contacts map[definer.VM]*contact
-	// unlisted are nodes that hand out permits, listed or not.
+	// unlisted are nodes known to issue permits, whether or not they are on the list.
 	unlisted map[definer.VM]unlistedIssuer
-	// asks holds those of this node that are not decided on, by number.
-	asks   map[uint64]chan messenger.PermitAnswer
-	number uint64
-	// issuances holds the permits that this node hands out.
+	// asks holds the answer channels of this node's undecided asks by number.
+	asks       map[uint64]chan messenger.PermitAnswer
+	lastNumber uint64
+	// issuances are the upstreams whose permits this node issues.
 	issuances map[definer.UpstreamStart]*issuance
 }
 
 // Option changes one setting of a Throttler.
 type Option func(*Throttler)
 
-// WithLog sets where numbered events go; it must not block. The default drops them.
+// WithLog sets the function that receives numbered events; it must not block. The default drops
+// them.
 func WithLog(log func(number int, pairs ...any)) Option {
 	return func(throttler *Throttler) { throttler.log = log }
 }
 
-// WithCounts sets what is told of each ask that ended; the default is nothing.
+// WithCounts sets the function that is called with the outcome of each ask. The default does
+// nothing.
 func WithCounts(count func(outcome Outcome)) Option {
 	return func(throttler *Throttler) { throttler.count = count }
 }
 
-// New returns the throttler of a node.
+// New returns the Throttler of the node self.
 func New(self exchanger.Peer, fleet Fleet, sender Sender, announcer *announcer.Announcer, options ...Option) *Throttler {
 	throttler := &Throttler{
 		self:      self,
@@ -110,8 +112,9 @@
 		unlisted:  make(map[definer.VM]unlistedIssuer),
 		asks:      make(map[uint64]chan messenger.PermitAnswer),
 		issuances: make(map[definer.UpstreamStart]*issuance),
-		// Answers to asks of a process before are not taken for answers to this one's.
-		number: uint64(time.Now().UnixNano()),
+		// Starts at the time, so that answers to asks of an earlier process match none of this
+		// process.
+		lastNumber: uint64(time.Now().UnixNano()),
 	}
 	throttler.due = timer.New(func(start definer.UpstreamStart) { throttler.decideQueued(time.Now(), start) })
 	throttler.schedule = throttler.due.Set
@@ -124,10 +127,10 @@
 // Start decides on queued asks until the context ends.
 func (throttler *Throttler) Start(ctx context.Context) { throttler.due.Start(ctx) }
 
-// Done is closed once that has ended.
+// Done returns a channel that is closed once the work begun by Start has ended.
 func (throttler *Throttler) Done() <-chan struct{} { return throttler.due.Done() }
 
-// Receive takes in a message from a peer.
+// Receive processes a permit message from a peer and the announcement in it.
 func (throttler *Throttler) Receive(from definer.Member, message messenger.Message) {
 	throttler.receive(time.Now(), from, message)
 }
--- a/throttler/throttler_test.go
+++ b/throttler/throttler_test.go
@@ -19,14 +19,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// net carries messages between the throttlers of a test, each in the data centre of the
-// upstream.
+// net carries messages between the throttlers of a test, all in the data centre of the upstream.
 type net struct {
 	t *testing.T
 	// mutex guards the rest; no other lock is taken under it.
 	mutex sync.Mutex
 	nodes map[string]*node
-	// dead are the addresses that take nothing.
+	// dead are the addresses that neither send nor receive.
 	dead  map[string]bool
 	group conc.WaitGroup
 }
@@ -67,7 +66,7 @@
 	return exchanger.Peer{VM: name, DataCentre: "west", Address: string(name)}
 }
 
-// Nodes returns all.
+// Nodes returns all nodes.
 func (net *net) Nodes() (nodes []exchanger.Peer, known bool) {
 	for name := range net.nodes {
 		nodes = append(nodes, net.peer(definer.VM(name)))
@@ -75,7 +74,7 @@
 	return nodes, true
 }
 
-// Send hands a message over.
+// Send delivers a message to the node at the address, unless one of the two is dead.
 func (node *node) Send(_ context.Context, address string, message messenger.Message) {
 	node.net.mutex.Lock()
 	defer node.net.mutex.Unlock()
@@ -92,7 +91,7 @@
 	net.dead[string(name)] = true
 }
 
-// hear has a node be answered with a limit, or with none.
+// hear has the node receive an answer of the upstream with a limit, or with none.
 func (node *node) hear(limit definer.RateLimit) {
 	now := time.Now()
 	node.announcer.Hear(now, upstream(), now, announcer.Announcement{Limit: limit})
@@ -104,7 +103,7 @@
 	return throttler.Need{Start: upstream(), DataCentre: "west", Patience: patience}
 }
 
-// TestNoLimitNeedsNoPermit holds that nothing is asked of anybody then.
+// TestNoLimitNeedsNoPermit checks that no ask is sent for an upstream without a limit.
 func TestNoLimitNeedsNoPermit(t *testing.T) {
 	net := newNet(t, "a", "b")
 	for _, node := range net.nodes {
@@ -113,8 +112,9 @@
 	}
 }
 
-// TestNodesShareALimit has three nodes ask as often as they can: together they get what one
-// would, and one that has not heard of the limit learns it with the first ask of another.
+// TestNodesShareALimit has three nodes ask as often as they can: together they get what one node
+// would get, and the node that has not heard of the limit learns it from the first ask of
+// another.
 func TestNodesShareALimit(t *testing.T) {
 	const perSecond, span = 20, 2 * time.Second
 	net := newNet(t, "a", "b", "c")
@@ -137,12 +137,12 @@
 		})
 	}
 	askers.Wait()
-	// A node that begins to hand out permits gives a third for 3 s.
+	// A node that starts to issue permits issues a third of the limit for 3 s.
 	assert.Assert(t, len(granted) >= perSecond/3 && len(granted) <= 2*perSecond+5, "%d permits", len(granted))
 }
 
-// TestSilentIssuerIsPassedOver has the node that hands out the permits end: another does in
-// its place, and a request waits no longer than the time that an answer may take.
+// TestSilentIssuerIsPassedOver has the issuing node end: another node takes its place, and no
+// request waits longer than the answer timeout.
 func TestSilentIssuerIsPassedOver(t *testing.T) {
 	net := newNet(t, "a", "b", "c")
 	for _, node := range net.nodes {
@@ -165,8 +165,8 @@
 	assert.Assert(t, asker.outcomes[throttler.Unanswered] <= 2, "%v", asker.outcomes)
 }
 
-// TestLimitThatIsOverNeedsNoPermit holds that an asker is told by the node that hands out
-// permits when that has heard of the end of the limit; that node alone asks itself.
+// TestLimitThatIsOverNeedsNoPermit checks that an asking node learns from the issuer that the
+// limit has ended; only the issuer itself, which is asked by itself, does not learn it.
 func TestLimitThatIsOverNeedsNoPermit(t *testing.T) {
 	granted := 0
 	for _, asker := range []string{"a", "b", "c"} {
@@ -189,7 +189,7 @@
 	assert.Equal(t, granted, 2)
 }
 
-// TestCallerThatLeavesWaitsNoMore holds that an ask ends with its context.
+// TestCallerThatLeavesWaitsNoMore checks that an ask ends with its context.
 func TestCallerThatLeavesWaitsNoMore(t *testing.T) {
 	net := newNet(t, "a", "b", "c")
 	for _, node := range net.nodes {
--- a/throttler/world_cases_test.go
+++ b/throttler/world_cases_test.go
@@ -12,22 +12,24 @@
 )
 
 const (
-	// window, factor and slack make the users' bound on what an upstream with a limit gets.
+	// window, factor and slack define the users' bound on the requests that an upstream with a
+	// limit gets.
 	window = 4 * time.Second
 	factor = 1.5
 	slack  = 5
-	// settles is from when on the bound holds behind the first word of a limit.
+	// settles is how long after the first announcement of a limit the bound begins to hold.
 	settles = 3 * time.Second
-	// used is the part of a limit that is used at least in calm, where three times as much is
-	// asked for, but for unused permits, which chance gaps between requests may leave.
+	// used is the least part of a limit that is used in the calm case, where three times the
+	// limit is asked for. It leaves out unused permits, which random gaps between requests may
+	// leave over.
 	used   = 0.7
 	unused = 3
-	// worldSeeds is how many random runs of each case are played; by hand it is set to 50.
+	// worldSeeds is the number of random runs of each case; for a longer manual run set it to 50.
 	worldSeeds = 2
 )
 
-// troubles are what becomes of the node that hands out the first upstream's permits, or of
-// others; each is played behind the first seconds, and the fleet goes on behind it.
+// troubles returns the faults of the issuer of the first upstream, or of other nodes, by name.
+// Each begins some seconds after the start and includes the time after the fault.
 func troubles() map[string]func(world *world) {
 	return map[string]func(world *world){
 		"calm": func(world *world) { world.run(20 * time.Second) },
@@ -133,9 +135,9 @@
 	return number
 }
 
-// TestLimitsAreKeptThroughTroubles has fleets of each size ask three times as much as limits
-// allow: in no window does an upstream get more than the users' bound from nodes that nothing
-// has befallen, and in calm most of each limit is used.
+// TestLimitsAreKeptThroughTroubles has fleets of each size ask for three times the limits under
+// faults: in no window may an upstream get more than the users' bound from nodes without a fault,
+// and in the calm case most of each limit must be used.
 func TestLimitsAreKeptThroughTroubles(t *testing.T) {
 	for _, nodes := range []int{2, 8, 81, 390} {
 		for name, trouble := range troubles() {
--- a/throttler/world_test.go
+++ b/throttler/world_test.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// tick is the step of the model's clock.
+	// tick is the step of the simulated clock.
 	tick = 2 * time.Millisecond
-	// longestWay is how long a message takes at most.
+	// longestWay is the longest delay of a message.
 	longestWay = 3 * tick
-	// requestPatience is how long one of two requests waits for a permit.
+	// requestPatience is how long half of the requests wait for a permit.
 	requestPatience = 150 * time.Millisecond
 )
 
-// world is a fleet that sends requests to upstreams with limits, on a stepped clock.
+// world simulates a fleet that sends requests to upstreams with limits, on a stepped clock.
 type world struct {
 	random    *rand.Rand
 	now       time.Time
@@ -31,41 +31,42 @@
 	upstreams []*upstream
 	flying    []flight
 	asking    []asking
-	// lost is the part of messages that is lost.
+	// lost is the fraction of messages that are lost.
 	lost float64
-	// severed tells whether two nodes cannot reach each other.
+	// severed reports whether messages between two nodes are lost.
 	severed func(from, to *member) bool
 }
 
-// member is one node of the world.
+// member is a node of the simulated fleet.
 type member struct {
 	world     *world
 	peer      exchanger.Peer
 	throttler *Throttler
 	announcer *announcer.Announcer
-	// list is the list of nodes as this one knows it, listed whether it has read it.
+	// list is the list of nodes as this node knows it, and listed whether it has read it.
 	list   []exchanger.Peer
 	listed bool
-	// down and frozen nodes send nothing; what a frozen one is sent waits for it.
+	// A down node sends nothing and loses what it is sent; a frozen node receives it when it
+	// thaws.
 	down   bool
 	frozen bool
 	inbox  []flight
 	// excused is set for nodes that were killed, frozen or cut off.
 	excused bool
-	// weight is the node's part of all requests.
+	// weight is the node's relative share of all requests.
 	weight float64
-	// due holds when the queued asks of upstreams are to be decided on.
+	// due is when the queued asks of upstreams are to be decided on.
 	due map[definer.UpstreamStart]time.Time
-	// withheld holds until when no permit of an upstream is expected.
+	// withheld is the time before which no permit of an upstream is expected.
 	withheld map[definer.UpstreamStart]time.Time
 }
 
-// upstream is one with a limit, and the sends that reached it.
+// upstream is an upstream with a limit, and the requests that were sent to it.
 type upstream struct {
 	start      definer.UpstreamStart
 	dataCentre definer.DataCentre
 	limit      float64
-	// asked is how many requests a second there are for it.
+	// asked is the number of requests for it a second.
 	asked float64
 	sends []send
 }
@@ -90,8 +91,7 @@
 	queued   bool
 }
 
-// newWorld returns a fleet in three data centres, whose first node has a third of all
-// requests.
+// newWorld returns a fleet in three data centres whose first node gets a third of all requests.
 func newWorld(seed uint64, nodes int, limits ...float64) *world {
 	world := &world{random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), severed: func(_, _ *member) bool { return false }}
 	for number := range nodes {
@@ -125,7 +125,7 @@
 	return peers
 }
 
-// start begins a process of the node, which hears of the limits at once.
+// start starts a process of the node, which learns of the limits at once.
 func (member *member) start() {
 	member.due = make(map[definer.UpstreamStart]time.Time)
 	member.withheld = make(map[definer.UpstreamStart]time.Time)
@@ -138,10 +138,10 @@
 	member.down, member.frozen = false, false
 }
 
-// Nodes returns the list as the node knows it.
+// Nodes returns the list of nodes as this node knows it.
 func (member *member) Nodes() ([]exchanger.Peer, bool) { return member.list, member.listed }
 
-// Send puts a message on its way.
+// Send schedules the delivery of a message, unless it is lost.
 func (member *member) Send(_ context.Context, address string, message messenger.Message) {
 	world := member.world
 	to := world.place(func(peer exchanger.Peer) bool { return peer.Address == address })
@@ -152,12 +152,12 @@
 	world.flying = append(world.flying, flight{at: world.now.Add(way), from: member, to: world.nodes[to], message: message})
 }
 
-// place returns the place of the node that fits, -1 for none.
+// place returns the index of the first node that matches, or -1.
 func (world *world) place(fits func(peer exchanger.Peer) bool) int {
 	return slices.IndexFunc(world.nodes, func(node *member) bool { return fits(node.peer) })
 }
 
-// run has the fleet go on for the span.
+// run advances the simulation by the span.
 func (world *world) run(span time.Duration) {
 	for end := world.now.Add(span); world.now.Before(end); {
 		world.now = world.now.Add(tick)
@@ -168,7 +168,7 @@
 	}
 }
 
-// arrive delivers what has come.
+// arrive delivers the messages whose delay has passed.
 func (world *world) arrive() {
 	flying := world.flying
 	world.flying = nil
@@ -189,7 +189,7 @@
 	member.throttler.receive(member.world.now, definer.Member{VM: flight.from.peer.VM}, flight.message)
 }
 
-// thaw has a frozen node go on with what it was sent meanwhile.
+// thaw ends the freeze of a node and delivers the messages that it was sent meanwhile.
 func (member *member) thaw() {
 	member.frozen = false
 	for _, flight := range member.inbox {
@@ -198,7 +198,7 @@
 	member.inbox = nil
 }
 
-// decide has nodes decide on queued asks.
+// decide has the nodes decide on the queued asks that are due.
 func (world *world) decide() {
 	for _, node := range world.nodes {
 		for start, at := range node.due {
@@ -210,7 +210,7 @@
 	}
 }
 
-// request has requests come to nodes at random, by their weight.
+// request generates random requests at the nodes, in proportion to their weights.
 func (world *world) request() {
 	total := 0.0
 	for _, node := range world.nodes {
@@ -240,14 +240,14 @@
 	need := Need{Start: upstream.start, DataCentre: upstream.dataCentre, Tier: world.random.IntN(3)}
 	if wait := member.withheld[upstream.start].Sub(world.now); wait > 0 {
 		if wait > requestPatience || world.random.IntN(2) == 0 {
-			return // It goes elsewhere.
+			return // The request goes to another upstream.
 		}
 		need.Patience = requestPatience
 	}
-	world.asking = append(world.asking, asking{node: member, upstream: upstream, ask: member.throttler.begin(world.now, need), until: world.now.Add(answerPatience)})
+	world.asking = append(world.asking, asking{node: member, upstream: upstream, ask: member.throttler.sendAsk(world.now, need), until: world.now.Add(answerTimeout)})
 }
 
-// settle has requests sent that got their permits.
+// settle sends the requests whose asks are decided on, and updates the others.
 func (world *world) settle() {
 	world.asking = slices.DeleteFunc(world.asking, func(asking asking) bool {
 		node := asking.node
@@ -261,12 +261,12 @@
 	}
 }
 
-// take notes that an ask is queued.
+// take records whether the ask was queued.
 func (asking *asking) take(world *world) {
 	select {
 	case answer := <-asking.ask.answers:
 		if answer.Verdict == messenger.PermitQueued {
-			asking.queued, asking.until = true, world.now.Add(asking.ask.need.Patience+answerPatience)
+			asking.queued, asking.until = true, world.now.Add(asking.ask.need.Patience+answerTimeout)
 			return
 		}
 		asking.ask.answers <- answer
@@ -274,16 +274,16 @@
 	}
 }
 
-// settled tells whether the ask is decided on.
+// settled reports whether the ask is decided on, and sends its request if it was granted.
 func (asking *asking) settled(world *world) bool {
-	node, after := asking.node, answerPatience
+	node, after := asking.node, answerTimeout
 	select {
 	case answer := <-asking.ask.answers:
 		if answer.Verdict == messenger.PermitQueued {
 			asking.ask.answers <- answer
 			return false
 		}
-		node.throttler.end(asking.ask)
+		node.throttler.forgetAsk(asking.ask)
 		if answer.Verdict == messenger.PermitGranted {
 			asking.upstream.sends = append(asking.upstream.sends, send{at: world.now, from: node})
 			return true
@@ -294,28 +294,28 @@
 			return false
 		}
 		node.throttler.unanswered(world.now, asking.ask, asking.queued)
-		node.throttler.end(asking.ask)
+		node.throttler.forgetAsk(asking.ask)
 	}
 	node.withheld[asking.upstream.start] = world.now.Add(after)
 	return true
 }
 
-// first returns the node that hands out the permits of an upstream when all are well.
+// first returns the node that issues the permits of an upstream while there are no faults.
 func (world *world) first(upstream *upstream) *member {
 	node := world.nodes[0]
 	order := node.throttler.order(world.now, world.peers(), upstream.start, upstream.dataCentre)
 	return world.nodes[world.place(func(peer exchanger.Peer) bool { return peer.VM == order[0].VM })]
 }
 
-// second returns the node that stands in for it; of one alone, that itself.
+// second returns the node that stands in for the first, or the first if it is alone.
 func (world *world) second(upstream *upstream) *member {
 	node := world.nodes[0]
 	order := node.throttler.order(world.now, world.peers(), upstream.start, upstream.dataCentre)
 	return world.nodes[world.place(func(peer exchanger.Peer) bool { return peer.VM == order[min(1, len(order)-1)].VM })]
 }
 
-// most returns the most sends in the window by nodes that are not excused, and all sends from
-// the time on.
+// most returns the largest number of requests within the window from nodes that are not excused,
+// and the number of all requests, both counted from the time on.
 func (upstream *upstream) most(window time.Duration, from time.Time) (most, all int) {
 	var counted []time.Time
 	for _, send := range upstream.sends {
