--- a/announcer/announcement.go
+++ b/announcer/announcement.go
@@ -8,40 +8,41 @@
 	"limpetcleat/messenger"
 )
 
-// Announcement is what an upstream says of how it wants to be asked. The zero value is
-// that it takes whatever comes.
+// Announcement is what an upstream has announced about the requests that it accepts. The zero
+// value means no limit and no planned end.
 type Announcement struct {
-	// Limit is what it takes from all nodes together.
+	// Limit is the limit for the requests of all nodes together.
 	Limit definer.RateLimit
-	// Leaving is set once it is about to end. That is never taken back: a start that goes on
-	// after all is sent nothing by which it could say so.
+	// Leaving is set once the upstream is about to end. It is never reset for the same start of
+	// the upstream: even if that goes on after all, it gets no more requests in whose answers it
+	// could say so.
 	Leaving bool
 }
 
-// known is the latest announcement of one start of an upstream.
-type known struct {
+// record is the latest announcement of one start of an upstream.
+type record struct {
 	announcement Announcement
-	// at is when it was made, at the latest, by this node's clock.
+	// at is the latest time, by this node's clock, at which it can have been made.
 	at time.Time
-	// source is who told it when it was news.
+	// source is who sent the last announcement that changed the record.
 	source Source
-	// tells counts the reports of each scope that are still to tell it.
-	tells [scopeCount]int
-	// queued is set while it stands among those to be told.
+	// pendingReports is the number of reports of each scope that are still to include it.
+	pendingReports [scopeCount]int
+	// queued is set while it is in the queue of pending announcements.
 	queued bool
 }
 
-// limitsAnew tells whether the limit that was announced between the two times takes the place
-// of the known one. Answers cross: of two that may have been given in either order the
-// stricter one holds, until an answer to a request that was sent behind it says otherwise.
-func (known *known) limitsAnew(announcement Announcement, sentAt, at time.Time) bool {
-	if announcement.Limit.Below(known.announcement.Limit) {
-		return at.After(known.at)
+// replacesLimit reports whether a limit that was announced between the two times replaces the
+// recorded one. Answers may overtake each other: of two that may have been given in either order,
+// the lower limit holds until the answer to a request that was sent after it says otherwise.
+func (record *record) replacesLimit(announcement Announcement, sentAt, at time.Time) bool {
+	if announcement.Limit.Below(record.announcement.Limit) {
+		return at.After(record.at)
 	}
-	return sentAt.After(known.at)
+	return sentAt.After(record.at)
 }
 
-// encode returns an announcement as peers are told it.
+// encode returns the wire form of an announcement.
 func encode(now time.Time, start definer.UpstreamStart, announcement Announcement, at time.Time) messenger.UpstreamAnnouncement {
 	perSecond, limited := announcement.Limit.PerSecond()
 	return messenger.UpstreamAnnouncement{
@@ -50,16 +51,16 @@
 	}
 }
 
-// decode returns a peer's announcement; ok is false for one that no upstream can have made:
-// a peer may be of another version, or wrong.
-func decode(told messenger.UpstreamAnnouncement) (announcement Announcement, ok bool) {
-	possible := told.Upstream != "" && len(told.Upstream) <= maxName && told.Age >= 0 && told.PerSecond >= 0 && told.PerSecond <= math.MaxFloat64
+// decode returns the announcement in a peer's message. ok is false for one that no upstream can
+// have made, since the peer may be of another version or faulty.
+func decode(message messenger.UpstreamAnnouncement) (announcement Announcement, ok bool) {
+	possible := message.Upstream != "" && len(message.Upstream) <= maxNameBytes && message.Age >= 0 && message.PerSecond >= 0 && message.PerSecond <= math.MaxFloat64
 	if !possible {
 		return Announcement{}, false
 	}
-	announcement.Leaving = told.Leaving
-	if told.Limited {
-		announcement.Limit = definer.LimitTo(told.PerSecond)
+	announcement.Leaving = message.Leaving
+	if message.Limited {
+		announcement.Limit = definer.LimitTo(message.PerSecond)
 	}
 	return announcement, true
 }
--- a/announcer/announcer.go
+++ b/announcer/announcer.go
@@ -9,54 +9,56 @@
 )
 
 const (
-	// maxKnown bounds the starts of upstreams whose announcements are kept: some times as
-	// many as there are upstreams.
-	maxKnown = 16384
-	// maxName bounds an upstream's name in bytes.
-	maxName = 256
+	// maxRecords bounds the number of records; it is several times the number of upstreams.
+	maxRecords = 16384
+	// maxNameBytes bounds the length of an upstream's name.
+	maxNameBytes = 256
 )
 
-// Source is who told an announcement: a peer, or the upstream itself when it is empty.
+// Source is the peer that sent an announcement; empty for the upstream itself.
 type Source definer.VM
 
-// Announcer holds announcements. It is safe for concurrent use and reads no clock.
+// Announcer keeps the latest announcements. It is safe for concurrent use and reads no clock: the
+// callers pass all times.
 type Announcer struct {
 	changed func(start definer.UpstreamStart, announcement Announcement, source Source)
-	// count is told how many upstreams have announced what.
+	// count is called with the counts of announcements.
 	count func(counts Counts)
-	// mutex guards the rest; the locks of those who are told of changes are taken under it.
-	mutex sync.Mutex
-	known map[definer.UpstreamStart]*known
-	// counts is of known.
+	// mutex guards the fields below. It is held during the calls of changed and count, which may
+	// take other locks.
+	mutex   sync.Mutex
+	records map[definer.UpstreamStart]*record
+	// counts are the counts of records.
 	counts Counts
-	// untold are those that are still to be told to peers, in order.
-	untold []definer.UpstreamStart
-	// refreshedAt is when some were last told again, refreshed how many were up to then.
-	refreshedAt time.Time
-	refreshed   int
+	// pending are the upstreams whose announcements are still to be reported to peers, in order.
+	pending []definer.UpstreamStart
+	// refreshedAt is the time of the last refresh, and refreshOffset, modulo the number of
+	// announcements, the place in the sorted list where the next refresh begins.
+	refreshedAt   time.Time
+	refreshOffset int
 }
 
 // Option changes one setting of an Announcer.
 type Option func(*Announcer)
 
-// WithChanges sets what is told of each announcement that differs from the one before; it
-// must not block or call the Announcer. The default is nothing.
+// WithChanges sets the function that is called with each announcement that differs from the one
+// before. It must not block or call the Announcer. The default does nothing.
 func WithChanges(changed func(start definer.UpstreamStart, announcement Announcement, source Source)) Option {
 	return func(announcer *Announcer) { announcer.changed = changed }
 }
 
-// WithCounts sets what is told how many upstreams have announced what, whenever that changes;
-// it must not block or call the Announcer. The default is nothing.
+// WithCounts sets the function that is called with the counts of announcements whenever they
+// change. It must not block or call the Announcer. The default does nothing.
 func WithCounts(count func(counts Counts)) Option {
 	return func(announcer *Announcer) { announcer.count = count }
 }
 
-// New returns an Announcer that knows nothing.
+// New returns an Announcer without announcements.
 func New(options ...Option) *Announcer {
 	announcer := &Announcer{
 		changed: func(definer.UpstreamStart, Announcement, Source) {},
 		count:   func(Counts) {},
-		known:   make(map[definer.UpstreamStart]*known),
+		records: make(map[definer.UpstreamStart]*record),
 	}
 	for _, option := range options {
 		option(announcer)
@@ -64,50 +66,52 @@
 	return announcer
 }
 
-// Hear takes in what an upstream's answer says, to a request that was sent at the time.
+// Hear records the announcement in an upstream's answer to a request that was sent at sentAt.
 func (announcer *Announcer) Hear(now time.Time, start definer.UpstreamStart, sentAt time.Time, announcement Announcement) {
 	announcer.mutex.Lock()
 	defer announcer.mutex.Unlock()
-	announcer.take(start, announcement, sentAt, now, "")
+	announcer.update(start, announcement, sentAt, now, "")
 }
 
-// Of returns the latest announcement of a start of an upstream, and how old it is.
+// Of returns the latest announcement of a start of an upstream and its age, or zero values if
+// there is none.
 func (announcer *Announcer) Of(now time.Time, start definer.UpstreamStart) (announcement Announcement, age time.Duration) {
 	announcer.mutex.Lock()
 	defer announcer.mutex.Unlock()
-	if known, ok := announcer.known[start]; ok {
-		return known.announcement, max(now.Sub(known.at), 0)
+	if record, ok := announcer.records[start]; ok {
+		return record.announcement, max(now.Sub(record.at), 0)
 	}
 	return Announcement{}, 0
 }
 
-// Encoded returns the same as peers are told it. Of a start of which nothing is known it says
-// nothing, not even that there is no limit.
+// Encoded returns the latest announcement of a start of an upstream in its wire form. If there is
+// none, the result is marked messenger.Unannounced, which peers do not read as the absence of a
+// limit.
 func (announcer *Announcer) Encoded(now time.Time, start definer.UpstreamStart) messenger.UpstreamAnnouncement {
 	announcer.mutex.Lock()
 	defer announcer.mutex.Unlock()
-	if known, ok := announcer.known[start]; ok {
-		return encode(now, start, known.announcement, known.at)
+	if record, ok := announcer.records[start]; ok {
+		return encode(now, start, record.announcement, record.at)
 	}
 	return messenger.UpstreamAnnouncement{Upstream: start.Upstream, Incarnation: start.Incarnation, Age: messenger.Unannounced}
 }
 
-// Restarted forgets what earlier starts of an upstream announced.
+// Restarted removes the announcement of an earlier start of an upstream that has restarted.
 func (announcer *Announcer) Restarted(earlier definer.UpstreamStart) {
 	announcer.mutex.Lock()
 	defer announcer.mutex.Unlock()
 	announcer.forget(earlier)
 }
 
-// forget drops an announcement; mutex is held.
+// forget removes the announcement of a start of an upstream. The mutex is held.
 func (announcer *Announcer) forget(start definer.UpstreamStart) {
-	if known, ok := announcer.known[start]; ok {
-		announcer.recount(known.announcement, Announcement{})
-		delete(announcer.known, start)
+	if record, ok := announcer.records[start]; ok {
+		announcer.recount(record.announcement, Announcement{})
+		delete(announcer.records, start)
 	}
 }
 
-// recount counts anew when one announcement takes the place of another; mutex is held.
+// recount updates the counts for an announcement that replaces another. The mutex is held.
 func (announcer *Announcer) recount(before, after Announcement) {
 	counts := announcer.counts.minus(before).plus(after)
 	if counts != announcer.counts {
@@ -116,42 +120,42 @@
 	}
 }
 
-// take puts what was announced between the two times in the place of what is known, as far as
-// it is newer; mutex is held.
-func (announcer *Announcer) take(start definer.UpstreamStart, announcement Announcement, sentAt, at time.Time, source Source) {
-	latest, ok := announcer.known[start]
+// update merges an announcement that was made between the two times into the record of the
+// upstream, where it is newer. The mutex is held.
+func (announcer *Announcer) update(start definer.UpstreamStart, announcement Announcement, sentAt, at time.Time, source Source) {
+	latest, ok := announcer.records[start]
 	if !ok {
 		if announcement == (Announcement{}) {
 			return
 		}
-		announcer.makeRoom()
-		latest = &known{}
-		announcer.known[start] = latest
+		announcer.evict()
+		latest = &record{}
+		announcer.records[start] = latest
 	}
-	if ok && !latest.limitsAnew(announcement, sentAt, at) {
+	if ok && !latest.replacesLimit(announcement, sentAt, at) {
 		announcement.Limit, at = latest.announcement.Limit, latest.at
 	}
 	announcement.Leaving = announcement.Leaving || latest.announcement.Leaving
-	news := latest.announcement != announcement
+	changed := latest.announcement != announcement
 	announcer.recount(latest.announcement, announcement)
 	latest.announcement, latest.at = announcement, at
-	if news {
+	if changed {
 		latest.source = source
-		announcer.queue(start, latest, tellTimes)
+		announcer.enqueue(start, latest, reportRepeats)
 		announcer.changed(start, announcement, source)
 	}
 }
 
-// makeRoom forgets the oldest announcement if there are too many; mutex is held.
-func (announcer *Announcer) makeRoom() {
-	if len(announcer.known) < maxKnown {
+// evict removes the oldest announcement if the table is full. The mutex is held.
+func (announcer *Announcer) evict() {
+	if len(announcer.records) < maxRecords {
 		return
 	}
 	var oldest definer.UpstreamStart
 	var at time.Time
-	for start, known := range announcer.known {
-		if at.IsZero() || known.at.Before(at) {
-			oldest, at = start, known.at
+	for start, record := range announcer.records {
+		if at.IsZero() || record.at.Before(at) {
+			oldest, at = start, record.at
 		}
 	}
 	announcer.forget(oldest)
--- a/announcer/announcer_test.go
+++ b/announcer/announcer_test.go
@@ -23,18 +23,20 @@
 	return announcer.Announcement{Limit: definer.LimitTo(perSecond)}
 }
 
-// answer is one that says something, with when its request was sent and when it came.
+// answer is an upstream's answer with an announcement, with the seconds at which its request was
+// sent and at which it arrived.
 type answer struct {
-	sent, came float64
-	says       announcer.Announcement
+	sent, came   float64
+	announcement announcer.Announcement
 }
 
-// TestAnswersCross holds which of several answers counts, whatever their order.
+// TestAnswersCross checks which of several answers prevails when they may have overtaken each
+// other.
 func TestAnswersCross(t *testing.T) {
 	none := announcer.Announcement{}
 	cases := []struct {
 		name string
-		// said are the answers in the order in which they come.
+		// said are the answers in order of arrival.
 		said []answer
 		want string
 	}{
@@ -51,7 +53,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			known, u := announcer.New(), definer.UpstreamStart{Upstream: "u"}
 			for _, said := range test.said {
-				known.Hear(at(said.came), u, at(said.sent), said.says)
+				known.Hear(at(said.came), u, at(said.sent), said.announcement)
 			}
 			announcement, _ := known.Of(at(10), u)
 			assert.Equal(t, announcement.Limit.String(), test.want)
@@ -59,8 +61,8 @@
 	}
 }
 
-// TestALimitHoldsThroughSilence holds that it does not lapse while nothing is heard, and goes
-// with the start that announced it.
+// TestALimitHoldsThroughSilence checks that a limit does not expire while no answers arrive, and
+// that it ends with the start of the upstream that announced it.
 func TestALimitHoldsThroughSilence(t *testing.T) {
 	var counts []announcer.Counts
 	known := announcer.New(announcer.WithCounts(func(count announcer.Counts) { counts = append(counts, count) }))
@@ -77,15 +79,16 @@
 	assert.DeepEqual(t, counts, []announcer.Counts{{Limited: 1}, {}})
 }
 
-// tell passes on what one tells in a report of the scope.
+// tell merges one node's report of the scope into another node and returns the number of
+// announcements in it.
 func tell(now time.Time, from, to *announcer.Announcer, scope messenger.LoadScope) int {
 	told := from.Tell(now, scope)
 	to.Learn(now, "peer", told)
 	return len(told)
 }
 
-// TestPeersAreToldAndTellOn holds that a limit and its end reach a third node, and that telling
-// ends.
+// TestPeersAreToldAndTellOn checks that a limit and its end reach a third node, and that the
+// number of reports is bounded.
 func TestPeersAreToldAndTellOn(t *testing.T) {
 	var sources []announcer.Source
 	u := definer.UpstreamStart{Upstream: "u"}
@@ -116,8 +119,8 @@
 	assert.Assert(t, told <= 6, "%d times", told)
 }
 
-// TestAnOlderWordOfAPeerDoesNotBringALimitBack holds that what a peer still tells does not
-// undo what was heard since.
+// TestAnOlderWordOfAPeerDoesNotBringALimitBack checks that an older announcement in a peer's
+// report does not replace a newer one.
 func TestAnOlderWordOfAPeerDoesNotBringALimitBack(t *testing.T) {
 	u := definer.UpstreamStart{Upstream: "u"}
 	known := announcer.New()
@@ -131,8 +134,8 @@
 	assert.Equal(t, announcement.Limit.String(), "4")
 }
 
-// TestLeavingIsNeverTakenBack holds that no later answer or word of a peer undoes it, and that
-// the limit beside it goes on by its own rules.
+// TestLeavingIsNeverTakenBack checks that no later answer or report resets Leaving, and that the
+// limit of the same upstream is updated independently.
 func TestLeavingIsNeverTakenBack(t *testing.T) {
 	u := definer.UpstreamStart{Upstream: "u"}
 	var latest announcer.Counts
@@ -155,8 +158,8 @@
 	assert.Assert(t, announcement.Leaving, "a peer is told")
 }
 
-// TestAPeerThatKnowsNothingLiftsNoLimit holds that what it tells of an upstream it never heard of
-// is not taken for the word that there is none.
+// TestAPeerThatKnowsNothingLiftsNoLimit checks that a peer's message about an upstream without a
+// known announcement is not read as the absence of a limit.
 func TestAPeerThatKnowsNothingLiftsNoLimit(t *testing.T) {
 	u := definer.UpstreamStart{Upstream: "u"}
 	known := announcer.New()
@@ -166,7 +169,8 @@
 	assert.Equal(t, announcement.Limit.String(), "3")
 }
 
-// TestWrongWordsOfPeersAreIgnored holds that what no upstream can have said changes nothing.
+// TestWrongWordsOfPeersAreIgnored checks that announcements that no upstream can have made change
+// nothing.
 func TestWrongWordsOfPeersAreIgnored(t *testing.T) {
 	known := announcer.New()
 	known.Learn(at(1), "peer", []messenger.UpstreamAnnouncement{
@@ -180,8 +184,8 @@
 	assert.Equal(t, len(known.Tell(at(1), messenger.MemberLoad)), 0)
 }
 
-// TestManyAnnouncementsAreBounded holds that reports stay small and memory bounded, and that
-// all come through in time.
+// TestManyAnnouncementsAreBounded checks that reports stay small, and that all of many
+// announcements reach a peer in time.
 func TestManyAnnouncementsAreBounded(t *testing.T) {
 	const upstreams = 2800
 	from, to := announcer.New(), announcer.New()
@@ -197,8 +201,7 @@
 	}
 }
 
-// BenchmarkTell measures what a report costs while all upstreams of the target size have
-// limits.
+// BenchmarkTell measures the cost of reports while all upstreams of the target size have limits.
 func BenchmarkTell(bench *testing.B) {
 	known := announcer.New()
 	for number := range 2800 {
--- a/announcer/counts.go
+++ b/announcer/counts.go
@@ -1,16 +1,17 @@
 package announcer
 
-// Counts tells how many upstreams have announced what.
+// Counts are numbers of upstreams by their announcements.
 type Counts struct {
-	// Limited have a limit, Leaving are about to end.
+	// Limited is the number of upstreams with a limit, and Leaving of those that are about to
+	// end.
 	Limited int
 	Leaving int
 }
 
-// plus returns the counts with one announcement more.
+// plus returns the counts with an announcement added.
 func (counts Counts) plus(announcement Announcement) Counts { return counts.add(announcement, 1) }
 
-// minus returns the counts without one.
+// minus returns the counts with an announcement removed.
 func (counts Counts) minus(announcement Announcement) Counts { return counts.add(announcement, -1) }
 
 func (counts Counts) add(announcement Announcement, count int) Counts {
--- a/announcer/doc.go
+++ b/announcer/doc.go
@@ -1,3 +1,4 @@
-// Package announcer holds what upstreams have announced of how they want to be asked, and
-// shares it with peers, so that a node heeds it before an answer has told it so itself.
+// Package announcer keeps the rate limits and the planned ends (leaving) that upstreams have
+// announced in their answers, and shares them with peers, so that a node can respect an
+// announcement before it has got one itself.
 package announcer
--- a/announcer/list.go
+++ b/announcer/list.go
@@ -8,24 +8,24 @@
 	"limpetcleat/definer"
 )
 
-// Entry is what is known of one start of an upstream, for operators.
+// Entry describes the announcement of one start of an upstream to operators.
 type Entry struct {
 	Start        definer.UpstreamStart
 	Announcement Announcement
-	// Age is how long ago it was made, at the least.
+	// Age is the least time since it was made.
 	Age time.Duration
-	// Source is who told what is known of it last that was news.
+	// Source is who sent the last announcement that changed the entry.
 	Source Source
 }
 
-// List returns what has been announced and holds, by the names of upstreams.
+// List returns the announcements in force, sorted by upstream.
 func (announcer *Announcer) List(now time.Time) []Entry {
 	announcer.mutex.Lock()
 	defer announcer.mutex.Unlock()
 	var list []Entry
-	for start, known := range announcer.known {
-		if known.announcement != (Announcement{}) {
-			list = append(list, Entry{Start: start, Announcement: known.announcement, Age: max(now.Sub(known.at), 0), Source: known.source})
+	for start, record := range announcer.records {
+		if record.announcement != (Announcement{}) {
+			list = append(list, Entry{Start: start, Announcement: record.announcement, Age: max(now.Sub(record.at), 0), Source: record.source})
 		}
 	}
 	slices.SortFunc(list, func(left, right Entry) int { return strings.Compare(left.Start.String(), right.Start.String()) })
--- a/announcer/telling.go
+++ b/announcer/telling.go
@@ -10,24 +10,25 @@
 )
 
 const (
-	// tellTimes is in how many reports of each scope an announcement is told: one may be lost.
-	tellTimes = 2
-	// maxTold bounds the announcements in one report, some 40 bytes each.
-	maxTold = 64
-	// maxLearnt bounds those that are taken from one report.
-	maxLearnt = 4 * maxTold
-	// refreshEvery is the time between two times that announcements are told again, for
-	// nodes that have started or were cut off since, and refreshMost is of how many
-	// upstreams each time.
-	refreshEvery = time.Second
-	refreshMost  = 8
+	// reportRepeats is the number of reports of each scope that include an announcement, since a
+	// report may be lost.
+	reportRepeats = 2
+	// maxReported bounds the announcements in one report, at some 40 bytes each.
+	maxReported = 64
+	// maxLearned bounds the announcements that are taken from one report.
+	maxLearned = 4 * maxReported
+	// refreshInterval is the time between two refreshes, which report announcements again for
+	// nodes that have started or were cut off since, and refreshCount the number of upstreams in
+	// each refresh.
+	refreshInterval = time.Second
+	refreshCount    = 8
 )
 
-// scopeCount is the number of scopes that are told apart.
+// scopeCount is the number of scopes with counters of their own.
 const scopeCount = 3
 
-// place returns where the count of a scope stands.
-func place(scope messenger.LoadScope) int {
+// scopeIndex returns the index of a report's scope in the counters of pending reports.
+func scopeIndex(scope messenger.LoadScope) int {
 	switch scope {
 	case messenger.MemberLoad:
 		return 0
@@ -38,14 +39,15 @@
 	}
 }
 
-// queue has an announcement told in so many reports of each scope; mutex is held.
-func (announcer *Announcer) queue(start definer.UpstreamStart, known *known, times int) {
-	for place := range known.tells {
-		known.tells[place] = max(known.tells[place], times)
+// enqueue schedules at least the given number of reports of an announcement in each scope. The
+// mutex is held.
+func (announcer *Announcer) enqueue(start definer.UpstreamStart, record *record, times int) {
+	for index := range record.pendingReports {
+		record.pendingReports[index] = max(record.pendingReports[index], times)
 	}
-	if !known.queued {
-		known.queued = true
-		announcer.untold = append(announcer.untold, start)
+	if !record.queued {
+		record.queued = true
+		announcer.pending = append(announcer.pending, start)
 	}
 }
 
@@ -54,59 +56,61 @@
 	announcer.mutex.Lock()
 	defer announcer.mutex.Unlock()
 	announcer.refresh(now)
-	if len(announcer.untold) == 0 {
+	if len(announcer.pending) == 0 {
 		return nil
 	}
-	place := place(scope)
-	var told []messenger.UpstreamAnnouncement
-	announcer.untold = slices.DeleteFunc(announcer.untold, func(start definer.UpstreamStart) bool {
-		known, ok := announcer.known[start]
+	index := scopeIndex(scope)
+	var reported []messenger.UpstreamAnnouncement
+	announcer.pending = slices.DeleteFunc(announcer.pending, func(start definer.UpstreamStart) bool {
+		record, ok := announcer.records[start]
 		if !ok {
 			return true
 		}
-		if known.tells[place] > 0 && len(told) < maxTold {
-			known.tells[place]--
-			told = append(told, encode(now, start, known.announcement, known.at))
+		if record.pendingReports[index] > 0 && len(reported) < maxReported {
+			record.pendingReports[index]--
+			reported = append(reported, encode(now, start, record.announcement, record.at))
 		}
-		known.queued = known.tells != [scopeCount]int{}
-		return !known.queued
+		record.queued = record.pendingReports != [scopeCount]int{}
+		return !record.queued
 	})
-	return told
+	return reported
 }
 
-// refresh has some announcements told once more, in turn; mutex is held.
+// refresh schedules another report of the next refreshCount announcements, in rotation. The mutex
+// is held.
 func (announcer *Announcer) refresh(now time.Time) {
-	if now.Sub(announcer.refreshedAt) < refreshEvery || len(announcer.known) == 0 {
+	if now.Sub(announcer.refreshedAt) < refreshInterval || len(announcer.records) == 0 {
 		return
 	}
 	announcer.refreshedAt = now
 	var starts []definer.UpstreamStart
-	for start, known := range announcer.known {
-		if known.announcement != (Announcement{}) {
+	for start, record := range announcer.records {
+		if record.announcement != (Announcement{}) {
 			starts = append(starts, start)
 		}
 	}
 	slices.SortFunc(starts, func(left, right definer.UpstreamStart) int {
 		return strings.Compare(left.String(), right.String())
 	})
-	for count := range min(refreshMost, len(starts)) {
-		start := starts[(announcer.refreshed+count)%len(starts)]
-		announcer.queue(start, announcer.known[start], 1)
+	for count := range min(refreshCount, len(starts)) {
+		start := starts[(announcer.refreshOffset+count)%len(starts)]
+		announcer.enqueue(start, announcer.records[start], 1)
 	}
-	announcer.refreshed += refreshMost
+	announcer.refreshOffset += refreshCount
 }
 
-// Learn takes in what a peer's message tells.
-func (announcer *Announcer) Learn(now time.Time, from definer.VM, told []messenger.UpstreamAnnouncement) {
-	if len(told) == 0 {
+// Learn merges the announcements in a peer's message. Those that no upstream can have made are
+// ignored.
+func (announcer *Announcer) Learn(now time.Time, from definer.VM, reported []messenger.UpstreamAnnouncement) {
+	if len(reported) == 0 {
 		return
 	}
 	announcer.mutex.Lock()
 	defer announcer.mutex.Unlock()
-	for _, one := range told[:min(len(told), maxLearnt)] {
-		if announcement, ok := decode(one); ok {
-			at := now.Add(-one.Age)
-			announcer.take(one.Start(), announcement, at, at, Source(from))
+	for _, message := range reported[:min(len(reported), maxLearned)] {
+		if announcement, ok := decode(message); ok {
+			at := now.Add(-message.Age)
+			announcer.update(message.Start(), announcement, at, at, Source(from))
 		}
 	}
 }
--- a/examiner/examiner.go
+++ b/examiner/examiner.go
@@ -1,5 +1,5 @@
-// Package examiner finds out whether an upstream at which requests broke off has ended, by
-// one question for all of them.
+// Package examiner finds out whether an upstream has ended when requests to it break off, with
+// one probe of its address for all requests that break off at about the same time.
 package examiner
 
 import (
@@ -13,53 +13,56 @@
 	"limpetcleat/dialer"
 )
 
-// lookLife is how long an answer counts for all requests at the upstream: when it ends, all
-// its connections break within milliseconds, and it takes longer to start again.
-const lookLife = 500 * time.Millisecond
+// findingLifetime is how long the result of a probe is used for further requests to the upstream.
+// When an upstream ends, all its connections break within milliseconds, and it takes longer to
+// start again.
+const findingLifetime = 500 * time.Millisecond
 
-// Ask tells whether anything listens at an address.
+// Ask is a probe: it reports whether a process listens at an address.
 type Ask func(ctx context.Context, address string) dialer.Presence
 
-// Examiner asks once for all requests that break off at an upstream at about one time. It is
-// safe for concurrent use.
+// Examiner probes upstreams at which requests break off, once for all requests that break off at
+// about the same time. It is safe for concurrent use.
 type Examiner struct {
 	ask Ask
-	// mutex guards looks; no other lock is taken under it.
-	mutex sync.Mutex
-	looks map[definer.UpstreamStart]*look
+	// mutex guards probes. No other lock is taken while it is held.
+	mutex  sync.Mutex
+	probes map[definer.UpstreamStart]*probe
 }
 
-// Finding is what became of an upstream at which a request broke off.
+// Finding is the state of an upstream at which a request broke off.
 type Finding struct {
 	Presence dialer.Presence
-	// At is when the first request there broke off.
+	// At is when the first of the requests broke off.
 	At time.Time
 }
 
-// Ended tells whether the upstream has ended.
+// Ended reports whether the upstream has ended.
 func (finding Finding) Ended() bool { return finding.Presence == dialer.Refused }
 
-// look is one question and its answer.
-type look struct {
-	// done is closed once the finding is whole; whoever asks first closes it.
+// probe is a probe of an upstream, under way or done.
+type probe struct {
+	// done is closed once the finding is complete, by the goroutine that created the probe.
 	done    chan struct{}
 	finding Finding
 }
 
-// New returns an Examiner that asks by the function.
+// New returns an Examiner that probes addresses with the function.
 func New(ask Ask) *Examiner {
-	return &Examiner{ask: ask, looks: make(map[definer.UpstreamStart]*look)}
+	return &Examiner{ask: ask, probes: make(map[definer.UpstreamStart]*probe)}
 }
 
-// Examine tells what became of an upstream at which a request broke off now by the cause. One
-// that fell silent is not asked: a VM that is off or cut off answers no question either.
+// Examine returns the state of an upstream at which a request broke off at the time with the
+// cause. After a timeout the upstream is not probed and the finding is dialer.Untold: a VM that
+// is off or cut off answers no probe either.
 func (examiner *Examiner) Examine(now time.Time, start definer.UpstreamStart, address string, cause error) Finding {
 	if errors.Is(cause, syscall.ETIMEDOUT) {
 		return Finding{Presence: dialer.Untold, At: now}
 	}
-	current, first := examiner.at(now, start)
+	current, first := examiner.findOrAdd(now, start)
 	if first {
-		// The answer is for all who wait, so that the first one's end must not end it.
+		// The finding is for all waiting requests, so that the end of the first one must not
+		// cancel the probe.
 		current.finding.Presence = examiner.ask(context.Background(), address)
 		close(current.done)
 	}
@@ -67,19 +70,20 @@
 	return current.finding
 }
 
-// at returns the question to ask or to wait for, and whether it is the caller's to ask.
-func (examiner *Examiner) at(now time.Time, start definer.UpstreamStart) (current *look, first bool) {
+// findOrAdd returns the probe to perform or to wait for, and whether the caller is the first and
+// has to perform it.
+func (examiner *Examiner) findOrAdd(now time.Time, start definer.UpstreamStart) (current *probe, first bool) {
 	examiner.mutex.Lock()
 	defer examiner.mutex.Unlock()
-	if known, ok := examiner.looks[start]; ok && now.Sub(known.finding.At) < lookLife {
-		return known, false
+	if existing, ok := examiner.probes[start]; ok && now.Sub(existing.finding.At) < findingLifetime {
+		return existing, false
 	}
-	for old, known := range examiner.looks {
-		if now.Sub(known.finding.At) >= lookLife {
-			delete(examiner.looks, old)
+	for other, existing := range examiner.probes {
+		if now.Sub(existing.finding.At) >= findingLifetime {
+			delete(examiner.probes, other)
 		}
 	}
-	current = &look{finding: Finding{At: now}, done: make(chan struct{})}
-	examiner.looks[start] = current
+	current = &probe{finding: Finding{At: now}, done: make(chan struct{})}
+	examiner.probes[start] = current
 	return current, true
 }
--- a/examiner/examiner_test.go
+++ b/examiner/examiner_test.go
@@ -14,8 +14,8 @@
 	"limpetcleat/dialer"
 )
 
-// TestLooksAreShared holds that all requests that break off at an upstream are told by one
-// question, that a later break is another question, and that silence is none.
+// TestLooksAreShared checks that one probe serves all requests that break off at an upstream at
+// the same time, that a later break causes another probe, and that a timeout causes none.
 func TestLooksAreShared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		asked := 0
@@ -37,10 +37,10 @@
 		assert.Equal(t, asked, 1)
 		examiner.Examine(time.Now(), other, "", nil)
 		assert.Equal(t, asked, 2)
-		<-time.After(lookLife)
+		<-time.After(findingLifetime)
 		examiner.Examine(time.Now(), one, "", nil)
 		assert.Equal(t, asked, 3)
-		assert.Equal(t, len(examiner.looks), 1)
+		assert.Equal(t, len(examiner.probes), 1)
 		assert.Equal(t, examiner.Examine(time.Now(), other, "", syscall.ETIMEDOUT).Presence, dialer.Untold)
 		assert.Equal(t, asked, 3)
 	})
--- a/issuer/ask.go
+++ b/issuer/ask.go
@@ -6,30 +6,31 @@
 	"limpetcleat/definer"
 )
 
-// AskID names an ask: a node, and its number there.
+// AskID identifies an ask by the node that sent it and a number chosen by that node.
 type AskID struct {
 	From   definer.VM
 	Number uint64
 }
 
-// Ask is one ask for a permit.
+// Ask is a request for one permit.
 type Ask struct {
 	ID AskID
-	// Tier is the rank of the request; 0 is the highest.
+	// Tier is the tier of the request; 0 is the highest.
 	Tier int
-	// Patience is how long the request can wait for the permit; with 0 it is decided at once.
+	// Patience is how long the request can wait for the permit. With 0, an ask that cannot be
+	// granted at once is denied.
 	Patience time.Duration
 }
 
-// Verdict is what became of an ask.
+// Verdict is the result of an ask.
 type Verdict int
 
 const (
-	// Granted asks may send their request, at once and once.
+	// Granted means that the request may be sent, at once and only once.
 	Granted Verdict = iota
-	// Queued asks are decided on later.
+	// Queued means that the ask is decided on later.
 	Queued
-	// Denied asks may not send it.
+	// Denied means that the request may not be sent.
 	Denied
 )
 
@@ -37,14 +38,14 @@
 type Decision struct {
 	ID      AskID
 	Verdict Verdict
-	// After is when the permit of a queued ask is expected, or after what time it is worth
-	// asking again behind a denied one.
+	// After is the expected wait of a queued ask, or the time after which a denied node should
+	// ask again; 0 for a granted ask.
 	After time.Duration
 }
 
-// waiter is an ask in the queue.
-type waiter struct {
+// queuedAsk is an ask in the queue.
+type queuedAsk struct {
 	ask Ask
-	// until is when its patience ends.
-	until time.Time
+	// deadline is when its patience ends.
+	deadline time.Time
 }
--- a/issuer/issuer.go
+++ b/issuer/issuer.go
@@ -9,146 +9,148 @@
 )
 
 const (
-	// burstSpan is the time for which permits that nobody took are kept, and leastBurst how
-	// many are at least: of few a second, one that waits for its taker would hold up the next.
-	burstSpan  = 250 * time.Millisecond
-	leastBurst = 2
-	// fairEvery is how often the ask that has waited longest goes first whatever its tier, so
-	// that no tier starves.
-	fairEvery = 8
-	// maxWaiting bounds the queue.
-	maxWaiting = 256
-	// maxAway is the longest time after which a denied node is asked to come again.
-	maxAway = 2 * time.Second
-	// overbooking is how many times as many denied nodes are asked to come again as there
-	// will be permits: many have sent their request elsewhere by then.
+	// burstSpan is the time for which unused permits accumulate, and minBurst the smallest burst
+	// at low rates. With a burst of 1, a permit that waits for its ask would hold up the next.
+	burstSpan = 250 * time.Millisecond
+	minBurst  = 2
+	// fairnessInterval is the number of permits of which one goes to the ask that has waited
+	// longest, whatever its tier, so that no tier starves.
+	fairnessInterval = 8
+	// maxQueued bounds the queue.
+	maxQueued = 256
+	// maxRetryDelay is the longest time after which a denied node is told to ask again.
+	maxRetryDelay = 2 * time.Second
+	// overbooking is the ratio of denied nodes told to ask again to the permits expected at that
+	// time, since many nodes will have sent their request elsewhere by then.
 	overbooking = 3
 )
 
-// Issuer hands out the permits of one upstream. It is not safe for concurrent use.
+// Issuer issues the permits of one upstream. It is not safe for concurrent use.
 type Issuer struct {
-	// rate is the permits a second, above 0.
+	// rate is the number of permits a second, above 0.
 	rate float64
-	// permits counts those that may be handed out as of filledAt, burst at most.
-	permits  float64
-	filledAt time.Time
-	// queue holds the asks that wait, in the order in which they came.
-	queue []waiter
-	// granted counts the permits handed out.
+	// permits is the number of available permits as of refilledAt, at most burst.
+	permits    float64
+	refilledAt time.Time
+	// queue holds the waiting asks in order of arrival.
+	queue []queuedAsk
+	// granted is the number of permits issued.
 	granted uint64
-	// away holds until when each node that was denied is expected to stay away.
-	away map[definer.VM]time.Time
+	// retryAt is when each denied node is expected to ask again.
+	retryAt map[definer.VM]time.Time
 }
 
-// New returns an issuer of so many permits a second, above 0, that has none yet: another may
-// have handed out all up to now.
+// New returns an Issuer with the given rate in permits a second, above 0. It starts without
+// permits, since a previous issuer may just have issued them all.
 func New(now time.Time, rate float64) *Issuer {
-	return &Issuer{rate: rate, filledAt: now, away: make(map[definer.VM]time.Time)}
+	return &Issuer{rate: rate, refilledAt: now, retryAt: make(map[definer.VM]time.Time)}
 }
 
-// Rate returns the permits a second.
+// Rate returns the number of permits a second.
 func (issuer *Issuer) Rate() float64 { return issuer.rate }
 
-// Waiting counts the asks that wait.
+// Waiting returns the number of queued asks.
 func (issuer *Issuer) Waiting() int { return len(issuer.queue) }
 
-// SetRate changes the permits a second from now on.
+// SetRate changes the rate in permits a second from now on.
 func (issuer *Issuer) SetRate(now time.Time, rate float64) {
-	issuer.fill(now)
+	issuer.refill(now)
 	issuer.rate = rate
 	issuer.permits = min(issuer.permits, issuer.burst())
 }
 
-// Ask decides on an ask, or queues it.
+// Ask grants an ask, queues it, or denies it when its patience would end before its turn.
 func (issuer *Issuer) Ask(now time.Time, ask Ask) Decision {
-	issuer.fill(now)
+	issuer.refill(now)
 	if len(issuer.queue) == 0 && issuer.permits >= 1 {
 		return issuer.grant(ask.ID)
 	}
-	expected := issuer.until(1 + float64(issuer.ahead(ask.Tier)))
-	if expected > ask.Patience || len(issuer.queue) >= maxWaiting {
+	expected := issuer.timeUntil(1 + float64(issuer.countAhead(ask.Tier)))
+	if expected > ask.Patience || len(issuer.queue) >= maxQueued {
 		return issuer.deny(now, ask.ID, expected)
 	}
-	issuer.queue = append(issuer.queue, waiter{ask: ask, until: now.Add(ask.Patience)})
+	issuer.queue = append(issuer.queue, queuedAsk{ask: ask, deadline: now.Add(ask.Patience)})
 	return Decision{ID: ask.ID, Verdict: Queued, After: expected}
 }
 
-// Withdraw takes back an ask that may be queued.
+// Withdraw removes an ask from the queue, if it is queued.
 func (issuer *Issuer) Withdraw(id AskID) {
-	issuer.queue = slices.DeleteFunc(issuer.queue, func(waiter waiter) bool { return waiter.ask.ID == id })
+	issuer.queue = slices.DeleteFunc(issuer.queue, func(queued queuedAsk) bool { return queued.ask.ID == id })
 }
 
-// Due returns the decisions on queued asks whose time has come.
+// Due returns the decisions on queued asks that can be made now: denials of those past their
+// deadline, and a grant for each available permit.
 func (issuer *Issuer) Due(now time.Time) []Decision {
-	issuer.fill(now)
+	issuer.refill(now)
 	var decisions []Decision
-	issuer.queue = slices.DeleteFunc(issuer.queue, func(waiter waiter) bool {
-		if now.Before(waiter.until) {
+	issuer.queue = slices.DeleteFunc(issuer.queue, func(queued queuedAsk) bool {
+		if now.Before(queued.deadline) {
 			return false
 		}
-		decisions = append(decisions, issuer.deny(now, waiter.ask.ID, issuer.until(1)))
+		decisions = append(decisions, issuer.deny(now, queued.ask.ID, issuer.timeUntil(1)))
 		return true
 	})
 	for len(issuer.queue) > 0 && issuer.permits >= 1 {
-		place := issuer.first()
-		decisions = append(decisions, issuer.grant(issuer.queue[place].ask.ID))
-		issuer.queue = slices.Delete(issuer.queue, place, place+1)
+		index := issuer.nextIndex()
+		decisions = append(decisions, issuer.grant(issuer.queue[index].ask.ID))
+		issuer.queue = slices.Delete(issuer.queue, index, index+1)
 	}
 	return decisions
 }
 
-// Next returns when Due is to be called; ok is false while no ask waits.
+// Next returns when to call Due next; ok is false if no ask is queued.
 func (issuer *Issuer) Next() (at time.Time, ok bool) {
 	if len(issuer.queue) == 0 {
 		return time.Time{}, false
 	}
-	at = issuer.filledAt.Add(issuer.until(1))
-	for _, waiter := range issuer.queue {
-		if waiter.until.Before(at) {
-			at = waiter.until
+	at = issuer.refilledAt.Add(issuer.timeUntil(1))
+	for _, queued := range issuer.queue {
+		if queued.deadline.Before(at) {
+			at = queued.deadline
 		}
 	}
 	return at, true
 }
 
-// burst is the most permits that are kept.
-func (issuer *Issuer) burst() float64 { return max(leastBurst, issuer.rate*burstSpan.Seconds()) }
+// burst returns the largest number of permits that are kept.
+func (issuer *Issuer) burst() float64 { return max(minBurst, issuer.rate*burstSpan.Seconds()) }
 
-// fill adds the permits of the time since the last call.
-func (issuer *Issuer) fill(now time.Time) {
-	if now.After(issuer.filledAt) {
-		issuer.permits = min(issuer.permits+issuer.rate*now.Sub(issuer.filledAt).Seconds(), issuer.burst())
-		issuer.filledAt = now
+// refill adds the permits for the time since the last call.
+func (issuer *Issuer) refill(now time.Time) {
+	if now.After(issuer.refilledAt) {
+		issuer.permits = min(issuer.permits+issuer.rate*now.Sub(issuer.refilledAt).Seconds(), issuer.burst())
+		issuer.refilledAt = now
 	}
 }
 
-// until returns how long it takes until there are so many permits.
-func (issuer *Issuer) until(permits float64) time.Duration {
+// timeUntil returns how long it takes until the given number of permits is available, at most
+// some 1 h.
+func (issuer *Issuer) timeUntil(permits float64) time.Duration {
 	seconds := (permits - issuer.permits) / issuer.rate
-	// Rounded up, so that there is a whole one then.
+	// Rounded up by 1 µs, so that the last permit is whole by then.
 	return time.Duration(min(max(seconds, 0), time.Hour.Seconds())*float64(time.Second)) + time.Microsecond
 }
 
-// ahead counts the queued asks that go before one of the tier.
-func (issuer *Issuer) ahead(tier int) int {
+// countAhead returns the number of queued asks that precede a new ask of the tier.
+func (issuer *Issuer) countAhead(tier int) int {
 	count := 0
-	for _, waiter := range issuer.queue {
-		if waiter.ask.Tier <= tier {
+	for _, queued := range issuer.queue {
+		if queued.ask.Tier <= tier {
 			count++
 		}
 	}
 	return count
 }
 
-// first returns the place of the ask that gets the next permit.
-func (issuer *Issuer) first() int {
-	if issuer.granted%fairEvery == fairEvery-1 {
+// nextIndex returns the index in the queue of the ask that gets the next permit.
+func (issuer *Issuer) nextIndex() int {
+	if issuer.granted%fairnessInterval == fairnessInterval-1 {
 		return 0
 	}
 	best := 0
-	for place, waiter := range issuer.queue {
-		if waiter.ask.Tier < issuer.queue[best].ask.Tier {
-			best = place
+	for index, queued := range issuer.queue {
+		if queued.ask.Tier < issuer.queue[best].ask.Tier {
+			best = index
 		}
 	}
 	return best
@@ -157,18 +159,19 @@
 func (issuer *Issuer) grant(id AskID) Decision {
 	issuer.permits--
 	issuer.granted++
-	delete(issuer.away, id.From)
+	delete(issuer.retryAt, id.From)
 	return Decision{ID: id, Verdict: Granted}
 }
 
-// deny denies an ask that would get a permit after the time if no other node came. Nodes are
-// spread over the permits to come, so that not all ask for each.
+// deny denies an ask that would get a permit after the expected time if no other node asked. The
+// nodes are told different times, spread over the coming permits, so that not all ask for each
+// permit.
 func (issuer *Issuer) deny(now time.Time, id AskID, expected time.Duration) Decision {
-	maps.DeleteFunc(issuer.away, func(_ definer.VM, until time.Time) bool { return !until.After(now) })
-	delete(issuer.away, id.From)
-	turn := float64(1+len(issuer.away)) / (overbooking * issuer.rate)
-	after := max(expected, time.Duration(min(turn, maxAway.Seconds())*float64(time.Second)))
-	after = min(after, maxAway)
-	issuer.away[id.From] = now.Add(after)
+	maps.DeleteFunc(issuer.retryAt, func(_ definer.VM, at time.Time) bool { return !at.After(now) })
+	delete(issuer.retryAt, id.From)
+	turn := float64(1+len(issuer.retryAt)) / (overbooking * issuer.rate)
+	after := max(expected, time.Duration(min(turn, maxRetryDelay.Seconds())*float64(time.Second)))
+	after = min(after, maxRetryDelay)
+	issuer.retryAt[id.From] = now.Add(after)
 	return Decision{ID: id, Verdict: Denied, After: after}
 }
--- a/issuer/issuer_test.go
+++ b/issuer/issuer_test.go
@@ -18,8 +18,8 @@
 	return issuer.Ask{ID: issuer.AskID{From: "entry", Number: number}, Tier: tier, Patience: patience}
 }
 
-// TestPermitsKeepToTheRate asks far more often than the rate allows, for rates of all sizes:
-// in no window are there more permits than the rate and one burst, and most are used.
+// TestPermitsKeepToTheRate asks far more often than the rate allows, for low and high rates: no
+// window has more permits than the rate and one burst, and most permits are used.
 func TestPermitsKeepToTheRate(t *testing.T) {
 	const window, step, span = 4 * time.Second, 5 * time.Millisecond, 60 * time.Second
 	for _, rate := range []float64{0.2, 0.5, 1.7, 2.2, 10, 50} {
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestANewIssuerHasNothingToGive holds that one which takes over hands out nothing at once:
-// the one before may have just handed out all.
+// TestANewIssuerHasNothingToGive checks that a new issuer has no permits at once, since its
+// predecessor may just have issued them all.
 func TestANewIssuerHasNothingToGive(t *testing.T) {
 	permits := issuer.New(start(), 2)
 	decision := permits.Ask(start(), ask(1, 0, 0))
@@ -50,8 +50,8 @@
 	assert.Equal(t, permits.Ask(start().Add(decision.After), ask(2, 0, 0)).Verdict, issuer.Granted)
 }
 
-// TestQueuedAsksGoByTierAndTurn holds the order of those that wait, that the longest waiting
-// goes first now and then, and that patience ends.
+// TestQueuedAsksGoByTierAndTurn checks the order in which queued asks are granted, and that the
+// ask that has waited longest goes first once in a while.
 func TestQueuedAsksGoByTierAndTurn(t *testing.T) {
 	permits := issuer.New(start(), 1)
 	assert.Equal(t, permits.Ask(start(), ask(100, 4, 20*time.Second)).Verdict, issuer.Queued)
@@ -74,7 +74,8 @@
 	assert.Assert(t, !waits)
 }
 
-// TestAsksThatCannotBeMetAreDeniedAtOnce holds that nobody waits in vain, also behind a queue.
+// TestAsksThatCannotBeMetAreDeniedAtOnce checks that an ask is denied at once if its patience
+// would end before its turn, also with other asks queued.
 func TestAsksThatCannotBeMetAreDeniedAtOnce(t *testing.T) {
 	permits := issuer.New(start(), 1)
 	assert.Equal(t, permits.Ask(start(), ask(1, 1, 2*time.Second)).Verdict, issuer.Queued)
@@ -88,7 +89,7 @@
 	assert.Equal(t, decisions[0].Verdict, issuer.Denied, "its patience is over before the second permit")
 }
 
-// TestWithdrawnAsksTakeNoPermit holds that a permit goes to the next when an ask was taken back.
+// TestWithdrawnAsksTakeNoPermit checks that the next ask gets the permit of a withdrawn one.
 func TestWithdrawnAsksTakeNoPermit(t *testing.T) {
 	permits := issuer.New(start(), 1)
 	permits.Ask(start(), ask(1, 0, 5*time.Second))
@@ -99,8 +100,8 @@
 	assert.Equal(t, decisions[0].ID.Number, uint64(2))
 }
 
-// TestDeniedNodesAreSpreadOverThePermits holds that many nodes which ask at one moment are
-// sent away for unlike times, none for longer than 2 s.
+// TestDeniedNodesAreSpreadOverThePermits checks that many nodes that ask at the same moment are
+// told different times to ask again, none of more than 2 s.
 func TestDeniedNodesAreSpreadOverThePermits(t *testing.T) {
 	permits := issuer.New(start(), 10)
 	var latest time.Duration
@@ -112,7 +113,8 @@
 	assert.Equal(t, latest, 2*time.Second)
 }
 
-// TestALowerRateHoldsAtOnce holds that what was kept under a higher rate is gone with it.
+// TestALowerRateHoldsAtOnce checks that permits kept under a higher rate are dropped when the
+// rate falls.
 func TestALowerRateHoldsAtOnce(t *testing.T) {
 	permits := issuer.New(start(), 100)
 	now := start().Add(time.Minute)
