--- a/quarantiner/quarantiner_test.go
+++ b/quarantiner/quarantiner_test.go
@@ -14,8 +14,8 @@
 	"limpetcleat/quarantiner"
 )
 
-// began returns the time at which the simulated clocks of the tests start.
-func began() time.Time { return time.Unix(1000, 0) }
+// startTime returns the time at which the simulated clocks of the tests start.
+func startTime() time.Time { return time.Unix(1000, 0) }
 
 // identity returns the identity of a request with the name as its target.
 func identity(name string) definer.RequestIdentity {
@@ -39,11 +39,11 @@
 	lifted string
 }
 
-// play applies the steps to one node and returns the time of the last step.
-func play(node *quarantiner.Quarantiner, steps []step) time.Time {
-	now := began()
+// applySteps applies the steps to one node and returns the time of the last step.
+func applySteps(node *quarantiner.Quarantiner, steps []step) time.Time {
+	now := startTime()
 	for _, step := range steps {
-		now = began().Add(step.at)
+		now = startTime().Add(step.at)
 		node.Tell(now, messenger.MemberLoad) // Nodes report continuously.
 		for _, request := range step.requests {
 			node.Fell(now, start(step.ended), identity(string(request)))
@@ -84,7 +84,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			node := quarantiner.New()
-			now := play(node, test.steps)
+			now := applySteps(node, test.steps)
 			node.Tell(now, messenger.MemberLoad) // Expires old facts.
 			held := ""
 			for _, request := range "ghij" {
@@ -104,16 +104,16 @@
 	node := quarantiner.New()
 	unknown := definer.UpstreamStart{Upstream: "u"}
 	for count, want := range []int{1, 1, 2, 2, 3} {
-		node.Fell(began().Add(time.Duration(count)*600*time.Millisecond), unknown, identity("g"))
+		node.Fell(startTime().Add(time.Duration(count)*600*time.Millisecond), unknown, identity("g"))
 		assert.Equal(t, node.Doubts(identity("g")), want, "%d", count)
 	}
-	assert.Assert(t, node.Check(began().Add(3*time.Second), identity("g")).Left > 0)
+	assert.Assert(t, node.Check(startTime().Add(3*time.Second), identity("g")).Left > 0)
 }
 
 // TestListTellsOperators checks what operators see of a request that is held off.
 func TestListTellsOperators(t *testing.T) {
 	node := quarantiner.New()
-	now := began()
+	now := startTime()
 	node.Fell(now, start(1), identity("g"))
 	node.Learn(now.Add(time.Second), "peer", messenger.FleetLoad, []messenger.UpstreamFall{
 		{Upstream: "u2", Incarnation: 1, Age: 100 * time.Millisecond, Suspects: []definer.RequestIdentity{identity("g"), identity("i")}},
@@ -136,18 +136,18 @@
 	held, suspected := 0, 0
 	node := quarantiner.New(quarantiner.WithCounts(func(nowHeld, nowSuspected int) { held, suspected = nowHeld, nowSuspected }))
 	for number := range 3 {
-		node.Fell(began(), start(number), identity("g"))
+		node.Fell(startTime(), start(number), identity("g"))
 	}
 	for number := range 20_000 {
-		node.Learn(began(), "peer", messenger.MemberLoad, []messenger.UpstreamFall{
+		node.Learn(startTime(), "peer", messenger.MemberLoad, []messenger.UpstreamFall{
 			{Upstream: "u9", Incarnation: 1, Suspects: []definer.RequestIdentity{identity(fmt.Sprint(number))}},
 		})
 	}
 	assert.Assert(t, suspected <= 4096, "%d", suspected)
 	assert.Equal(t, held, 1)
-	assert.Assert(t, node.Check(began(), identity("g")).Left > 0)
+	assert.Assert(t, node.Check(startTime(), identity("g")).Left > 0)
 	told := 0
-	for _, fall := range node.Tell(began(), messenger.MemberLoad) {
+	for _, fall := range node.Tell(startTime(), messenger.MemberLoad) {
 		told += len(fall.Suspects) + len(fall.Cleared)
 	}
 	assert.Equal(t, told, 256)
@@ -158,7 +158,7 @@
 func BenchmarkRequest(bench *testing.B) {
 	node := quarantiner.New()
 	for number := range 4096 {
-		node.Fell(began(), start(number), identity(fmt.Sprint(number)))
+		node.Fell(startTime(), start(number), identity(fmt.Sprint(number)))
 	}
 	body := make([]byte, 800)
 	asked := &quarantiner.Subject{Organisation: "guild", Method: "POST", Host: "h.example", Target: "/a/b", Body: body}
@@ -167,7 +167,7 @@
 	for bench.Loop() {
 		count++
 		binary.BigEndian.PutUint64(body, uint64(count))
-		now := began().Add(time.Duration(count) * time.Second / 2100)
+		now := startTime().Add(time.Duration(count) * time.Second / 2100)
 		identity := quarantiner.Identify(asked)
 		node.Check(now, identity)
 		node.Served(now, identity)
@@ -183,10 +183,10 @@
 	runtime.ReadMemStats(&before)
 	node := quarantiner.New()
 	for number := range 3 * 4096 {
-		node.Fell(began(), start(number/20), identity(fmt.Sprint(number)))
+		node.Fell(startTime(), start(number/20), identity(fmt.Sprint(number)))
 	}
 	for number := range 5 * 2100 {
-		node.Served(began().Add(time.Duration(number)*time.Second/2100), identity(fmt.Sprint("served ", number)))
+		node.Served(startTime().Add(time.Duration(number)*time.Second/2100), identity(fmt.Sprint("served ", number)))
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
@@ -199,13 +199,13 @@
 func BenchmarkCheckAmongSuspects(bench *testing.B) {
 	node := quarantiner.New()
 	for number := range 4096 {
-		node.Fell(began(), start(number), identity(fmt.Sprint(number)))
+		node.Fell(startTime(), start(number), identity(fmt.Sprint(number)))
 	}
 	asked := identity("other")
 	bench.ReportAllocs()
 	for bench.Loop() {
-		node.Check(began(), asked)
-		node.Served(began(), asked)
+		node.Check(startTime(), asked)
+		node.Served(startTime(), asked)
 	}
 }
 
@@ -214,7 +214,7 @@
 func BenchmarkLearnAmongSuspects(bench *testing.B) {
 	node := quarantiner.New()
 	for number := range 4096 {
-		node.Fell(began(), start(number), identity(fmt.Sprint(number)))
+		node.Fell(startTime(), start(number), identity(fmt.Sprint(number)))
 	}
 	fall := messenger.UpstreamFall{Incarnation: 1}
 	for number := range 20 {
@@ -224,7 +224,7 @@
 	for bench.Loop() {
 		count++
 		fall.Upstream = definer.UpstreamName(fmt.Sprint("v", count))
-		node.Learn(began(), "peer", messenger.FleetLoad, []messenger.UpstreamFall{fall})
-		node.Tell(began(), messenger.FleetLoad)
+		node.Learn(startTime(), "peer", messenger.FleetLoad, []messenger.UpstreamFall{fall})
+		node.Tell(startTime(), messenger.FleetLoad)
 	}
 }
--- a/quarantiner/telling_test.go
+++ b/quarantiner/telling_test.go
@@ -16,7 +16,7 @@
 // scope, and, from the second crash under a request on, again once a second.
 func TestFactsAreToldTwiceAndThenAgain(t *testing.T) {
 	node := quarantiner.New()
-	now := began()
+	now := startTime()
 	node.Tell(now, messenger.MemberLoad)
 	node.Fell(now, start(1), identity("g"))
 	tells := func(scope messenger.LoadScope) int { return len(node.Tell(now, scope)) }
@@ -54,10 +54,10 @@
 	}
 	for _, test := range cases {
 		node := quarantiner.New()
-		node.Learn(began(), "peer", test.from, fall)
-		assert.Equal(t, len(node.Tell(began(), messenger.MemberLoad)), test.up, "%v", test.from)
-		assert.Equal(t, len(node.Tell(began(), messenger.GroupLoad)), test.over, "%v", test.from)
-		assert.Equal(t, len(node.Tell(began(), messenger.FleetLoad)), test.down, "%v", test.from)
+		node.Learn(startTime(), "peer", test.from, fall)
+		assert.Equal(t, len(node.Tell(startTime(), messenger.MemberLoad)), test.up, "%v", test.from)
+		assert.Equal(t, len(node.Tell(startTime(), messenger.GroupLoad)), test.over, "%v", test.from)
+		assert.Equal(t, len(node.Tell(startTime(), messenger.FleetLoad)), test.down, "%v", test.from)
 	}
 }
 
@@ -66,7 +66,7 @@
 // request.
 func TestClearingIsTold(t *testing.T) {
 	serving, holding := quarantiner.New(), quarantiner.New()
-	now := began()
+	now := startTime()
 	serving.Served(now, identity("i"))
 	for number := range 3 {
 		holding.Fell(now, start(number), identity("i"))
@@ -95,9 +95,9 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			node := quarantiner.New()
-			node.Learn(began(), "peer", messenger.MemberLoad, []messenger.UpstreamFall{test.fall})
-			assert.Equal(t, len(node.List(began())), 0)
-			assert.Equal(t, len(node.Tell(began(), messenger.MemberLoad)), 0)
+			node.Learn(startTime(), "peer", messenger.MemberLoad, []messenger.UpstreamFall{test.fall})
+			assert.Equal(t, len(node.List(startTime())), 0)
+			assert.Equal(t, len(node.Tell(startTime(), messenger.MemberLoad)), 0)
 		})
 	}
 }
@@ -108,7 +108,7 @@
 	names := []string{"a", "b", "c", "d", "e"}
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := []*quarantiner.Quarantiner{quarantiner.New(), quarantiner.New(), quarantiner.New()}
-		now := began()
+		now := startTime()
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "pauseMs")) * time.Millisecond)
 			node := rapid.SampledFrom(nodes).Draw(t, "node")
@@ -156,12 +156,12 @@
 		}
 		first, second := quarantiner.New(), quarantiner.New()
 		for range 3 {
-			first.Learn(began(), "peer", messenger.MemberLoad, []messenger.UpstreamFall{fall})
+			first.Learn(startTime(), "peer", messenger.MemberLoad, []messenger.UpstreamFall{fall})
 		}
-		told := first.Tell(began(), messenger.MemberLoad)
-		second.Learn(began(), "peer", messenger.MemberLoad, told)
-		assert.Equal(t, len(second.List(began())) <= len(first.List(began())), true)
-		for _, suspicion := range first.List(began()) {
+		told := first.Tell(startTime(), messenger.MemberLoad)
+		second.Learn(startTime(), "peer", messenger.MemberLoad, told)
+		assert.Equal(t, len(second.List(startTime())) <= len(first.List(startTime())), true)
+		for _, suspicion := range first.List(startTime()) {
 			assert.Equal(t, len(suspicion.Upstreams), 1)
 			assert.Assert(t, !suspicion.Held)
 		}
--- a/throttler/benchmark_test.go
+++ b/throttler/benchmark_test.go
@@ -13,19 +13,19 @@
 	"limpetcleat/messenger"
 )
 
-// bench is the Fleet and Sender of a throttler in a fleet of the target size. It drops all
+// benchFleet is the Fleet and Sender of a throttler in a fleet of the target size. It drops all
 // messages.
-type bench struct{ nodes []exchanger.Peer }
+type benchFleet struct{ nodes []exchanger.Peer }
 
-func (bench *bench) Nodes() ([]exchanger.Peer, bool) { return bench.nodes, true }
+func (benchFleet *benchFleet) Nodes() ([]exchanger.Peer, bool) { return benchFleet.nodes, true }
 
-func (*bench) Send(context.Context, string, messenger.Message) {}
+func (*benchFleet) Send(context.Context, string, messenger.Message) {}
 
-// newBench returns the throttler of the first of 390 nodes in five data centres, which knows the
+// newBenchThrottler returns the throttler of the first of 390 nodes in five data centres, which knows the
 // limits of 2,800 upstreams.
-func newBench() *Throttler {
+func newBenchThrottler() *Throttler {
 	const nodes, dataCentres, upstreams = 390, 5, 2800
-	fleet := &bench{}
+	fleet := &benchFleet{}
 	for number := range nodes {
 		fleet.nodes = append(fleet.nodes, exchanger.Peer{
 			VM: definer.VM(fmt.Sprintf("entry-%d", number)), DataCentre: definer.DataCentre(fmt.Sprintf("d%d", number%dataCentres)), Address: fmt.Sprint(number),
@@ -47,7 +47,7 @@
 
 // BenchmarkAskForPermit measures the cost of an ask for the node that asks.
 func BenchmarkAskForPermit(b *testing.B) {
-	throttler := newBench()
+	throttler := newBenchThrottler()
 	b.ReportAllocs()
 	for count := 0; b.Loop(); count++ {
 		throttler.forgetAsk(throttler.sendAsk(time.Now(), Need{Start: benchStart(count % 2800), DataCentre: "d1"}))
@@ -56,7 +56,7 @@
 
 // BenchmarkDecideOnPermit measures the cost of a peer's ask for the node that decides on it.
 func BenchmarkDecideOnPermit(b *testing.B) {
-	throttler := newBench()
+	throttler := newBenchThrottler()
 	b.ReportAllocs()
 	for count := 0; b.Loop(); count++ {
 		now := time.Now()
--- a/throttler/throttler_test.go
+++ b/throttler/throttler_test.go
@@ -19,10 +19,11 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// net carries messages between the throttlers of a test, all in the data centre of the upstream.
-type net struct {
+// network carries messages between the throttlers of a test, all in the data centre of the
+// upstream.
+type network struct {
 	t *testing.T
-	// mutex guards the rest; no other lock is taken under it.
+	// mutex guards the fields below. No other lock is taken while it is held.
 	mutex sync.Mutex
 	nodes map[string]*node
 	// dead are the addresses that neither send nor receive.
@@ -32,67 +33,67 @@
 
 type node struct {
 	*throttler.Throttler
-	net       *net
+	network   *network
 	vm        definer.VM
 	announcer *announcer.Announcer
 	outcomes  map[throttler.Outcome]int
 }
 
-func newNet(t *testing.T, names ...definer.VM) *net {
+func newNetwork(t *testing.T, names ...definer.VM) *network {
 	t.Helper()
-	net := &net{t: t, nodes: make(map[string]*node), dead: make(map[string]bool)}
+	network := &network{t: t, nodes: make(map[string]*node), dead: make(map[string]bool)}
 	ctx, cancel := context.WithCancel(context.Background())
 	for _, name := range names {
-		node := &node{net: net, vm: name, announcer: announcer.New(), outcomes: make(map[throttler.Outcome]int)}
-		node.Throttler = throttler.New(net.peer(name), net, node, node.announcer, throttler.WithCounts(func(outcome throttler.Outcome) {
-			net.mutex.Lock()
-			defer net.mutex.Unlock()
+		node := &node{network: network, vm: name, announcer: announcer.New(), outcomes: make(map[throttler.Outcome]int)}
+		node.Throttler = throttler.New(network.peer(name), network, node, node.announcer, throttler.WithCounts(func(outcome throttler.Outcome) {
+			network.mutex.Lock()
+			defer network.mutex.Unlock()
 			node.outcomes[outcome]++
 		}))
-		net.nodes[string(name)] = node
+		network.nodes[string(name)] = node
 		node.Start(ctx)
 	}
 	t.Cleanup(func() {
 		cancel()
-		net.group.Wait()
-		for _, node := range net.nodes {
+		network.group.Wait()
+		for _, node := range network.nodes {
 			<-node.Done()
 		}
 	})
-	return net
+	return network
 }
 
-func (*net) peer(name definer.VM) exchanger.Peer {
+func (*network) peer(name definer.VM) exchanger.Peer {
 	return exchanger.Peer{VM: name, DataCentre: "west", Address: string(name)}
 }
 
 // Nodes returns all nodes.
-func (net *net) Nodes() (nodes []exchanger.Peer, known bool) {
-	for name := range net.nodes {
-		nodes = append(nodes, net.peer(definer.VM(name)))
+func (network *network) Nodes() (nodes []exchanger.Peer, known bool) {
+	for name := range network.nodes {
+		nodes = append(nodes, network.peer(definer.VM(name)))
 	}
 	return nodes, true
 }
 
 // Send delivers a message to the node at the address, unless one of the two is dead.
 func (node *node) Send(_ context.Context, address string, message messenger.Message) {
-	node.net.mutex.Lock()
-	defer node.net.mutex.Unlock()
-	to, known := node.net.nodes[address]
-	if !known || node.net.dead[address] || node.net.dead[string(node.vm)] {
+	node.network.mutex.Lock()
+	defer node.network.mutex.Unlock()
+	to, known := node.network.nodes[address]
+	if !known || node.network.dead[address] || node.network.dead[string(node.vm)] {
 		return
 	}
-	node.net.group.Go(func() { to.Receive(definer.Member{VM: node.vm}, message) })
+	node.network.group.Go(func() { to.Receive(definer.Member{VM: node.vm}, message) })
 }
 
-func (net *net) kill(name definer.VM) {
-	net.mutex.Lock()
-	defer net.mutex.Unlock()
-	net.dead[string(name)] = true
+func (network *network) kill(name definer.VM) {
+	network.mutex.Lock()
+	defer network.mutex.Unlock()
+	network.dead[string(name)] = true
 }
 
-// hear has the node receive an answer of the upstream with a limit, or with none.
-func (node *node) hear(limit definer.RateLimit) {
+// learnLimit has the node receive an answer of the upstream with a limit, or with none.
+func (node *node) learnLimit(limit definer.RateLimit) {
 	now := time.Now()
 	node.announcer.Hear(now, upstream(), now, announcer.Announcement{Limit: limit})
 }
@@ -105,8 +106,8 @@
 
 // TestNoLimitNeedsNoPermit checks that no ask is sent for an upstream without a limit.
 func TestNoLimitNeedsNoPermit(t *testing.T) {
-	net := newNet(t, "a", "b")
-	for _, node := range net.nodes {
+	network := newNetwork(t, "a", "b")
+	for _, node := range network.nodes {
 		assert.Assert(t, node.Take(t.Context(), need(0)).Granted)
 		assert.Equal(t, len(node.outcomes), 0)
 	}
@@ -117,16 +118,16 @@
 // another.
 func TestNodesShareALimit(t *testing.T) {
 	const perSecond, span = 20, 2 * time.Second
-	net := newNet(t, "a", "b", "c")
-	net.nodes["a"].hear(definer.LimitTo(perSecond))
-	net.nodes["b"].hear(definer.LimitTo(perSecond))
+	network := newNetwork(t, "a", "b", "c")
+	network.nodes["a"].learnLimit(definer.LimitTo(perSecond))
+	network.nodes["b"].learnLimit(definer.LimitTo(perSecond))
 	until := time.Now().Add(span)
 	granted := make(chan struct{}, 1000)
 	var askers conc.WaitGroup
 	for _, name := range []string{"a", "b"} {
 		askers.Go(func() {
 			for time.Now().Before(until) {
-				permit := net.nodes[name].Take(t.Context(), need(50*time.Millisecond))
+				permit := network.nodes[name].Take(t.Context(), need(50*time.Millisecond))
 				if permit.Granted {
 					granted <- struct{}{}
 					continue
@@ -144,13 +145,13 @@
 // TestSilentIssuerIsPassedOver has the issuing node end: another node takes its place, and no
 // request waits longer than the answer timeout.
 func TestSilentIssuerIsPassedOver(t *testing.T) {
-	net := newNet(t, "a", "b", "c")
-	for _, node := range net.nodes {
-		node.hear(definer.LimitTo(1000))
+	network := newNetwork(t, "a", "b", "c")
+	for _, node := range network.nodes {
+		node.learnLimit(definer.LimitTo(1000))
 	}
-	asker := net.nodes["a"]
+	asker := network.nodes["a"]
 	for _, name := range []definer.VM{"b", "c"} {
-		net.kill(name)
+		network.kill(name)
 	}
 	began, granted := time.Now(), 0
 	for count := 0; granted == 0 && count < 200; count++ {
@@ -170,19 +171,19 @@
 func TestLimitThatIsOverNeedsNoPermit(t *testing.T) {
 	granted := 0
 	for _, asker := range []string{"a", "b", "c"} {
-		net := newNet(t, "a", "b", "c")
-		net.nodes[asker].hear(definer.LimitTo(0.5))
+		network := newNetwork(t, "a", "b", "c")
+		network.nodes[asker].learnLimit(definer.LimitTo(0.5))
 		<-time.After(5 * time.Millisecond)
-		for name, node := range net.nodes {
+		for name, node := range network.nodes {
 			if name != asker {
-				node.hear(definer.LimitTo(0.5))
+				node.learnLimit(definer.LimitTo(0.5))
 				<-time.After(5 * time.Millisecond)
-				node.hear(definer.RateLimit{})
+				node.learnLimit(definer.RateLimit{})
 			}
 		}
-		if net.nodes[asker].Take(t.Context(), need(0)).Granted {
+		if network.nodes[asker].Take(t.Context(), need(0)).Granted {
 			granted++
-			announcement, _ := net.nodes[asker].announcer.Of(time.Now(), upstream())
+			announcement, _ := network.nodes[asker].announcer.Of(time.Now(), upstream())
 			assert.Equal(t, announcement.Limit.String(), "none")
 		}
 	}
@@ -191,11 +192,11 @@
 
 // TestCallerThatLeavesWaitsNoMore checks that an ask ends with its context.
 func TestCallerThatLeavesWaitsNoMore(t *testing.T) {
-	net := newNet(t, "a", "b", "c")
-	for _, node := range net.nodes {
-		node.hear(definer.LimitTo(0.3))
+	network := newNetwork(t, "a", "b", "c")
+	for _, node := range network.nodes {
+		node.learnLimit(definer.LimitTo(0.3))
 	}
-	for _, node := range net.nodes {
+	for _, node := range network.nodes {
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 		at := time.Now()
 		assert.Assert(t, !node.Take(ctx, need(time.Minute)).Granted)
--- a/throttler/world_cases_test.go
+++ b/throttler/world_cases_test.go
@@ -17,37 +17,37 @@
 	window = 4 * time.Second
 	factor = 1.5
 	slack  = 5
-	// settles is how long after the first announcement of a limit the bound begins to hold.
-	settles = 3 * time.Second
-	// used is the least part of a limit that is used in the calm case, where three times the
-	// limit is asked for. It leaves out unused permits, which random gaps between requests may
+	// settlingTime is how long after the first announcement of a limit the bound begins to hold.
+	settlingTime = 3 * time.Second
+	// minUse is the least part of a limit that is used in the calm case, where three times the
+	// limit is asked for. It leaves out unusedPermits, which random gaps between requests may
 	// leave over.
-	used   = 0.7
-	unused = 3
+	minUse        = 0.7
+	unusedPermits = 3
 	// worldSeeds is the number of random runs of each case; for a longer manual run set it to 50.
 	worldSeeds = 2
 )
 
-// troubles returns the faults of the issuer of the first upstream, or of other nodes, by name.
+// faults returns the faults of the issuer of the first upstream, or of other nodes, by name.
 // Each begins some seconds after the start and includes the time after the fault.
-func troubles() map[string]func(world *world) {
+func faults() map[string]func(world *world) {
 	return map[string]func(world *world){
 		"calm": func(world *world) { world.run(20 * time.Second) },
 		"issuer killed and back": func(world *world) {
-			node := world.first(world.upstreams[0])
-			node.down, node.excused = true, true
+			node := world.primaryIssuer(world.upstreams[0])
+			node.down, node.excluded = true, true
 			world.run(2500 * time.Millisecond)
 			node.start()
 			world.run(20 * time.Second)
 		},
 		"issuer gone for good": func(world *world) {
-			node := world.first(world.upstreams[0])
-			node.down, node.excused = true, true
+			node := world.primaryIssuer(world.upstreams[0])
+			node.down, node.excluded = true, true
 			world.run(20 * time.Second)
 		},
 		"issuer frozen again and again": func(world *world) {
-			node := world.first(world.upstreams[0])
-			node.excused = true
+			node := world.primaryIssuer(world.upstreams[0])
+			node.excluded = true
 			for range 3 {
 				node.frozen = true
 				world.run(4500 * time.Millisecond)
@@ -56,16 +56,16 @@
 			}
 		},
 		"issuer cut off from all nodes": func(world *world) {
-			node := world.first(world.upstreams[0])
-			node.excused = true
+			node := world.primaryIssuer(world.upstreams[0])
+			node.excluded = true
 			world.severed = func(from, to *member) bool { return from != to && (from == node || to == node) }
 			world.run(8 * time.Second)
 			world.severed = func(_, _ *member) bool { return false }
 			world.run(12 * time.Second)
 		},
 		"issuer is not heard": func(world *world) {
-			node := world.first(world.upstreams[0])
-			node.excused = true
+			node := world.primaryIssuer(world.upstreams[0])
+			node.excluded = true
 			world.severed = func(from, _ *member) bool { return from == node }
 			world.run(8 * time.Second)
 			world.severed = func(_, _ *member) bool { return false }
@@ -74,7 +74,7 @@
 		"half of the nodes cut off from the others": func(world *world) {
 			world.severed = func(from, to *member) bool { return from.number()%2 != to.number()%2 }
 			for _, node := range world.nodes {
-				node.excused = node.number()%2 == 1
+				node.excluded = node.number()%2 == 1
 			}
 			world.run(8 * time.Second)
 			world.severed = func(_, _ *member) bool { return false }
@@ -85,7 +85,7 @@
 			world.run(20 * time.Second)
 		},
 		"half of the nodes miss another on their lists": func(world *world) {
-			missing := world.first(world.upstreams[0]).peer.VM
+			missing := world.primaryIssuer(world.upstreams[0]).peer.VM
 			for _, node := range world.nodes {
 				if node.number()%2 == 0 && node.peer.VM != missing {
 					node.list = nil
@@ -103,7 +103,7 @@
 			world.run(8 * time.Second)
 		},
 		"two miss each other on their lists": func(world *world) {
-			first, second := world.first(world.upstreams[0]), world.second(world.upstreams[0])
+			first, second := world.primaryIssuer(world.upstreams[0]), world.standInIssuer(world.upstreams[0])
 			for _, node := range world.nodes {
 				missing := first
 				if node == first || node != second && node.number()%2 == 0 {
@@ -119,7 +119,7 @@
 		},
 		"nodes start again in turn": func(world *world) {
 			for _, node := range world.nodes[:min(len(world.nodes), 12)] {
-				node.down, node.excused = true, true
+				node.down, node.excluded = true, true
 				world.run(500 * time.Millisecond)
 				node.start()
 				world.run(500 * time.Millisecond)
@@ -140,24 +140,24 @@
 // and in the calm case most of each limit must be used.
 func TestLimitsAreKeptThroughTroubles(t *testing.T) {
 	for _, nodes := range []int{2, 8, 81, 390} {
-		for name, trouble := range troubles() {
+		for name, fault := range faults() {
 			for seed := range uint64(worldSeeds) {
 				t.Run(fmt.Sprintf("%d nodes/%s/%d", nodes, name, seed), func(t *testing.T) {
 					t.Parallel()
 					world := newWorld(seed, nodes, 0.5, 2.2, 10, 40)
-					world.run(settles)
+					world.run(settlingTime)
 					from := world.now
 					world.run(3 * time.Second)
-					trouble(world)
+					fault(world)
 					for _, upstream := range world.upstreams {
-						most, all := upstream.most(window, from)
+						most, all := upstream.busiestWindow(window, from)
 						allowed := int(factor*upstream.limit*window.Seconds()) + slack
 						whole := upstream.limit * world.now.Sub(from).Seconds()
 						part := float64(all) / whole
 						t.Logf("limit %v: at most %d of %d in %v; %.2f of it used", upstream.limit, most, allowed, window, part)
 						assert.Check(t, most <= allowed, "%v: %d in %v; allowed are %d", upstream.limit, most, window, allowed)
 						if name == "calm" {
-							assert.Check(t, float64(all) >= used*whole-unused, "%v: %.2f of the limit is used", upstream.limit, part)
+							assert.Check(t, float64(all) >= minUse*whole-unusedPermits, "%v: %.2f of the limit is used", upstream.limit, part)
 						}
 					}
 				})
--- a/throttler/world_test.go
+++ b/throttler/world_test.go
@@ -17,20 +17,20 @@
 const (
 	// tick is the step of the simulated clock.
 	tick = 2 * time.Millisecond
-	// longestWay is the longest delay of a message.
-	longestWay = 3 * tick
+	// maxDelay is the longest delay of a message.
+	maxDelay = 3 * tick
 	// requestPatience is how long half of the requests wait for a permit.
 	requestPatience = 150 * time.Millisecond
 )
 
 // world simulates a fleet that sends requests to upstreams with limits, on a stepped clock.
 type world struct {
-	random    *rand.Rand
-	now       time.Time
-	nodes     []*member
-	upstreams []*upstream
-	flying    []flight
-	asking    []asking
+	random     *rand.Rand
+	now        time.Time
+	nodes      []*member
+	upstreams  []*upstream
+	deliveries []delivery
+	waiting    []waitingRequest
 	// lost is the fraction of messages that are lost.
 	lost float64
 	// severed reports whether messages between two nodes are lost.
@@ -50,9 +50,9 @@
 	// thaws.
 	down   bool
 	frozen bool
-	inbox  []flight
-	// excused is set for nodes that were killed, frozen or cut off.
-	excused bool
+	inbox  []delivery
+	// excluded is set for nodes that were killed, frozen or cut off.
+	excluded bool
 	// weight is the node's relative share of all requests.
 	weight float64
 	// due is when the queued asks of upstreams are to be decided on.
@@ -66,9 +66,9 @@
 	start      definer.UpstreamStart
 	dataCentre definer.DataCentre
 	limit      float64
-	// asked is the number of requests for it a second.
-	asked float64
-	sends []send
+	// requestRate is the number of requests for it a second.
+	requestRate float64
+	sends       []send
 }
 
 type send struct {
@@ -76,14 +76,14 @@
 	from *member
 }
 
-type flight struct {
+type delivery struct {
 	at       time.Time
 	from, to *member
 	message  messenger.Message
 }
 
-// asking is a request that waits for its permit.
-type asking struct {
+// waitingRequest is a request that waits for its permit.
+type waitingRequest struct {
 	node     *member
 	upstream *upstream
 	ask      *ask
@@ -103,7 +103,7 @@
 	world.nodes[0].weight = float64(nodes) / 2
 	for number, limit := range limits {
 		world.upstreams = append(world.upstreams, &upstream{
-			start: definer.UpstreamStart{Upstream: definer.UpstreamName(fmt.Sprintf("u%d", number))}, dataCentre: dataCentre(number), limit: limit, asked: 3*limit + 1,
+			start: definer.UpstreamStart{Upstream: definer.UpstreamName(fmt.Sprintf("u%d", number))}, dataCentre: dataCentre(number), limit: limit, requestRate: 3*limit + 1,
 		})
 	}
 	for _, node := range world.nodes {
@@ -144,16 +144,16 @@
 // Send schedules the delivery of a message, unless it is lost.
 func (member *member) Send(_ context.Context, address string, message messenger.Message) {
 	world := member.world
-	to := world.place(func(peer exchanger.Peer) bool { return peer.Address == address })
+	to := world.indexOf(func(peer exchanger.Peer) bool { return peer.Address == address })
 	if to < 0 || world.random.Float64() < world.lost {
 		return
 	}
-	way := tick * time.Duration(1+world.random.IntN(int(longestWay/tick)))
-	world.flying = append(world.flying, flight{at: world.now.Add(way), from: member, to: world.nodes[to], message: message})
+	delay := tick * time.Duration(1+world.random.IntN(int(maxDelay/tick)))
+	world.deliveries = append(world.deliveries, delivery{at: world.now.Add(delay), from: member, to: world.nodes[to], message: message})
 }
 
-// place returns the index of the first node that matches, or -1.
-func (world *world) place(fits func(peer exchanger.Peer) bool) int {
+// indexOf returns the index of the first node that matches, or -1.
+func (world *world) indexOf(fits func(peer exchanger.Peer) bool) int {
 	return slices.IndexFunc(world.nodes, func(node *member) bool { return fits(node.peer) })
 }
 
@@ -161,39 +161,39 @@
 func (world *world) run(span time.Duration) {
 	for end := world.now.Add(span); world.now.Before(end); {
 		world.now = world.now.Add(tick)
-		world.arrive()
+		world.deliver()
 		world.decide()
-		world.request()
-		world.settle()
+		world.generateRequests()
+		world.finishAsks()
 	}
 }
 
-// arrive delivers the messages whose delay has passed.
-func (world *world) arrive() {
-	flying := world.flying
-	world.flying = nil
-	for _, flight := range flying {
+// deliver delivers the messages whose delay has passed.
+func (world *world) deliver() {
+	deliveries := world.deliveries
+	world.deliveries = nil
+	for _, delivery := range deliveries {
 		switch {
-		case flight.at.After(world.now):
-			world.flying = append(world.flying, flight)
-		case flight.to.down || world.severed(flight.from, flight.to):
-		case flight.to.frozen:
-			flight.to.inbox = append(flight.to.inbox, flight)
+		case delivery.at.After(world.now):
+			world.deliveries = append(world.deliveries, delivery)
+		case delivery.to.down || world.severed(delivery.from, delivery.to):
+		case delivery.to.frozen:
+			delivery.to.inbox = append(delivery.to.inbox, delivery)
 		default:
-			flight.to.take(flight)
+			delivery.to.receive(delivery)
 		}
 	}
 }
 
-func (member *member) take(flight flight) {
-	member.throttler.receive(member.world.now, definer.Member{VM: flight.from.peer.VM}, flight.message)
+func (member *member) receive(delivery delivery) {
+	member.throttler.receive(member.world.now, definer.Member{VM: delivery.from.peer.VM}, delivery.message)
 }
 
 // thaw ends the freeze of a node and delivers the messages that it was sent meanwhile.
 func (member *member) thaw() {
 	member.frozen = false
-	for _, flight := range member.inbox {
-		member.take(flight)
+	for _, delivery := range member.inbox {
+		member.receive(delivery)
 	}
 	member.inbox = nil
 }
@@ -210,21 +210,21 @@
 	}
 }
 
-// request generates random requests at the nodes, in proportion to their weights.
-func (world *world) request() {
+// generateRequests generates random requests at the nodes, in proportion to their weights.
+func (world *world) generateRequests() {
 	total := 0.0
 	for _, node := range world.nodes {
 		total += node.weight
 	}
 	for _, upstream := range world.upstreams {
-		for due := upstream.asked * tick.Seconds(); due > 0; due-- {
+		for due := upstream.requestRate * tick.Seconds(); due > 0; due-- {
 			if world.random.Float64() >= due {
 				continue
 			}
 			place := world.random.Float64() * total
 			for _, node := range world.nodes {
 				if place -= node.weight; place < 0 {
-					node.request(upstream)
+					node.sendRequest(upstream)
 					break
 				}
 			}
@@ -232,7 +232,7 @@
 	}
 }
 
-func (member *member) request(upstream *upstream) {
+func (member *member) sendRequest(upstream *upstream) {
 	world := member.world
 	if member.down || member.frozen {
 		return
@@ -244,86 +244,86 @@
 		}
 		need.Patience = requestPatience
 	}
-	world.asking = append(world.asking, asking{node: member, upstream: upstream, ask: member.throttler.sendAsk(world.now, need), until: world.now.Add(answerTimeout)})
+	world.waiting = append(world.waiting, waitingRequest{node: member, upstream: upstream, ask: member.throttler.sendAsk(world.now, need), until: world.now.Add(answerTimeout)})
 }
 
-// settle sends the requests whose asks are decided on, and updates the others.
-func (world *world) settle() {
-	world.asking = slices.DeleteFunc(world.asking, func(asking asking) bool {
-		node := asking.node
+// finishAsks sends the requests whose asks are decided on, and updates the others.
+func (world *world) finishAsks() {
+	world.waiting = slices.DeleteFunc(world.waiting, func(waiting waitingRequest) bool {
+		node := waiting.node
 		if node.down {
 			return true
 		}
-		return !node.frozen && asking.settled(world)
+		return !node.frozen && waiting.isDecided(world)
 	})
-	for index := range world.asking {
-		world.asking[index].take(world)
+	for index := range world.waiting {
+		world.waiting[index].recordQueued(world)
 	}
 }
 
-// take records whether the ask was queued.
-func (asking *asking) take(world *world) {
+// recordQueued records whether the ask was queued.
+func (waiting *waitingRequest) recordQueued(world *world) {
 	select {
-	case answer := <-asking.ask.answers:
+	case answer := <-waiting.ask.answers:
 		if answer.Verdict == messenger.PermitQueued {
-			asking.queued, asking.until = true, world.now.Add(asking.ask.need.Patience+answerTimeout)
+			waiting.queued, waiting.until = true, world.now.Add(waiting.ask.need.Patience+answerTimeout)
 			return
 		}
-		asking.ask.answers <- answer
+		waiting.ask.answers <- answer
 	default:
 	}
 }
 
-// settled reports whether the ask is decided on, and sends its request if it was granted.
-func (asking *asking) settled(world *world) bool {
-	node, after := asking.node, answerTimeout
+// isDecided reports whether the ask is decided on, and sends its request if it was granted.
+func (waiting *waitingRequest) isDecided(world *world) bool {
+	node, after := waiting.node, answerTimeout
 	select {
-	case answer := <-asking.ask.answers:
+	case answer := <-waiting.ask.answers:
 		if answer.Verdict == messenger.PermitQueued {
-			asking.ask.answers <- answer
+			waiting.ask.answers <- answer
 			return false
 		}
-		node.throttler.forgetAsk(asking.ask)
+		node.throttler.forgetAsk(waiting.ask)
 		if answer.Verdict == messenger.PermitGranted {
-			asking.upstream.sends = append(asking.upstream.sends, send{at: world.now, from: node})
+			waiting.upstream.sends = append(waiting.upstream.sends, send{at: world.now, from: node})
 			return true
 		}
 		after = answer.After
 	default:
-		if world.now.Before(asking.until) {
+		if world.now.Before(waiting.until) {
 			return false
 		}
-		node.throttler.unanswered(world.now, asking.ask, asking.queued)
-		node.throttler.forgetAsk(asking.ask)
+		node.throttler.unanswered(world.now, waiting.ask, waiting.queued)
+		node.throttler.forgetAsk(waiting.ask)
 	}
-	node.withheld[asking.upstream.start] = world.now.Add(after)
+	node.withheld[waiting.upstream.start] = world.now.Add(after)
 	return true
 }
 
-// first returns the node that issues the permits of an upstream while there are no faults.
-func (world *world) first(upstream *upstream) *member {
+// primaryIssuer returns the node that issues the permits of an upstream while there are no faults.
+func (world *world) primaryIssuer(upstream *upstream) *member {
 	node := world.nodes[0]
 	order := node.throttler.order(world.now, world.peers(), upstream.start, upstream.dataCentre)
-	return world.nodes[world.place(func(peer exchanger.Peer) bool { return peer.VM == order[0].VM })]
+	return world.nodes[world.indexOf(func(peer exchanger.Peer) bool { return peer.VM == order[0].VM })]
 }
 
-// second returns the node that stands in for the first, or the first if it is alone.
-func (world *world) second(upstream *upstream) *member {
+// standInIssuer returns the node that stands in for the first, or the first if it is alone.
+func (world *world) standInIssuer(upstream *upstream) *member {
 	node := world.nodes[0]
 	order := node.throttler.order(world.now, world.peers(), upstream.start, upstream.dataCentre)
-	return world.nodes[world.place(func(peer exchanger.Peer) bool { return peer.VM == order[min(1, len(order)-1)].VM })]
+	return world.nodes[world.indexOf(func(peer exchanger.Peer) bool { return peer.VM == order[min(1, len(order)-1)].VM })]
 }
 
-// most returns the largest number of requests within the window from nodes that are not excused,
-// and the number of all requests, both counted from the time on.
-func (upstream *upstream) most(window time.Duration, from time.Time) (most, all int) {
+// busiestWindow returns the largest number of requests within the window from nodes that are not
+// excluded, and the number of all requests, both counted from the time on.
+func (upstream *upstream) busiestWindow(window time.Duration, from time.Time) (most, all int) {
 	var counted []time.Time
 	for _, send := range upstream.sends {
 		if send.at.Before(from) {
 			continue
 		}
 		all++
-		if !send.from.excused {
+		if !send.from.excluded {
 			counted = append(counted, send.at)
 		}
 	}
