--- a/announcer/announcer_test.go
+++ b/announcer/announcer_test.go
@@ -40,14 +40,14 @@
 		said []answer
 		want string
 	}{
-		{"first word", []answer{{1, 2, limit(3)}}, "3"},
-		{"it falls", []answer{{1, 2, limit(3)}, {1, 3, limit(2)}}, "2"},
-		{"it rises in an answer that may be older", []answer{{1, 2, limit(3)}, {1.5, 3, limit(4)}}, "3"},
-		{"it rises", []answer{{1, 2, limit(3)}, {2.5, 3, limit(4)}}, "4"},
-		{"none in an answer that may be older", []answer{{1, 2, limit(3)}, {1.5, 3, none}}, "3"},
-		{"none any more", []answer{{1, 2, limit(3)}, {2.5, 3, none}}, "none"},
-		{"named again after none", []answer{{1, 2, limit(3)}, {2.5, 3, none}, {2.6, 4, limit(5)}}, "5"},
-		{"nothing at all", []answer{{1, 2, none}}, "none"},
+		{"first announcement", []answer{{1, 2, limit(3)}}, "3"},
+		{"lower limit", []answer{{1, 2, limit(3)}, {1, 3, limit(2)}}, "2"},
+		{"higher limit in an answer that may be older", []answer{{1, 2, limit(3)}, {1.5, 3, limit(4)}}, "3"},
+		{"higher limit", []answer{{1, 2, limit(3)}, {2.5, 3, limit(4)}}, "4"},
+		{"no limit in an answer that may be older", []answer{{1, 2, limit(3)}, {1.5, 3, none}}, "3"},
+		{"no limit any more", []answer{{1, 2, limit(3)}, {2.5, 3, none}}, "none"},
+		{"limit after no limit", []answer{{1, 2, limit(3)}, {2.5, 3, none}, {2.6, 4, limit(5)}}, "5"},
+		{"no limit from the start", []answer{{1, 2, none}}, "none"},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -145,7 +145,7 @@
 	assert.Equal(t, latest, announcer.Counts{Limited: 1, Leaving: 1})
 	announcement, _ := known.Of(at(3), u)
 	assert.Assert(t, announcement.Leaving)
-	assert.Equal(t, announcement.Limit.String(), "3", "that answer may be older than the limit")
+	assert.Equal(t, announcement.Limit.String(), "3", "the answer without a limit may be older than the limit")
 	known.Hear(at(5), u, at(4), announcer.Announcement{})
 	known.Learn(at(6), "peer", []messenger.UpstreamAnnouncement{{Upstream: "u"}})
 	announcement, _ = known.Of(at(6), u)
@@ -155,7 +155,7 @@
 	other := announcer.New()
 	tell(at(6), known, other, messenger.MemberLoad)
 	announcement, _ = other.Of(at(6), u)
-	assert.Assert(t, announcement.Leaving, "a peer is told")
+	assert.Assert(t, announcement.Leaving, "the report to a peer includes Leaving")
 }
 
 // TestAPeerThatKnowsNothingLiftsNoLimit checks that a peer's message about an upstream without a
--- a/issuer/issuer_test.go
+++ b/issuer/issuer_test.go
@@ -86,7 +86,7 @@
 	assert.Equal(t, decisions[0].ID.Number, uint64(3))
 	decisions = permits.Due(start().Add(2 * time.Second))
 	assert.Equal(t, len(decisions), 1)
-	assert.Equal(t, decisions[0].Verdict, issuer.Denied, "its patience is over before the second permit")
+	assert.Equal(t, decisions[0].Verdict, issuer.Denied, "its patience ends before the second permit")
 }
 
 // TestWithdrawnAsksTakeNoPermit checks that the next ask gets the permit of a withdrawn one.
--- a/quarantiner/quarantiner_test.go
+++ b/quarantiner/quarantiner_test.go
@@ -66,20 +66,20 @@
 		steps []step
 		held  string
 	}{
-		{"two ends are not enough", []step{{0, 1, "g", "", ""}, {second, 2, "g", "", ""}}, ""},
-		{"three ends are", []step{{0, 1, "g", "", ""}, {second, 2, "g", "", ""}, {2 * second, 3, "g", "", ""}}, "g"},
-		{"one end counts once", []step{{0, 1, "ggg", "", ""}, {second, 1, "gg", "", ""}}, ""},
-		{"its company is cleared by it", []step{{0, 1, "gi", "", ""}, {second, 2, "gj", "", ""}, {2 * second, 3, "gi", "", ""}, {3 * second, 4, "gi", "", ""}}, "g"},
-		{"one that was served is not", []step{{0, 1, "g", "", ""}, {second, 2, "g", "", ""}, {2 * second, 0, "", "g", ""}, {3 * second, 3, "g", "", ""}}, ""},
-		{"one that was served just before is not", []step{{0, 0, "", "g", ""}, {second, 1, "g", "", ""}, {second, 2, "g", "", ""}, {second, 3, "g", "", ""}}, ""},
-		{"one that was served long before is", []step{{0, 0, "", "g", ""}, {9 * second, 1, "g", "", ""}, {9 * second, 2, "g", "", ""}, {9 * second, 3, "g", "", ""}}, "g"},
-		{"being served frees", []step{{0, 1, "g", "", ""}, {0, 2, "g", "", ""}, {0, 3, "g", "", ""}, {second, 0, "", "g", ""}}, ""},
-		{"an operator frees", []step{{0, 1, "g", "", ""}, {0, 2, "g", "", ""}, {0, 3, "g", "", ""}, {second, 0, "", "", "g"}}, ""},
-		{"two by themselves are both", []step{{0, 1, "g", "", ""}, {0, 2, "h", "", ""}, {0, 3, "g", "", ""}, {0, 4, "h", "", ""}, {0, 5, "g", "", ""}, {0, 6, "h", "", ""}}, "gh"},
-		{"two side by side do not hide behind each other", []step{{0, 1, "gh", "", ""}, {0, 2, "gh", "", ""}, {0, 3, "gh", "", ""}, {second, 4, "h", "", ""}, {second, 5, "g", "", ""}}, "gh"},
-		{"time frees", []step{{0, 1, "g", "", ""}, {0, 2, "g", "", ""}, {0, 3, "g", "", ""}, {quarantiner.HoldFor, 0, "", "", ""}}, ""},
-		{"behind that one end is enough", []step{{0, 1, "g", "", ""}, {0, 2, "g", "", ""}, {0, 3, "g", "", ""}, {2 * quarantiner.HoldFor, 4, "g", "", ""}}, "g"},
-		{"an hour later it is not", []step{{0, 1, "g", "", ""}, {0, 2, "g", "", ""}, {0, 3, "g", "", ""}, {2 * time.Hour, 4, "g", "", ""}}, ""},
+		{"two crashes are below the threshold", []step{{0, 1, "g", "", ""}, {second, 2, "g", "", ""}}, ""},
+		{"three crashes reach the threshold", []step{{0, 1, "g", "", ""}, {second, 2, "g", "", ""}, {2 * second, 3, "g", "", ""}}, "g"},
+		{"a crash reported more than once counts once", []step{{0, 1, "ggg", "", ""}, {second, 1, "gg", "", ""}}, ""},
+		{"a culprit clears other requests on the same upstreams", []step{{0, 1, "gi", "", ""}, {second, 2, "gj", "", ""}, {2 * second, 3, "gi", "", ""}, {3 * second, 4, "gi", "", ""}}, "g"},
+		{"a request served between crashes is not held off", []step{{0, 1, "g", "", ""}, {second, 2, "g", "", ""}, {2 * second, 0, "", "g", ""}, {3 * second, 3, "g", "", ""}}, ""},
+		{"a request served just before the crashes is not held off", []step{{0, 0, "", "g", ""}, {second, 1, "g", "", ""}, {second, 2, "g", "", ""}, {second, 3, "g", "", ""}}, ""},
+		{"a request served long before the crashes is held off", []step{{0, 0, "", "g", ""}, {9 * second, 1, "g", "", ""}, {9 * second, 2, "g", "", ""}, {9 * second, 3, "g", "", ""}}, "g"},
+		{"being served releases a request", []step{{0, 1, "g", "", ""}, {0, 2, "g", "", ""}, {0, 3, "g", "", ""}, {second, 0, "", "g", ""}}, ""},
+		{"an operator releases a request", []step{{0, 1, "g", "", ""}, {0, 2, "g", "", ""}, {0, 3, "g", "", ""}, {second, 0, "", "", "g"}}, ""},
+		{"two culprits on different upstreams are both held off", []step{{0, 1, "g", "", ""}, {0, 2, "h", "", ""}, {0, 3, "g", "", ""}, {0, 4, "h", "", ""}, {0, 5, "g", "", ""}, {0, 6, "h", "", ""}}, "gh"},
+		{"two culprits on the same upstreams do not clear each other", []step{{0, 1, "gh", "", ""}, {0, 2, "gh", "", ""}, {0, 3, "gh", "", ""}, {second, 4, "h", "", ""}, {second, 5, "g", "", ""}}, "gh"},
+		{"a hold ends after HoldFor", []step{{0, 1, "g", "", ""}, {0, 2, "g", "", ""}, {0, 3, "g", "", ""}, {quarantiner.HoldFor, 0, "", "", ""}}, ""},
+		{"one crash after the end of a hold is enough", []step{{0, 1, "g", "", ""}, {0, 2, "g", "", ""}, {0, 3, "g", "", ""}, {2 * quarantiner.HoldFor, 4, "g", "", ""}}, "g"},
+		{"one crash after the earlier crashes are forgotten is not enough", []step{{0, 1, "g", "", ""}, {0, 2, "g", "", ""}, {0, 3, "g", "", ""}, {2 * time.Hour, 4, "g", "", ""}}, ""},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/quarantiner/telling_test.go
+++ b/quarantiner/telling_test.go
@@ -26,7 +26,7 @@
 		assert.Equal(t, tells(scope), 0)
 	}
 	now = now.Add(time.Second)
-	assert.Equal(t, tells(messenger.MemberLoad), 0, "one end is not told again")
+	assert.Equal(t, tells(messenger.MemberLoad), 0, "a single crash is not refreshed")
 	node.Fell(now, start(2), identity("g"))
 	assert.Equal(t, tells(messenger.MemberLoad), 1)
 	assert.Equal(t, tells(messenger.MemberLoad), 1)
@@ -36,7 +36,7 @@
 		assert.Equal(t, tells(messenger.MemberLoad), 0)
 	}
 	now = now.Add(2 * time.Minute)
-	assert.Equal(t, tells(messenger.MemberLoad), 0, "that ends")
+	assert.Equal(t, tells(messenger.MemberLoad), 0, "refreshes end some time after the last change")
 }
 
 // TestWhatOthersToldGoesDown checks that facts from other groups are reported to members alone,
@@ -87,10 +87,10 @@
 		fall messenger.UpstreamFall
 	}{
 		{"no upstream", messenger.UpstreamFall{Suspects: []definer.RequestIdentity{good}}},
-		{"an end to come", messenger.UpstreamFall{Upstream: "u", Age: -time.Second, Suspects: []definer.RequestIdentity{good}}},
-		{"an end of long ago", messenger.UpstreamFall{Upstream: "u", Age: 2 * time.Hour, Suspects: []definer.RequestIdentity{good}}},
-		{"no identity", messenger.UpstreamFall{Upstream: "u", Suspects: []definer.RequestIdentity{"short", good + good}}},
-		{"a name without end", messenger.UpstreamFall{Upstream: definer.UpstreamName(make([]byte, 1<<20)), Suspects: []definer.RequestIdentity{good}}},
+		{"a crash in the future", messenger.UpstreamFall{Upstream: "u", Age: -time.Second, Suspects: []definer.RequestIdentity{good}}},
+		{"a crash too long ago", messenger.UpstreamFall{Upstream: "u", Age: 2 * time.Hour, Suspects: []definer.RequestIdentity{good}}},
+		{"identities of a wrong length", messenger.UpstreamFall{Upstream: "u", Suspects: []definer.RequestIdentity{"short", good + good}}},
+		{"a name that is too long", messenger.UpstreamFall{Upstream: definer.UpstreamName(make([]byte, 1<<20)), Suspects: []definer.RequestIdentity{good}}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
