--- a/quarantiner/quarantiner_test.go
+++ b/quarantiner/quarantiner_test.go
@@ -14,36 +14,37 @@
 	"limpetcleat/quarantiner"
 )
 
-// began is when the stepped clocks of the tests begin.
-func began() time.Time { return time.Unix(1000, 0) }
+// startTime returns the time at which the simulated clocks of the tests start.
+func startTime() time.Time { return time.Unix(1000, 0) }
 
-// identity returns the identity of a request that the name stands for.
+// identity returns the identity of a request with the name as its target.
 func identity(name string) definer.RequestIdentity {
 	return quarantiner.Identify(&quarantiner.Subject{Target: name})
 }
 
-// start returns a start of the numbered upstream.
+// start returns the upstream process of a number.
 func start(number int) definer.UpstreamStart {
 	return definer.UpstreamStart{Upstream: definer.UpstreamName(fmt.Sprintf("u%d", number)), Incarnation: 1}
 }
 
-// step is something that happens at a time; requests are told by letters.
+// step is an event at a time after the start of the test. Requests are named by single letters.
 type step struct {
 	at time.Duration
-	// ended is the upstream that ends under the requests; 0 is none.
+	// ended is the upstream that crashes with the requests on it; 0 is none.
 	ended    int
 	requests string
-	// served are requests that are served then, lifted those that an operator lifts.
+	// served are the requests that are served in this step, and lifted those that an operator
+	// lifts.
 	served string
 	lifted string
 }
 
-// play has the steps happen at one node.
-func play(node *quarantiner.Quarantiner, steps []step) time.Time {
-	now := began()
+// applySteps applies the steps to one node and returns the time of the last step.
+func applySteps(node *quarantiner.Quarantiner, steps []step) time.Time {
+	now := startTime()
 	for _, step := range steps {
-		now = began().Add(step.at)
-		node.Tell(now, messenger.MemberLoad) // Nodes report all the time.
+		now = startTime().Add(step.at)
+		node.Tell(now, messenger.MemberLoad) // Nodes report continuously.
 		for _, request := range step.requests {
 			node.Fell(now, start(step.ended), identity(string(request)))
 		}
@@ -57,7 +58,7 @@
 	return now
 }
 
-// TestHeldOff holds which requests are held off, after what happened at one node.
+// TestHeldOff checks which requests one node holds off after a sequence of events.
 func TestHeldOff(t *testing.T) {
 	second := time.Second
 	cases := []struct {
@@ -65,26 +66,26 @@
 		steps []step
 		held  string
 	}{
-		{"two ends are not enough", []step{{0, 1, "g", "", ""}, {second, 2, "g", "", ""}}, ""},
-		{"three ends are", []step{{0, 1, "g", "", ""}, {second, 2, "g", "", ""}, {2 * second, 3, "g", "", ""}}, "g"},
-		{"one end counts once", []step{{0, 1, "ggg", "", ""}, {second, 1, "gg", "", ""}}, ""},
-		{"its company is cleared by it", []step{{0, 1, "gi", "", ""}, {second, 2, "gj", "", ""}, {2 * second, 3, "gi", "", ""}, {3 * second, 4, "gi", "", ""}}, "g"},
-		{"one that was served is not", []step{{0, 1, "g", "", ""}, {second, 2, "g", "", ""}, {2 * second, 0, "", "g", ""}, {3 * second, 3, "g", "", ""}}, ""},
-		{"one that was served just before is not", []step{{0, 0, "", "g", ""}, {second, 1, "g", "", ""}, {second, 2, "g", "", ""}, {second, 3, "g", "", ""}}, ""},
-		{"one that was served long before is", []step{{0, 0, "", "g", ""}, {9 * second, 1, "g", "", ""}, {9 * second, 2, "g", "", ""}, {9 * second, 3, "g", "", ""}}, "g"},
-		{"being served frees", []step{{0, 1, "g", "", ""}, {0, 2, "g", "", ""}, {0, 3, "g", "", ""}, {second, 0, "", "g", ""}}, ""},
-		{"an operator frees", []step{{0, 1, "g", "", ""}, {0, 2, "g", "", ""}, {0, 3, "g", "", ""}, {second, 0, "", "", "g"}}, ""},
-		{"two by themselves are both", []step{{0, 1, "g", "", ""}, {0, 2, "h", "", ""}, {0, 3, "g", "", ""}, {0, 4, "h", "", ""}, {0, 5, "g", "", ""}, {0, 6, "h", "", ""}}, "gh"},
-		{"two side by side do not hide behind each other", []step{{0, 1, "gh", "", ""}, {0, 2, "gh", "", ""}, {0, 3, "gh", "", ""}, {second, 4, "h", "", ""}, {second, 5, "g", "", ""}}, "gh"},
-		{"time frees", []step{{0, 1, "g", "", ""}, {0, 2, "g", "", ""}, {0, 3, "g", "", ""}, {quarantiner.HoldFor, 0, "", "", ""}}, ""},
-		{"behind that one end is enough", []step{{0, 1, "g", "", ""}, {0, 2, "g", "", ""}, {0, 3, "g", "", ""}, {2 * quarantiner.HoldFor, 4, "g", "", ""}}, "g"},
-		{"an hour later it is not", []step{{0, 1, "g", "", ""}, {0, 2, "g", "", ""}, {0, 3, "g", "", ""}, {2 * time.Hour, 4, "g", "", ""}}, ""},
+		{"two crashes are below the threshold", []step{{0, 1, "g", "", ""}, {second, 2, "g", "", ""}}, ""},
+		{"three crashes reach the threshold", []step{{0, 1, "g", "", ""}, {second, 2, "g", "", ""}, {2 * second, 3, "g", "", ""}}, "g"},
+		{"a crash reported more than once counts once", []step{{0, 1, "ggg", "", ""}, {second, 1, "gg", "", ""}}, ""},
+		{"a culprit clears other requests on the same upstreams", []step{{0, 1, "gi", "", ""}, {second, 2, "gj", "", ""}, {2 * second, 3, "gi", "", ""}, {3 * second, 4, "gi", "", ""}}, "g"},
+		{"a request served between crashes is not held off", []step{{0, 1, "g", "", ""}, {second, 2, "g", "", ""}, {2 * second, 0, "", "g", ""}, {3 * second, 3, "g", "", ""}}, ""},
+		{"a request served just before the crashes is not held off", []step{{0, 0, "", "g", ""}, {second, 1, "g", "", ""}, {second, 2, "g", "", ""}, {second, 3, "g", "", ""}}, ""},
+		{"a request served long before the crashes is held off", []step{{0, 0, "", "g", ""}, {9 * second, 1, "g", "", ""}, {9 * second, 2, "g", "", ""}, {9 * second, 3, "g", "", ""}}, "g"},
+		{"being served releases a request", []step{{0, 1, "g", "", ""}, {0, 2, "g", "", ""}, {0, 3, "g", "", ""}, {second, 0, "", "g", ""}}, ""},
+		{"an operator releases a request", []step{{0, 1, "g", "", ""}, {0, 2, "g", "", ""}, {0, 3, "g", "", ""}, {second, 0, "", "", "g"}}, ""},
+		{"two culprits on different upstreams are both held off", []step{{0, 1, "g", "", ""}, {0, 2, "h", "", ""}, {0, 3, "g", "", ""}, {0, 4, "h", "", ""}, {0, 5, "g", "", ""}, {0, 6, "h", "", ""}}, "gh"},
+		{"two culprits on the same upstreams do not clear each other", []step{{0, 1, "gh", "", ""}, {0, 2, "gh", "", ""}, {0, 3, "gh", "", ""}, {second, 4, "h", "", ""}, {second, 5, "g", "", ""}}, "gh"},
+		{"a hold ends after HoldFor", []step{{0, 1, "g", "", ""}, {0, 2, "g", "", ""}, {0, 3, "g", "", ""}, {quarantiner.HoldFor, 0, "", "", ""}}, ""},
+		{"one crash after the end of a hold is enough", []step{{0, 1, "g", "", ""}, {0, 2, "g", "", ""}, {0, 3, "g", "", ""}, {2 * quarantiner.HoldFor, 4, "g", "", ""}}, "g"},
+		{"one crash after the earlier crashes are forgotten is not enough", []step{{0, 1, "g", "", ""}, {0, 2, "g", "", ""}, {0, 3, "g", "", ""}, {2 * time.Hour, 4, "g", "", ""}}, ""},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			node := quarantiner.New()
-			now := play(node, test.steps)
-			node.Tell(now, messenger.MemberLoad) // Looks after what time alone changes.
+			now := applySteps(node, test.steps)
+			node.Tell(now, messenger.MemberLoad) // Expires old facts.
 			held := ""
 			for _, request := range "ghij" {
 				if left := node.Check(now, identity(string(request))).Left; left > 0 {
@@ -97,22 +98,22 @@
 	}
 }
 
-// TestUpstreamsWithoutStartsEndMoreThanOnce holds that an upstream that does not tell its
-// starts can end again under a request, when it has had time to come back.
+// TestUpstreamsWithoutStartsEndMoreThanOnce checks that an upstream that does not announce its
+// incarnation can crash again under a request, once it has had time to come back.
 func TestUpstreamsWithoutStartsEndMoreThanOnce(t *testing.T) {
 	node := quarantiner.New()
 	unknown := definer.UpstreamStart{Upstream: "u"}
 	for count, want := range []int{1, 1, 2, 2, 3} {
-		node.Fell(began().Add(time.Duration(count)*600*time.Millisecond), unknown, identity("g"))
+		node.Fell(startTime().Add(time.Duration(count)*600*time.Millisecond), unknown, identity("g"))
 		assert.Equal(t, node.Doubts(identity("g")), want, "%d", count)
 	}
-	assert.Assert(t, node.Check(began().Add(3*time.Second), identity("g")).Left > 0)
+	assert.Assert(t, node.Check(startTime().Add(3*time.Second), identity("g")).Left > 0)
 }
 
-// TestListTellsOperators holds what an operator sees of a request that is held off.
+// TestListTellsOperators checks what operators see of a request that is held off.
 func TestListTellsOperators(t *testing.T) {
 	node := quarantiner.New()
-	now := began()
+	now := startTime()
 	node.Fell(now, start(1), identity("g"))
 	node.Learn(now.Add(time.Second), "peer", messenger.FleetLoad, []messenger.UpstreamFall{
 		{Upstream: "u2", Incarnation: 1, Age: 100 * time.Millisecond, Suspects: []definer.RequestIdentity{identity("g"), identity("i")}},
@@ -129,35 +130,35 @@
 	assert.Equal(t, list[1].Held, false)
 }
 
-// TestMillionsOfRequestsAreBounded has a caller send another request each time: what is known
-// of one that is held off stays, and the rest is bounded.
+// TestMillionsOfRequestsAreBounded has a caller send a different request each time: the facts
+// about a request that is held off stay, and the number of other suspects is bounded.
 func TestMillionsOfRequestsAreBounded(t *testing.T) {
 	held, suspected := 0, 0
 	node := quarantiner.New(quarantiner.WithCounts(func(nowHeld, nowSuspected int) { held, suspected = nowHeld, nowSuspected }))
 	for number := range 3 {
-		node.Fell(began(), start(number), identity("g"))
+		node.Fell(startTime(), start(number), identity("g"))
 	}
 	for number := range 20_000 {
-		node.Learn(began(), "peer", messenger.MemberLoad, []messenger.UpstreamFall{
+		node.Learn(startTime(), "peer", messenger.MemberLoad, []messenger.UpstreamFall{
 			{Upstream: "u9", Incarnation: 1, Suspects: []definer.RequestIdentity{identity(fmt.Sprint(number))}},
 		})
 	}
 	assert.Assert(t, suspected <= 4096, "%d", suspected)
 	assert.Equal(t, held, 1)
-	assert.Assert(t, node.Check(began(), identity("g")).Left > 0)
+	assert.Assert(t, node.Check(startTime(), identity("g")).Left > 0)
 	told := 0
-	for _, fall := range node.Tell(began(), messenger.MemberLoad) {
+	for _, fall := range node.Tell(startTime(), messenger.MemberLoad) {
 		told += len(fall.Suspects) + len(fall.Cleared)
 	}
 	assert.Equal(t, told, 256)
 }
 
-// BenchmarkRequest is what a request of 800 bytes costs on its way, each another one, while as
-// many are suspected as are remembered.
+// BenchmarkRequest measures what a request of 800 bytes costs on its way, a different one each
+// time, while the table of suspects is full.
 func BenchmarkRequest(bench *testing.B) {
 	node := quarantiner.New()
 	for number := range 4096 {
-		node.Fell(began(), start(number), identity(fmt.Sprint(number)))
+		node.Fell(startTime(), start(number), identity(fmt.Sprint(number)))
 	}
 	body := make([]byte, 800)
 	asked := &quarantiner.Subject{Organisation: "guild", Method: "POST", Host: "h.example", Target: "/a/b", Body: body}
@@ -166,14 +167,15 @@
 	for bench.Loop() {
 		count++
 		binary.BigEndian.PutUint64(body, uint64(count))
-		now := began().Add(time.Duration(count) * time.Second / 2100)
+		now := startTime().Add(time.Duration(count) * time.Second / 2100)
 		identity := quarantiner.Identify(asked)
 		node.Check(now, identity)
 		node.Served(now, identity)
 	}
 }
 
-// TestMemoryIsBounded holds how much memory a full table and 2,100 requests a second take.
+// TestMemoryIsBounded checks how much memory a full table of suspects and 2,100 served requests a
+// second take.
 func TestMemoryIsBounded(t *testing.T) {
 	const most = 8 << 20
 	var before, after runtime.MemStats
@@ -181,10 +183,10 @@
 	runtime.ReadMemStats(&before)
 	node := quarantiner.New()
 	for number := range 3 * 4096 {
-		node.Fell(began(), start(number/20), identity(fmt.Sprint(number)))
+		node.Fell(startTime(), start(number/20), identity(fmt.Sprint(number)))
 	}
 	for number := range 5 * 2100 {
-		node.Served(began().Add(time.Duration(number)*time.Second/2100), identity(fmt.Sprint("served ", number)))
+		node.Served(startTime().Add(time.Duration(number)*time.Second/2100), identity(fmt.Sprint("served ", number)))
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
@@ -197,22 +199,22 @@
 func BenchmarkCheckAmongSuspects(bench *testing.B) {
 	node := quarantiner.New()
 	for number := range 4096 {
-		node.Fell(began(), start(number), identity(fmt.Sprint(number)))
+		node.Fell(startTime(), start(number), identity(fmt.Sprint(number)))
 	}
 	asked := identity("other")
 	bench.ReportAllocs()
 	for bench.Loop() {
-		node.Check(began(), asked)
-		node.Served(began(), asked)
+		node.Check(startTime(), asked)
+		node.Served(startTime(), asked)
 	}
 }
 
-// BenchmarkLearnAmongSuspects is one end with 20 requests on it, among as many suspects as
-// are remembered.
+// BenchmarkLearnAmongSuspects measures one reported crash with 20 requests on it while the table
+// of suspects is full.
 func BenchmarkLearnAmongSuspects(bench *testing.B) {
 	node := quarantiner.New()
 	for number := range 4096 {
-		node.Fell(began(), start(number), identity(fmt.Sprint(number)))
+		node.Fell(startTime(), start(number), identity(fmt.Sprint(number)))
 	}
 	fall := messenger.UpstreamFall{Incarnation: 1}
 	for number := range 20 {
@@ -222,7 +224,7 @@
 	for bench.Loop() {
 		count++
 		fall.Upstream = definer.UpstreamName(fmt.Sprint("v", count))
-		node.Learn(began(), "peer", messenger.FleetLoad, []messenger.UpstreamFall{fall})
-		node.Tell(began(), messenger.FleetLoad)
+		node.Learn(startTime(), "peer", messenger.FleetLoad, []messenger.UpstreamFall{fall})
+		node.Tell(startTime(), messenger.FleetLoad)
 	}
 }
--- a/quarantiner/telling_test.go
+++ b/quarantiner/telling_test.go
@@ -12,11 +12,11 @@
 	"limpetcleat/quarantiner"
 )
 
-// TestFactsAreToldTwiceAndThenAgain holds how often a fact is told: in two reports of each
-// scope, and from the second end under a request on once a second.
+// TestFactsAreToldTwiceAndThenAgain checks how often a fact is reported: in two reports of each
+// scope, and, from the second crash under a request on, again once a second.
 func TestFactsAreToldTwiceAndThenAgain(t *testing.T) {
 	node := quarantiner.New()
-	now := began()
+	now := startTime()
 	node.Tell(now, messenger.MemberLoad)
 	node.Fell(now, start(1), identity("g"))
 	tells := func(scope messenger.LoadScope) int { return len(node.Tell(now, scope)) }
@@ -26,7 +26,7 @@
 		assert.Equal(t, tells(scope), 0)
 	}
 	now = now.Add(time.Second)
-	assert.Equal(t, tells(messenger.MemberLoad), 0, "one end is not told again")
+	assert.Equal(t, tells(messenger.MemberLoad), 0, "a single crash is not refreshed")
 	node.Fell(now, start(2), identity("g"))
 	assert.Equal(t, tells(messenger.MemberLoad), 1)
 	assert.Equal(t, tells(messenger.MemberLoad), 1)
@@ -36,11 +36,11 @@
 		assert.Equal(t, tells(messenger.MemberLoad), 0)
 	}
 	now = now.Add(2 * time.Minute)
-	assert.Equal(t, tells(messenger.MemberLoad), 0, "that ends")
+	assert.Equal(t, tells(messenger.MemberLoad), 0, "refreshes end some time after the last change")
 }
 
-// TestWhatOthersToldGoesDown holds that what comes from above is told to members alone, so
-// that it is not handed up again.
+// TestWhatOthersToldGoesDown checks that facts from other groups are reported to members alone,
+// so that they are not sent back up.
 func TestWhatOthersToldGoesDown(t *testing.T) {
 	fall := []messenger.UpstreamFall{{Upstream: "u1", Incarnation: 1, Suspects: []definer.RequestIdentity{identity("g")}}}
 	cases := []struct {
@@ -54,18 +54,19 @@
 	}
 	for _, test := range cases {
 		node := quarantiner.New()
-		node.Learn(began(), "peer", test.from, fall)
-		assert.Equal(t, len(node.Tell(began(), messenger.MemberLoad)), test.up, "%v", test.from)
-		assert.Equal(t, len(node.Tell(began(), messenger.GroupLoad)), test.over, "%v", test.from)
-		assert.Equal(t, len(node.Tell(began(), messenger.FleetLoad)), test.down, "%v", test.from)
+		node.Learn(startTime(), "peer", test.from, fall)
+		assert.Equal(t, len(node.Tell(startTime(), messenger.MemberLoad)), test.up, "%v", test.from)
+		assert.Equal(t, len(node.Tell(startTime(), messenger.GroupLoad)), test.over, "%v", test.from)
+		assert.Equal(t, len(node.Tell(startTime(), messenger.FleetLoad)), test.down, "%v", test.from)
 	}
 }
 
-// TestClearingIsTold has a request that one node has served be held off at another: the first
-// one's word frees it, also when both learn of the ends only then.
+// TestClearingIsTold has one node hold off a request that another node has served: the report of
+// the other node releases it, although that node learns of the crashes only after it served the
+// request.
 func TestClearingIsTold(t *testing.T) {
 	serving, holding := quarantiner.New(), quarantiner.New()
-	now := began()
+	now := startTime()
 	serving.Served(now, identity("i"))
 	for number := range 3 {
 		holding.Fell(now, start(number), identity("i"))
@@ -78,7 +79,7 @@
 	assert.Equal(t, holding.Doubts(identity("i")), 0)
 }
 
-// TestWrongReportsAreIgnored holds what a wrong neighbour cannot bring about.
+// TestWrongReportsAreIgnored checks that invalid reports of a peer change nothing.
 func TestWrongReportsAreIgnored(t *testing.T) {
 	good := identity("g")
 	cases := []struct {
@@ -86,28 +87,28 @@
 		fall messenger.UpstreamFall
 	}{
 		{"no upstream", messenger.UpstreamFall{Suspects: []definer.RequestIdentity{good}}},
-		{"an end to come", messenger.UpstreamFall{Upstream: "u", Age: -time.Second, Suspects: []definer.RequestIdentity{good}}},
-		{"an end of long ago", messenger.UpstreamFall{Upstream: "u", Age: 2 * time.Hour, Suspects: []definer.RequestIdentity{good}}},
-		{"no identity", messenger.UpstreamFall{Upstream: "u", Suspects: []definer.RequestIdentity{"short", good + good}}},
-		{"a name without end", messenger.UpstreamFall{Upstream: definer.UpstreamName(make([]byte, 1<<20)), Suspects: []definer.RequestIdentity{good}}},
+		{"a crash in the future", messenger.UpstreamFall{Upstream: "u", Age: -time.Second, Suspects: []definer.RequestIdentity{good}}},
+		{"a crash too long ago", messenger.UpstreamFall{Upstream: "u", Age: 2 * time.Hour, Suspects: []definer.RequestIdentity{good}}},
+		{"identities of a wrong length", messenger.UpstreamFall{Upstream: "u", Suspects: []definer.RequestIdentity{"short", good + good}}},
+		{"a name that is too long", messenger.UpstreamFall{Upstream: definer.UpstreamName(make([]byte, 1<<20)), Suspects: []definer.RequestIdentity{good}}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			node := quarantiner.New()
-			node.Learn(began(), "peer", messenger.MemberLoad, []messenger.UpstreamFall{test.fall})
-			assert.Equal(t, len(node.List(began())), 0)
-			assert.Equal(t, len(node.Tell(began(), messenger.MemberLoad)), 0)
+			node.Learn(startTime(), "peer", messenger.MemberLoad, []messenger.UpstreamFall{test.fall})
+			assert.Equal(t, len(node.List(startTime())), 0)
+			assert.Equal(t, len(node.Tell(startTime(), messenger.MemberLoad)), 0)
 		})
 	}
 }
 
-// TestNodesAgree has facts happen at three nodes in any order, and all tell each other: they
-// hold off the same requests, whichever way the facts came.
+// TestNodesAgree has events happen at three nodes in random order, and all nodes exchange their
+// facts: they must hold off the same requests, in whatever order the facts arrived.
 func TestNodesAgree(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e"}
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := []*quarantiner.Quarantiner{quarantiner.New(), quarantiner.New(), quarantiner.New()}
-		now := began()
+		now := startTime()
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "pauseMs")) * time.Millisecond)
 			node := rapid.SampledFrom(nodes).Draw(t, "node")
@@ -138,8 +139,8 @@
 	})
 }
 
-// FuzzLearn has reports of any content come: nothing grows beyond its bound, nothing is told
-// that no node could take in.
+// FuzzLearn merges reports of arbitrary content: no bound may be exceeded, and no node may report
+// what another would reject.
 func FuzzLearn(f *testing.F) {
 	f.Add("u1", uint64(1), int64(0), []byte("0123456789abcdef0123456789abcdef"), true)
 	f.Add("", uint64(0), int64(-1), []byte("x"), false)
@@ -155,12 +156,12 @@
 		}
 		first, second := quarantiner.New(), quarantiner.New()
 		for range 3 {
-			first.Learn(began(), "peer", messenger.MemberLoad, []messenger.UpstreamFall{fall})
+			first.Learn(startTime(), "peer", messenger.MemberLoad, []messenger.UpstreamFall{fall})
 		}
-		told := first.Tell(began(), messenger.MemberLoad)
-		second.Learn(began(), "peer", messenger.MemberLoad, told)
-		assert.Equal(t, len(second.List(began())) <= len(first.List(began())), true)
-		for _, suspicion := range first.List(began()) {
+		told := first.Tell(startTime(), messenger.MemberLoad)
+		second.Learn(startTime(), "peer", messenger.MemberLoad, told)
+		assert.Equal(t, len(second.List(startTime())) <= len(first.List(startTime())), true)
+		for _, suspicion := range first.List(startTime()) {
 			assert.Equal(t, len(suspicion.Upstreams), 1)
 			assert.Assert(t, !suspicion.Held)
 		}
