--- a/forwarder/answer.go
+++ b/forwarder/answer.go
@@ -9,32 +9,33 @@
 	"limpetcleat/logger"
 )
 
-// wholeAnswer is an upstream's answer that was read to its end.
+// wholeAnswer is an upstream's answer with its body read to the end.
 type wholeAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// deliver passes a whole answer on.
-func (passage *passage) deliver(answer *wholeAnswer) {
-	header := passage.writer.Header()
+// deliver writes a whole answer to the caller.
+func (exchange *exchange) deliver(answer *wholeAnswer) {
+	header := exchange.writer.Header()
 	copyHeader(header, answer.header)
-	if passage.request.Method != http.MethodHead && allowsBody(answer.status) {
+	if exchange.request.Method != http.MethodHead && statusAllowsBody(answer.status) {
 		header.Set("Content-Length", strconv.Itoa(len(answer.body)))
 	}
-	if passage.forwarder.closing.Load() {
+	if exchange.forwarder.closing.Load() {
 		header.Set("Connection", "close")
 	}
-	passage.result.Status = answer.status
-	passage.result.First = time.Since(passage.arrived)
-	passage.result.Bytes = len(answer.body)
-	passage.writer.WriteHeader(answer.status)
-	if _, err := passage.writer.Write(answer.body); err != nil && !errors.Is(err, http.ErrBodyNotAllowed) {
-		passage.forwarder.log(logger.EventAnswerUndelivered, "request", passage.call.Attempt, "cause", err)
+	exchange.result.Status = answer.status
+	exchange.result.First = time.Since(exchange.arrivedAt)
+	exchange.result.Bytes = len(answer.body)
+	exchange.writer.WriteHeader(answer.status)
+	if _, err := exchange.writer.Write(answer.body); err != nil && !errors.Is(err, http.ErrBodyNotAllowed) {
+		exchange.forwarder.log(logger.EventAnswerUndelivered, "request", exchange.call.Attempt, "cause", err)
 	}
 }
 
-func allowsBody(status int) bool {
+// statusAllowsBody reports whether an answer with the status may have a body.
+func statusAllowsBody(status int) bool {
 	return status >= http.StatusOK && status != http.StatusNoContent && status != http.StatusNotModified
 }
--- a/forwarder/attempt.go
+++ b/forwarder/attempt.go
@@ -14,245 +14,251 @@
 )
 
 const (
-	// maxAnswerBytes bounds a whole answer.
+	// maxAnswerBytes bounds the body of an answer that is not streamed.
 	maxAnswerBytes = 16 << 20
-	// firstPatience is the part of its latency objective that an idempotent
-	// request waits for an upstream from which nothing at all has come since. Played
-	// with crashing and silent upstreams, 0.8 was worse, 2.5 within noise.
-	firstPatience = 1.5
-	// minPatience is the least of such waits: below it, packets that were lost
-	// and sent again would count as silence.
-	minPatience = 300 * time.Millisecond
-	// gapPatience is how many of the longest pauses aimed at a stream that may
-	// resume waits for its next event; 6 was within noise of it.
-	gapPatience = 3
+	// firstEventFactor times its latency objective is how long an idempotent request
+	// waits for an upstream that has sent nothing at all, to any request, since it was sent.
+	// In trials with crashing and silent upstreams, 0.8 did worse and 2.5 was within noise.
+	firstEventFactor = 1.5
+	// minFirstEventTimeout is the minimum of this wait: with a shorter one, retransmissions
+	// of lost packets would count as silence.
+	minFirstEventTimeout = 300 * time.Millisecond
+	// gapFactor times the objective for the longest pause is how long a resumable stream
+	// waits for its next event; 6 was within noise of it.
+	gapFactor = 3
 )
 
-// errStalled is the cause of an attempt's end when its upstream was silent.
-var errStalled = errors.New("nothing came from the upstream")
+// errUpstreamSilent is the cancellation cause of an attempt whose upstream sent nothing for
+// too long.
+var errUpstreamSilent = errors.New("the upstream was silent for too long")
 
-// attempt is one send of a request.
+// attempt is one send of a request to an upstream.
 type attempt struct {
-	passage    *passage
+	exchange   *exchange
 	assignment *selector.Assignment
 	sentAt     time.Time
 	cancel     context.CancelCauseFunc
-	// patience is how long the upstream may be silent before its first event, and
-	// gap how long behind it; 0 is for ever.
-	patience time.Duration
-	gap      time.Duration
-	// begunAt is when the first event came; zero before. The passage's goroutine owns it.
-	begunAt time.Time
-	// latest is when the latest event came, as time since sentAt; 0 is none yet.
-	// The timer reads it.
-	latest atomic.Int64
+	// firstEventTimeout is how long the upstream may be silent before the first event, and
+	// gapTimeout how long after each event; 0 means no timeout.
+	firstEventTimeout time.Duration
+	gapTimeout        time.Duration
+	// firstEventAt is when the first event came; zero before. It is owned by the goroutine
+	// of the exchange.
+	firstEventAt time.Time
+	// latestEvent is when the latest event came, as the time since sentAt in nanoseconds;
+	// 0 if none came yet. It is read by the timer's goroutine.
+	latestEvent atomic.Int64
 }
 
-// attempt sends the request to the assigned upstream and passes the answer on.
-func (passage *passage) attempt(ctx context.Context, assignment *selector.Assignment) verdict {
+// sendTo sends the request to the assigned upstream and passes its answer to the caller.
+func (exchange *exchange) sendTo(ctx context.Context, assignment *selector.Assignment) sendResult {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	attempt := &attempt{passage: passage, assignment: assignment, sentAt: time.Now(), cancel: cancel}
-	attempt.patience, attempt.gap = passage.patience()
-	attempt.watch(attempt.patience)
-	defer passage.forwarder.watch.Clear(attempt)
-	passage.forwarder.roster.add(attempt)
-	defer passage.forwarder.roster.remove(attempt)
-	passage.note(assignment)
-	answer, err := passage.forwarder.connector.Exchange(ctx, assignment.Upstream().Address, passage.outgoing(assignment))
+	attempt := &attempt{exchange: exchange, assignment: assignment, sentAt: time.Now(), cancel: cancel}
+	attempt.firstEventTimeout, attempt.gapTimeout = exchange.silenceTimeouts()
+	attempt.scheduleCheck(attempt.firstEventTimeout)
+	defer exchange.forwarder.silenceTimer.Clear(attempt)
+	exchange.forwarder.attempts.add(attempt)
+	defer exchange.forwarder.attempts.remove(attempt)
+	exchange.recordChoice(assignment)
+	answer, err := exchange.forwarder.connector.Exchange(ctx, assignment.Upstream().Address, exchange.outgoing(assignment))
 	if err != nil {
-		return attempt.unanswered(ctx, err)
+		return attempt.judgeNoAnswer(ctx, err)
 	}
-	passage.sent()
+	exchange.countSend()
 	defer answer.Close()
-	statement := passage.forwarder.protocol.Judge(answer.Status, answer.Header)
+	statement := exchange.forwarder.protocol.Judge(answer.Status, answer.Header)
 	if answer.Status != http.StatusMisdirectedRequest {
-		// That one comes from another upstream, which has the address by now.
-		attempt.heed(statement)
+		// A Misdirected Request comes from another upstream that has taken over the address.
+		attempt.applyStatement(statement)
 	}
-	if passage.rule.Streamed && answer.Status >= http.StatusOK && answer.Status < http.StatusMultipleChoices {
-		return attempt.relay(ctx, answer, statement)
+	if exchange.rule.Streamed && answer.Status >= http.StatusOK && answer.Status < http.StatusMultipleChoices {
+		return attempt.relayStream(ctx, answer, statement)
 	}
 	if !statement.NotRun {
 		assignment.Begun(time.Now())
 	}
-	return attempt.takeWhole(ctx, answer, statement)
+	return attempt.relayWhole(ctx, answer, statement)
 }
 
-// patience returns how long an upstream may be silent before its first event, and
-// between two, until the request is sent to another; 0 when it may not be.
-func (passage *passage) patience() (first, gap time.Duration) {
-	if !passage.rule.Idempotent() || passage.rule.MaxAttempts < 2 || passage.rule.Objective == 0 {
+// silenceTimeouts returns how long an upstream may be silent before its first event, and
+// between two events, before the request is sent to another upstream. Both are 0 if the
+// request must not be sent again.
+func (exchange *exchange) silenceTimeouts() (first, gap time.Duration) {
+	if !exchange.rule.Idempotent() || exchange.rule.MaxAttempts < 2 || exchange.rule.Objective == 0 {
 		return 0, 0
 	}
-	first = max(time.Duration(firstPatience*float64(passage.rule.Objective)), minPatience)
-	return first, gapPatience * passage.rule.GapObjective
+	first = max(time.Duration(firstEventFactor*float64(exchange.rule.Objective)), minFirstEventTimeout)
+	return first, gapFactor * exchange.rule.GapObjective
 }
 
-// watch has the attempt looked at after the time.
-func (attempt *attempt) watch(after time.Duration) {
+// scheduleCheck has checkSilence called after the time, if that is positive.
+func (attempt *attempt) scheduleCheck(after time.Duration) {
 	if after > 0 {
-		attempt.passage.forwarder.watch.Set(attempt, time.Now().Add(after))
+		attempt.exchange.forwarder.silenceTimer.Set(attempt, time.Now().Add(after))
 	}
 }
 
-// expire ends the attempt if its upstream has been silent for too long: before
-// the first event towards all requests of this node, behind it towards this one.
-// It is called by the timer.
-func (attempt *attempt) expire() {
-	latest := time.Duration(attempt.latest.Load())
+// checkSilence cancels the attempt if its upstream has been silent for too long: towards all
+// requests of this node if the first event has not come yet, towards this request
+// otherwise. It is called by the timer.
+func (attempt *attempt) checkSilence() {
+	latest := time.Duration(attempt.latestEvent.Load())
 	if latest == 0 {
 		if attempt.assignment.Silent() {
-			attempt.cancel(errStalled)
+			attempt.cancel(errUpstreamSilent)
 			return
 		}
-		attempt.watch(attempt.patience)
+		attempt.scheduleCheck(attempt.firstEventTimeout)
 		return
 	}
 	quiet := time.Since(attempt.sentAt) - latest
-	if attempt.gap > 0 && quiet >= attempt.gap {
-		attempt.cancel(errStalled)
+	if attempt.gapTimeout > 0 && quiet >= attempt.gapTimeout {
+		attempt.cancel(errUpstreamSilent)
 		return
 	}
-	attempt.watch(attempt.gap - quiet)
+	attempt.scheduleCheck(attempt.gapTimeout - quiet)
 }
 
-// note logs the choice of an upstream.
-func (passage *passage) note(assignment *selector.Assignment) {
+// recordChoice adds the chosen upstream to those tried and logs the choice.
+func (exchange *exchange) recordChoice(assignment *selector.Assignment) {
 	upstream := assignment.Upstream()
-	if passage.tried == nil {
-		passage.tried = make(map[definer.UpstreamName]bool)
+	if exchange.tried == nil {
+		exchange.tried = make(map[definer.UpstreamName]bool)
 	}
-	passage.tried[upstream.ID] = true
-	passage.forwarder.log(logger.EventRequestSent,
-		"request", passage.call.Attempt, "identity", passage.result.Identity, "rule", passage.rule.Name, "upstream", upstream.ID, "address", upstream.Address,
-		"dataCentre", upstream.DataCentre, "send", passage.result.Sends+1, "basis", assignment.Basis(),
-		"leftMs", (passage.timeLeft - time.Since(passage.arrived)).Milliseconds(), "lastEvent", passage.stream.lastID(),
+	exchange.tried[upstream.ID] = true
+	exchange.forwarder.log(logger.EventRequestSent,
+		"request", exchange.call.Attempt, "identity", exchange.result.Identity, "rule", exchange.rule.Name, "upstream", upstream.ID, "address", upstream.Address,
+		"dataCentre", upstream.DataCentre, "send", exchange.result.Sends+1, "basis", assignment.Basis(),
+		"leftMs", (exchange.timeLimit - time.Since(exchange.arrivedAt)).Milliseconds(), "lastEvent", exchange.stream.lastID(),
 	)
 }
 
-// sent counts a send that may have reached an upstream.
-func (passage *passage) sent() {
-	if passage.result.Sends == 0 {
-		passage.forwarder.budget.First(passage.service.Name, time.Now())
+// countSend counts a send that may have reached an upstream.
+func (exchange *exchange) countSend() {
+	if exchange.result.Sends == 0 {
+		exchange.forwarder.retryBudget.First(exchange.service.Name, time.Now())
 	}
-	passage.result.Sends++
+	exchange.result.Sends++
 }
 
-func (passage *passage) outgoing(assignment *selector.Assignment) *connector.Outgoing {
-	header := endToEnd(passage.request.Header)
-	urgency := passage.urgency
+// outgoing returns the request as it is sent to the assigned upstream.
+func (exchange *exchange) outgoing(assignment *selector.Assignment) *connector.Outgoing {
+	header := endToEnd(exchange.request.Header)
+	urgency := exchange.urgency
 	if assignment.Deferred() {
-		urgency = passage.deferredUrgency
+		urgency = exchange.deferredUrgency
 	}
-	passage.forwarder.protocol.Encode(header, &passage.call, Send{
+	exchange.forwarder.protocol.Encode(header, &exchange.call, Send{
 		Upstream:     assignment.Upstream().ID,
-		Organisation: passage.result.Organisation,
-		TimeLeft:     passage.timeLeft - time.Since(passage.arrived),
-		Engine:       passage.service.Engine,
+		Organisation: exchange.result.Organisation,
+		TimeLeft:     exchange.timeLimit - time.Since(exchange.arrivedAt),
+		Engine:       exchange.service.Engine,
 		Urgency:      urgency,
-		LastEvent:    passage.stream.lastID(),
+		LastEvent:    exchange.stream.lastID(),
 	})
 	return &connector.Outgoing{
-		Method: passage.request.Method,
-		Target: passage.request.RequestURI,
-		Host:   passage.request.Host,
+		Method: exchange.request.Method,
+		Target: exchange.request.RequestURI,
+		Host:   exchange.request.Host,
 		Header: header,
-		Body:   passage.body,
+		Body:   exchange.body,
 		Belongs: func(status int, header http.Header) bool {
-			return passage.forwarder.protocol.Belongs(status, header, &passage.call)
+			return exchange.forwarder.protocol.Belongs(status, header, &exchange.call)
 		},
 	}
 }
 
-// unanswered judges an exchange without an answer.
-func (attempt *attempt) unanswered(ctx context.Context, err error) verdict {
+// judgeNoAnswer ends an attempt that got no head of an answer, because of the error.
+func (attempt *attempt) judgeNoAnswer(ctx context.Context, err error) sendResult {
 	var failure *connector.Error
 	if errors.As(err, &failure) && failure.Kind() == connector.Unconnected {
 		outcome := selector.Unreachable
 		if ctx.Err() != nil {
 			outcome = selector.Abandoned
 		}
-		return attempt.failed(outcome, verdict{reason: NoUpstream, notSent: true}, err)
+		return attempt.endFailed(outcome, sendResult{reason: NoUpstream, notSent: true}, err)
 	}
-	attempt.passage.sent()
-	attempt.passage.result.MayHaveRun = true
-	return attempt.broken(ctx, err)
+	attempt.exchange.countSend()
+	attempt.exchange.result.MayHaveRun = true
+	return attempt.judgeBroken(ctx, err)
 }
 
-// broken judges an exchange that broke off after it was sent.
-func (attempt *attempt) broken(ctx context.Context, err error) verdict {
+// judgeBroken ends an attempt that was sent and then cancelled or disconnected.
+func (attempt *attempt) judgeBroken(ctx context.Context, err error) sendResult {
 	silent := attempt.assignment.Silent()
 	switch {
-	case errors.Is(context.Cause(ctx), errStalled) || errors.Is(context.Cause(ctx), errRestarted):
-		return attempt.failed(selector.Unreachable, verdict{reason: Broken}, context.Cause(ctx))
+	case errors.Is(context.Cause(ctx), errUpstreamSilent) || errors.Is(context.Cause(ctx), errRestarted):
+		return attempt.endFailed(selector.Unreachable, sendResult{reason: Broken}, context.Cause(ctx))
 	case errors.Is(context.Cause(ctx), context.DeadlineExceeded) && silent:
-		return attempt.failed(selector.Unreachable, verdict{reason: TimedOut}, err)
+		return attempt.endFailed(selector.Unreachable, sendResult{reason: TimedOut}, err)
 	case errors.Is(context.Cause(ctx), context.DeadlineExceeded):
-		return attempt.failed(selector.Abandoned, verdict{reason: TimedOut}, err)
+		return attempt.endFailed(selector.Abandoned, sendResult{reason: TimedOut}, err)
 	case ctx.Err() != nil:
-		return attempt.failed(selector.Abandoned, verdict{reason: Left}, err)
+		return attempt.endFailed(selector.Abandoned, sendResult{reason: Left}, err)
 	default:
-		return attempt.failed(selector.Failed, verdict{reason: Broken, presence: attempt.look(time.Now(), err)}, err)
+		return attempt.endFailed(selector.Failed, sendResult{reason: Broken, presence: attempt.examineUpstream(time.Now(), err)}, err)
 	}
 }
 
-// failed ends the assignment and logs why.
-func (attempt *attempt) failed(outcome selector.Outcome, verdict verdict, cause any) verdict {
+// endFailed ends the assignment with the outcome and logs why the send failed.
+func (attempt *attempt) endFailed(outcome selector.Outcome, result sendResult, cause any) sendResult {
 	attempt.assignment.End(time.Now(), outcome)
-	attempt.passage.forwarder.log(logger.EventSendFailed,
-		"request", attempt.passage.call.Attempt, "identity", attempt.passage.result.Identity, "upstream", attempt.assignment.Upstream().ID,
-		"reason", verdict.reason, "notSent", verdict.notSent, "notRun", verdict.notRun, "presence", verdict.presence,
+	attempt.exchange.forwarder.log(logger.EventSendFailed,
+		"request", attempt.exchange.call.Attempt, "identity", attempt.exchange.result.Identity, "upstream", attempt.assignment.Upstream().ID,
+		"reason", result.reason, "notSent", result.notSent, "notRun", result.notRun, "presence", result.presence,
 		"afterMs", time.Since(attempt.sentAt).Milliseconds(), "cause", cause,
 	)
-	return verdict
+	return result
 }
 
-// takeWhole reads an answer to its end, judges it and passes it on.
-func (attempt *attempt) takeWhole(ctx context.Context, answer *connector.Answer, statement Statement) verdict {
-	passage := attempt.passage
+// relayWhole reads an answer to its end, checks it and passes it to the caller.
+func (attempt *attempt) relayWhole(ctx context.Context, answer *connector.Answer, statement Statement) sendResult {
+	exchange := attempt.exchange
 	body, err := answer.ReadAll(maxAnswerBytes)
 	if answer.Status == http.StatusMisdirectedRequest {
-		return attempt.failed(selector.Gone, verdict{reason: NoUpstream, notRun: true, misdirected: true}, answer.Status)
+		return attempt.endFailed(selector.Gone, sendResult{reason: NoUpstream, notRun: true, misdirected: true}, answer.Status)
 	}
 	if statement.NotRun {
-		return attempt.failed(selector.Full, verdict{reason: Full, notRun: true}, answer.Status)
+		return attempt.endFailed(selector.Full, sendResult{reason: Full, notRun: true}, answer.Status)
 	}
-	passage.result.MayHaveRun = true
+	exchange.result.MayHaveRun = true
 	if err != nil {
-		return attempt.broken(ctx, err)
+		return attempt.judgeBroken(ctx, err)
 	}
-	passage.begin()
+	exchange.markBegun()
 	if !statement.acceptable(answer.Status) {
-		return attempt.failed(selector.Failed, verdict{reason: Broken}, answer.Status)
+		return attempt.endFailed(selector.Failed, sendResult{reason: Broken}, answer.Status)
 	}
 	whole := &wholeAnswer{status: answer.Status, header: answer.Header, body: body}
 	if answer.Status >= http.StatusInternalServerError {
-		passage.failure = whole
-		return attempt.failed(selector.Failed, verdict{reason: Broken}, answer.Status)
+		exchange.upstreamFailure = whole
+		return attempt.endFailed(selector.Failed, sendResult{reason: Broken}, answer.Status)
 	}
-	if passage.stream.begun {
-		return attempt.failed(selector.Failed, verdict{reason: Broken}, answer.Status)
+	if exchange.stream.headWritten {
+		return attempt.endFailed(selector.Failed, sendResult{reason: Broken}, answer.Status)
 	}
-	attempt.answered(answer)
-	passage.deliver(whole)
-	return verdict{reason: Served}
+	attempt.endAnswered(answer)
+	exchange.deliver(whole)
+	return sendResult{reason: Served}
 }
 
-// answered ends the assignment of an attempt whose answer came whole. An upstream that has
-// run the request whole clears it of what became of others under it; a failure of its own
-// may come from before it began, and an answer that ends with its connection from its end.
-func (attempt *attempt) answered(answer *connector.Answer) {
+// endAnswered ends the assignment of an attempt whose answer came whole. A success clears the
+// request of the suspicion that it ended earlier upstreams. An upstream's error answer does
+// not, as it may have failed before it ran the request. Neither does an answer that is
+// delimited by the close of its connection, as the upstream itself may have ended.
+func (attempt *attempt) endAnswered(answer *connector.Answer) {
 	now := time.Now()
 	attempt.assignment.End(now, selector.Answered)
 	success := answer.Status >= http.StatusOK && answer.Status < http.StatusMultipleChoices
 	if success && answer.Delimited {
-		attempt.passage.forwarder.quarantine.Served(now, attempt.passage.result.Identity)
+		attempt.exchange.forwarder.quarantine.Served(now, attempt.exchange.result.Identity)
 	}
 }
 
-// acceptable tells whether an answer may be passed on as it is: a success only
-// with its signature, and none that promises what its upstream did not state.
+// acceptable reports whether an answer may be passed to the caller unchanged. A success needs
+// a signature. Statuses that promise a caller that the request did not run are never passed
+// on, as the upstream did not state that.
 func (statement Statement) acceptable(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
--- a/forwarder/begun_test.go
+++ b/forwarder/begun_test.go
@@ -9,8 +9,8 @@
 	"limpetcleat/definer"
 )
 
-// TestBegunIsToldOnce holds that a request is told to have begun once, however often it was
-// sent, as soon as its upstreams show that, and not when they state that it did not run.
+// TestBegunIsToldOnce checks that a request is reported as begun exactly once, however often
+// it was sent, and not at all if no upstream has answered or all state that it did not run.
 func TestBegunIsToldOnce(t *testing.T) {
 	cases := []struct {
 		name      string
@@ -31,12 +31,12 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			world := newWorld(t, test.upstreams...)
-			_, _, _ = world.call(test.path, "", unchanged)
-			world.mutex.Lock()
-			defer world.mutex.Unlock()
-			assert.Equal(t, len(world.begun), test.begun)
-			for _, organisation := range world.begun {
+			harness := newHarness(t, test.upstreams...)
+			_, _, _ = harness.call(test.path, "", unchanged)
+			harness.mutex.Lock()
+			defer harness.mutex.Unlock()
+			assert.Equal(t, len(harness.begun), test.begun)
+			for _, organisation := range harness.begun {
 				assert.Equal(t, organisation, definer.OrganisationName("guild"))
 			}
 		})
--- a/forwarder/call.go
+++ b/forwarder/call.go
@@ -9,26 +9,27 @@
 	"limpetcleat/selector"
 )
 
-// Call is what a caller's request says of itself.
+// Call holds what the headers of a caller's request say.
 type Call struct {
-	// Attempt is the caller's id of this request, new with each of its retries.
+	// Attempt is the caller's id of this request; each retry by the caller has a new one.
 	Attempt string
-	// Key is the caller's secret; it is never logged or passed on.
+	// Key is the caller's secret API key; it is never logged or forwarded.
 	Key string
-	// TimeLeft is how long the caller will wait, if HasTimeLeft is set.
+	// TimeLeft is how long the caller will wait; valid only if HasTimeLeft is set.
 	TimeLeft    time.Duration
 	HasTimeLeft bool
-	// PromptTokens counts the prompt; 0 is unknown.
+	// PromptTokens is the length of the prompt in tokens; 0 if unknown.
 	PromptTokens int
-	// OutputTokens is the most that the answer may have; 0 is unknown.
+	// OutputTokens is the maximum length of the answer in tokens; 0 if unknown.
 	OutputTokens int
-	// Parts are the parts of the prompt in order, the request's own last.
+	// Parts are the parts of the prompt in order; the last one belongs to this request alone.
 	Parts []selector.Part
-	// LastEvent is the last event that the caller has of a stream it resumes.
+	// LastEvent is the id of the last event that the caller received of a stream it resumes.
 	LastEvent string
 }
 
-// shared returns the parts that other requests may have as well.
+// shared returns the parts of the prompt that other requests may have in common with this
+// one: all but the last.
 func (call *Call) shared() []selector.Part {
 	if len(call.Parts) == 0 {
 		return nil
@@ -36,40 +37,43 @@
 	return call.Parts[:len(call.Parts)-1]
 }
 
-// Send is what an upstream is told of one send beside the caller's request.
+// Send holds what an upstream is told about one send, in addition to the caller's request.
 type Send struct {
 	Upstream     definer.UpstreamName
 	Organisation definer.OrganisationName
 	TimeLeft     time.Duration
-	// Engine is set for model runners, which honour Urgency; 0 goes first.
+	// Engine is set for model runners, which schedule by Urgency; 0 is the most urgent.
 	Engine  bool
 	Urgency int
-	// LastEvent is the last event that the caller has; empty at a stream's start.
+	// LastEvent is the id of the last event that the caller received; empty at the start of
+	// a stream.
 	LastEvent string
 }
 
-// Statement is what an upstream's answer states of itself.
+// Statement holds what the head of an upstream's answer says about the answer and its
+// upstream.
 type Statement struct {
-	// Signed answers bear the upstream's signature.
+	// Signed tells that the answer has the upstream's signature.
 	Signed bool
-	// NotRun answers promise that the request did not and will not run.
+	// NotRun tells that the upstream promises that it has not run the request and will not.
 	NotRun bool
-	// Intact answers have the body as the upstream made it.
+	// Intact tells that the body is as the upstream produced it, without a further encoding.
 	Intact bool
-	// Announcement is what it says of how its upstream wants to be asked.
+	// Announcement holds the rate limit and the backoff that the upstream announces, and
+	// whether it is leaving.
 	Announcement interpreter.Announcement
 }
 
-// Protocol reads and writes what callers, nodes and upstreams say in headers.
+// Protocol decodes and encodes the headers that callers, nodes and upstreams exchange.
 type Protocol interface {
-	// Decode returns what a caller's request says; the error means that the
-	// request breaks the protocol.
+	// Decode returns what the headers of a caller's request say. It returns an error if the
+	// request violates the protocol.
 	Decode(request *http.Request) (Call, error)
-	// Encode sets what an upstream is told; it removes what only this product may
-	// set.
+	// Encode sets the headers of a send to an upstream. It removes those that only this
+	// product may set.
 	Encode(header http.Header, call *Call, send Send)
-	// Belongs tells whether an answer is to the call.
+	// Belongs reports whether an answer is the one to the call.
 	Belongs(status int, header http.Header, call *Call) bool
-	// Judge returns what an answer states of itself.
+	// Judge returns what the head of an answer says.
 	Judge(status int, header http.Header) Statement
 }
--- a/forwarder/events.go
+++ b/forwarder/events.go
@@ -4,31 +4,31 @@
 	"bytes"
 )
 
-// maxEventBytes bounds an event of a stream that is not yet whole.
+// maxEventBytes bounds the size of an incomplete event.
 const maxEventBytes = 1 << 20
 
-// splitter cuts a stream of server-sent events where one ends.
-type splitter struct {
-	// rest holds the bytes of the event that is not yet whole.
-	rest []byte
-	// lastID is that of the last whole event that had one.
+// eventSplitter splits a stream of server-sent events at the ends of events.
+type eventSplitter struct {
+	// partial holds the bytes of the incomplete event.
+	partial []byte
+	// lastID is the id of the last complete event that had one.
 	lastID string
 }
 
-// add takes in bytes and returns those of the events that are whole now.
-func (splitter *splitter) add(data []byte) []byte {
-	splitter.rest = append(splitter.rest, data...)
-	end := lastEnd(splitter.rest)
+// add appends bytes of the stream and returns the events that are complete now.
+func (eventSplitter *eventSplitter) add(data []byte) []byte {
+	eventSplitter.partial = append(eventSplitter.partial, data...)
+	end := lastEnd(eventSplitter.partial)
 	if end == 0 {
 		return nil
 	}
-	whole := splitter.rest[:end:end]
-	splitter.rest = bytes.Clone(splitter.rest[end:])
-	splitter.note(whole)
+	whole := eventSplitter.partial[:end:end]
+	eventSplitter.partial = bytes.Clone(eventSplitter.partial[end:])
+	eventSplitter.recordLastID(whole)
 	return whole
 }
 
-// lastEnd returns where the last whole event ends, or 0.
+// lastEnd returns the offset behind the last complete event, or 0 if there is none.
 func lastEnd(data []byte) int {
 	end := 0
 	if at := bytes.LastIndex(data, []byte("\n\n")); at >= 0 {
@@ -40,12 +40,12 @@
 	return end
 }
 
-// note finds the last id among whole events.
-func (splitter *splitter) note(events []byte) {
+// recordLastID keeps the last id among complete events.
+func (eventSplitter *eventSplitter) recordLastID(events []byte) {
 	for line := range bytes.Lines(events) {
 		value, ok := bytes.CutPrefix(bytes.TrimRight(line, "\r\n"), []byte("id:"))
 		if ok {
-			splitter.lastID = string(bytes.TrimPrefix(value, []byte(" ")))
+			eventSplitter.lastID = string(bytes.TrimPrefix(value, []byte(" ")))
 		}
 	}
 }
--- a/forwarder/fall.go
+++ b/forwarder/fall.go
@@ -8,29 +8,31 @@
 	"limpetcleat/registrar"
 )
 
-// look tells what became of the upstream of an attempt that broke off by the cause. With one
-// that has ended, the request may have caused that; one that was about to leave ends as
-// planned.
-func (attempt *attempt) look(now time.Time, cause error) dialer.Presence {
-	forwarder, upstream := attempt.passage.forwarder, attempt.assignment.Upstream()
-	if !forwarder.serves(upstream) {
+// examineUpstream finds out whether the upstream of an attempt still listens, after its
+// connection broke by the cause. If the upstream has ended and had only just begun with the
+// request, the request is reported to the quarantine as a possible cause. Upstreams that are
+// no longer listed were leaving and end as planned, so they are not examined.
+func (attempt *attempt) examineUpstream(now time.Time, cause error) dialer.Presence {
+	forwarder, upstream := attempt.exchange.forwarder, attempt.assignment.Upstream()
+	if !forwarder.isListed(upstream) {
 		return dialer.Untold
 	}
 	finding := forwarder.examiner.Examine(now, upstream.Start(), upstream.Address, cause)
-	if finding.Ended() && attempt.isFresh(now) {
-		forwarder.quarantine.Fell(finding.At, upstream.Start(), attempt.passage.result.Identity)
+	if finding.Ended() && attempt.beganRecently(now) {
+		forwarder.quarantine.Fell(finding.At, upstream.Start(), attempt.exchange.result.Identity)
 	}
 	return finding.Presence
 }
 
-// isFresh tells whether the upstream had only just begun with the request, as far as its
-// answer shows.
-func (attempt *attempt) isFresh(now time.Time) bool {
-	return attempt.begunAt.IsZero() || now.Sub(attempt.begunAt) <= quarantiner.FreshRun
+// beganRecently reports whether the upstream had only just begun with the request, as far as
+// its answer shows.
+func (attempt *attempt) beganRecently(now time.Time) bool {
+	return attempt.firstEventAt.IsZero() || now.Sub(attempt.firstEventAt) <= quarantiner.FreshRun
 }
 
-// serves tells whether this start of an upstream is listed for requests.
-func (forwarder *Forwarder) serves(upstream *registrar.Upstream) bool {
+// isListed reports whether this incarnation of an upstream is listed as one that may be sent
+// requests.
+func (forwarder *Forwarder) isListed(upstream *registrar.Upstream) bool {
 	for _, listed := range forwarder.directory.Of(upstream.Service) {
 		if listed.Start() == upstream.Start() {
 			return true
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -1,6 +1,7 @@
-// Package forwarder takes a caller's request through the rules to an upstream
-// and its answer back. It answers each caller with an upstream's own whole
-// answer or with a refusal that tells whether the request may have run.
+// Package forwarder is the reverse proxy: it routes a caller's request by the rules to an
+// upstream, retries it where that is safe, and passes the upstream's answer back. A caller gets
+// either an upstream's own complete answer or a refusal that tells whether the request may
+// have run.
 package forwarder
 
 import (
@@ -22,68 +23,71 @@
 )
 
 const (
-	// defaultBodyBytes bounds a request's body when the configuration does not.
-	defaultBodyBytes = 4 << 20
-	// defaultHeldBytes bounds the bodies held at once.
-	defaultHeldBytes = 32 << 20
-	// defaultTimeLeft bounds a request for which neither caller nor rule does.
-	defaultTimeLeft = time.Minute
+	// defaultBodyBytes bounds a request's body if the configuration does not.
+	defaultMaxBodyBytes = 4 << 20
+	// defaultHeldBytes bounds the total size of the request bodies in memory.
+	defaultMaxHeldBytes = 32 << 20
+	// defaultTimeLeft is the time limit of a request if neither its caller nor its rule sets
+	// one.
+	defaultTimeLimit = time.Minute
 	// bodyTimeout bounds how long a caller may take to send a body.
 	bodyTimeout = 10 * time.Second
-	// answerMargin is how long after the time is over an upstream's own answer to
-	// that is still waited for; half a second would be too late for the platform.
+	// answerMargin is how long after the time limit to wait for the upstream's own answer
+	// that the time has run out; half a second would be too late for the platform.
 	answerMargin = 60 * time.Millisecond
-	// writeMargin is how long after that a caller may take to read.
+	// writeMargin is how long after the answerMargin a caller may take to read the answer.
 	writeMargin = 2 * time.Second
 )
 
-// Configuration is what is known of the configuration.
+// Configuration provides the routing table in force and how current it is.
 type Configuration interface {
-	// Table returns the configuration in force, or nil.
+	// Table returns the table in force, or nil if none is known yet.
 	Table() *router.Table
-	// Confirmed returns the time since which that is known to be the newest.
+	// Confirmed returns when the table was last confirmed to be the newest.
 	Confirmed() time.Time
-	// Healthy tells whether the platform answered the last call.
+	// Healthy reports whether the platform answered the last call.
 	Healthy() bool
 }
 
 // Directory lists upstreams.
 type Directory interface {
-	// Of returns the upstreams of a service that may get requests.
+	// Of returns the upstreams of a service that may be sent requests.
 	Of(service definer.PoolName) []*registrar.Upstream
-	// Known tells whether the list was read yet.
+	// Known reports whether the list has been read yet.
 	Known() bool
 }
 
-// Forwarder serves callers. It is safe for concurrent use.
+// Forwarder is an http.Handler that serves callers by sending their requests to upstreams. It
+// is safe for concurrent use.
 type Forwarder struct {
-	protocol      Protocol
-	configuration Configuration
-	directory     Directory
-	selector      *selector.Selector
-	budget        *budgeter.Budgeter
-	connector     *connector.Connector
-	watch         *timer.Service[*attempt]
-	roster        *roster
-	statements    *statements
-	examiner      *examiner.Examiner
-	quarantine    *quarantiner.Quarantiner
-	permits       Permits
-	announcements Announcements
-	log           func(number int, pairs ...any)
-	record        func(Record)
-	begun         func(organisation definer.OrganisationName)
-	backedOff     func()
-	draw          func() float64
-	// confirmedFor is how long a confirmed configuration lets keys be honoured.
+	protocol         Protocol
+	configuration    Configuration
+	directory        Directory
+	selector         *selector.Selector
+	retryBudget      *budgeter.Budgeter
+	connector        *connector.Connector
+	silenceTimer     *timer.Service[*attempt]
+	attempts         *attemptRegistry
+	loggedStatements *statementCache
+	examiner         *examiner.Examiner
+	quarantine       *quarantiner.Quarantiner
+	permits          Permits
+	announcements    Announcements
+	log              func(number int, pairs ...any)
+	record           func(Record)
+	begun            func(organisation definer.OrganisationName)
+	backedOff        func()
+	random           func() float64
+	// confirmedFor is how long keys are accepted after the configuration was confirmed; 0 is
+	// without limit.
 	confirmedFor time.Duration
 	maxHeldBytes int64
-	// longestBackoff bounds how long an upstream may ask not to be sent anything.
+	// longestBackoff bounds the backoff that an upstream may ask for.
 	longestBackoff time.Duration
-	// heldBytes counts the bodies of requests in hand.
+	// heldBytes is the total size of the request bodies in memory.
 	heldBytes atomic.Int64
-	// closing is set once answers ask callers to close their connections, and
-	// refusing once no request is taken any more.
+	// closing is set once answers ask callers to close their connections, and refusing once
+	// all new requests are refused.
 	closing  atomic.Bool
 	refusing atomic.Bool
 }
@@ -91,83 +95,87 @@
 // Option changes one setting of a Forwarder.
 type Option func(*Forwarder)
 
-// WithLog sets where numbered events go; the default drops them.
+// WithLog sets the function that logs numbered events; the default drops them.
 func WithLog(log func(number int, pairs ...any)) Option {
 	return func(forwarder *Forwarder) { forwarder.log = log }
 }
 
-// WithRecord sets what is told of each ended request; the default is nothing.
+// WithRecord sets the function that is called with the Record of each finished request; the
+// default does nothing.
 func WithRecord(record func(Record)) Option {
 	return func(forwarder *Forwarder) { forwarder.record = record }
 }
 
-// WithBegun sets what is told, once for each request, that it has begun at an upstream.
+// WithBegun sets the function that is called once for each request with which an upstream has
+// begun; the default does nothing.
 func WithBegun(begun func(organisation definer.OrganisationName)) Option {
 	return func(forwarder *Forwarder) { forwarder.begun = begun }
 }
 
-// WithConfirmation sets how long a confirmed configuration lets keys be
-// honoured; without it they always are.
+// WithConfirmation sets how long keys are accepted after the configuration was confirmed; the
+// default is without limit.
 func WithConfirmation(span time.Duration) Option {
 	return func(forwarder *Forwarder) { forwarder.confirmedFor = span }
 }
 
-// WithHeldBytes bounds the bodies held at once.
+// WithHeldBytes bounds the total size of the request bodies in memory, in bytes.
 func WithHeldBytes(bytes int64) Option {
 	return func(forwarder *Forwarder) { forwarder.maxHeldBytes = bytes }
 }
 
-// WithDraw sets where the numbers between 0 and 1 come from by which requests
-// are shared out by weight.
+// WithDraw sets the source of random numbers between 0 and 1, by which targets are picked by
+// weight and retry delays are randomised; the default always returns 0.
 func WithDraw(draw func() float64) Option {
-	return func(forwarder *Forwarder) { forwarder.draw = draw }
+	return func(forwarder *Forwarder) { forwarder.random = draw }
 }
 
-// WithQuarantine sets what knows the requests that make upstreams end; the default is one
-// that hears nothing from peers.
+// WithQuarantine sets the quarantine that holds off requests which make upstreams end; the
+// default is one without reports of peers.
 func WithQuarantine(quarantine *quarantiner.Quarantiner) Option {
 	return func(forwarder *Forwarder) { forwarder.quarantine = quarantine }
 }
 
-// WithLimits sets what knows the limits of upstreams and hands out their permits; the default
-// knows none.
+// WithLimits sets what receives the announcements of upstreams and grants permits for those
+// with a rate limit; by default, upstreams have no limits.
 func WithLimits(announcements Announcements, permits Permits) Option {
 	return func(forwarder *Forwarder) { forwarder.announcements, forwarder.permits = announcements, permits }
 }
 
-// WithBackoffs sets what is told of each refusal that asks for a backoff; the default is nothing.
+// WithBackoffs sets the function that is called for each answer that asks for a backoff; the
+// default does nothing.
 func WithBackoffs(backedOff func()) Option {
 	return func(forwarder *Forwarder) { forwarder.backedOff = backedOff }
 }
 
-// WithLongestBackoff bounds how long an upstream may ask not to be sent anything.
+// WithLongestBackoff bounds the backoff that an upstream may ask for; the default is
+// interpreter.MaxRetryAfter.
 func WithLongestBackoff(span time.Duration) Option {
 	return func(forwarder *Forwarder) { forwarder.longestBackoff = span }
 }
 
-// New returns a forwarder over the parts, which the caller owns.
+// New returns a Forwarder that uses the given parts, which remain the caller's.
 func New(protocol Protocol, configuration Configuration, directory Directory, selector *selector.Selector, budget *budgeter.Budgeter, connector *connector.Connector, options ...Option) *Forwarder {
 	forwarder := &Forwarder{
-		protocol:       protocol,
-		configuration:  configuration,
-		directory:      directory,
-		selector:       selector,
-		budget:         budget,
-		connector:      connector,
-		watch:          timer.New((*attempt).expire),
-		roster:         newRoster(),
-		statements:     newStatements(),
-		examiner:       examiner.New(connector.Look),
-		quarantine:     quarantiner.New(),
-		permits:        unlimited{},
-		announcements:  unlimited{},
-		log:            func(int, ...any) {},
-		record:         func(Record) {},
-		begun:          func(definer.OrganisationName) {},
-		backedOff:      func() {},
-		draw:           func() float64 { return 0 },
-		maxHeldBytes:   defaultHeldBytes,
-		longestBackoff: interpreter.MaxRetryAfter,
+		protocol:         protocol,
+		configuration:    configuration,
+		directory:        directory,
+		selector:         selector,
+		retryBudget:      budget,
+		connector:        connector,
+		silenceTimer:     timer.New((*attempt).checkSilence),
+		attempts:         newAttemptRegistry(),
+		loggedStatements: newStatementCache(),
+		examiner:         examiner.New(connector.Look),
+		quarantine:       quarantiner.New(),
+		permits:          unlimited{},
+		announcements:    unlimited{},
+		log:              func(int, ...any) {},
+		record:           func(Record) {},
+		begun:            func(definer.OrganisationName) {},
+		backedOff:        func() {},
+		random:           func() float64 { return 0 },
+		maxHeldBytes:     defaultMaxHeldBytes,
+		longestBackoff:   interpreter.MaxRetryAfter,
 	}
 	for _, option := range options {
 		option(forwarder)
@@ -175,42 +183,42 @@
 	return forwarder
 }
 
-// Start runs what watches over attempts until the context ends.
-func (forwarder *Forwarder) Start(ctx context.Context) { forwarder.watch.Start(ctx) }
+// Start runs the timer that ends attempts at silent upstreams, until the context is done.
+func (forwarder *Forwarder) Start(ctx context.Context) { forwarder.silenceTimer.Start(ctx) }
 
-// Done is closed once that has ended.
-func (forwarder *Forwarder) Done() <-chan struct{} { return forwarder.watch.Done() }
+// Done returns a channel that is closed once the timer has stopped.
+func (forwarder *Forwarder) Done() <-chan struct{} { return forwarder.silenceTimer.Done() }
 
-// CloseConnections makes each answer from now on close its connection.
+// CloseConnections makes each further answer ask the caller to close its connection.
 func (forwarder *Forwarder) CloseConnections() { forwarder.closing.Store(true) }
 
-// Refuse refuses each request from now on.
+// Refuse makes each further request be refused as Stopping.
 func (forwarder *Forwarder) Refuse() { forwarder.refusing.Store(true) }
 
-// Ready tells whether requests can be served: configuration and upstreams are
-// known, confirmed lately, and no stop has begun.
+// Ready reports whether requests can be served: the configuration is known and was confirmed
+// recently, the upstreams are known, and shutdown has not begun.
 func (forwarder *Forwarder) Ready(now time.Time) bool {
 	known := forwarder.configuration.Table() != nil && forwarder.directory.Known()
 	return known && !forwarder.closing.Load() && forwarder.confirmed(now)
 }
 
-// confirmed tells whether the configuration was confirmed lately enough to
-// honour keys. Times compare by the monotonic clock.
+// confirmed reports whether the configuration was confirmed recently enough to accept keys.
+// Times are compared by the monotonic clock.
 func (forwarder *Forwarder) confirmed(now time.Time) bool {
 	return forwarder.confirmedFor == 0 || now.Sub(forwarder.configuration.Confirmed()) < forwarder.confirmedFor
 }
 
-// ServeHTTP serves one request of a caller.
+// ServeHTTP serves one request of a caller. It implements http.Handler.
 func (forwarder *Forwarder) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	if forwarder.closing.Load() {
 		writer.Header().Set("Connection", "close")
 	}
-	passage := &passage{forwarder: forwarder, writer: writer, request: request, arrived: time.Now()}
-	defer passage.finish()
-	if reason := passage.admit(); reason != "" {
-		passage.refuse(reason)
+	exchange := &exchange{forwarder: forwarder, writer: writer, request: request, arrivedAt: time.Now()}
+	defer exchange.finish()
+	if reason := exchange.admit(); reason != "" {
+		exchange.refuse(reason)
 		return
 	}
-	defer forwarder.heldBytes.Add(-int64(len(passage.body)))
-	passage.serve()
+	defer forwarder.heldBytes.Add(-int64(len(exchange.body)))
+	exchange.serve()
 }
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -18,8 +18,8 @@
 	"limpetcleat/router"
 )
 
-// TestWhole holds what a caller gets for each behaviour of upstreams, and how
-// many of them the request is sent to.
+// TestWhole checks what a caller gets for each behaviour of upstreams, and how many upstreams
+// the request is sent to.
 func TestWhole(t *testing.T) {
 	unsigned := func(writer http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(writer, "text") }
 	encoded := func(writer http.ResponseWriter, request *http.Request) {
@@ -32,7 +32,7 @@
 	}
 	elsewhere := func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusMisdirectedRequest) }
 	stranger := func(writer http.ResponseWriter, request *http.Request) {
-		writer.Header().Set(attempt, "other")
+		writer.Header().Set(attemptHeader, "other")
 		answer(200, "text")(writer, request)
 	}
 	cases := []struct {
@@ -64,46 +64,46 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			world := newWorld(t, test.upstreams...)
-			got, body, err := world.call(test.path, "", unchanged)
+			harness := newHarness(t, test.upstreams...)
+			got, body, err := harness.call(test.path, "", unchanged)
 			assert.NilError(t, err)
 			assert.Equal(t, got.StatusCode, test.status)
 			if test.body != "" {
 				assert.Equal(t, body, test.body)
-				assert.Equal(t, got.Header.Get(seal), "signed")
+				assert.Equal(t, got.Header.Get(signatureHeader), "signed")
 			} else {
-				assert.Equal(t, got.Header.Get(seal), "")
+				assert.Equal(t, got.Header.Get(signatureHeader), "")
 			}
 			assert.Equal(t, got.Header.Get("Retry-After") != "", test.status == 503)
-			assert.Equal(t, world.sends(), test.sends)
-			assert.Equal(t, world.records[0].MayHaveRun, test.ran)
+			assert.Equal(t, harness.sends(), test.sends)
+			assert.Equal(t, harness.records[0].MayHaveRun, test.ran)
 		})
 	}
 }
 
 func TestUnreachableUpstreamsCostNothing(t *testing.T) {
-	world := newWorld(t)
-	world.add(0, closedAddress(t))
-	other := newWorld(t, answer(200, "text"))
-	world.add(1, other.upstreams[0].Address)
-	got, body, err := world.call("/once/", "", unchanged)
+	harness := newHarness(t)
+	harness.add(0, closedAddress(t))
+	other := newHarness(t, answer(200, "text"))
+	harness.add(1, other.upstreams[0].Address)
+	got, body, err := harness.call("/once/", "", unchanged)
 	assert.NilError(t, err)
 	assert.Equal(t, got.StatusCode, 200)
 	assert.Equal(t, body, "text")
 }
 
 func TestTimeoutIsAnsweredAtOnce(t *testing.T) {
-	world := newWorld(t, silent)
+	harness := newHarness(t, silent)
 	began := time.Now()
-	got, _, err := world.call("/once/", "", func(request *http.Request) { request.Header.Set("X-Deadline-Ms", "200") })
+	got, _, err := harness.call("/once/", "", func(request *http.Request) { request.Header.Set("X-Deadline-Ms", "200") })
 	assert.NilError(t, err)
 	assert.Equal(t, got.StatusCode, http.StatusGatewayTimeout)
 	assert.Assert(t, time.Since(began) < time.Second)
 }
 
 func TestUpstreamIsToldWhatItNeeds(t *testing.T) {
-	world := newWorld(t, answer(200, "text"))
-	_, _, err := world.call("/once/a%2Fb?q=1", "body", func(request *http.Request) {
+	harness := newHarness(t, answer(200, "text"))
+	_, _, err := harness.call("/once/a%2Fb?q=1", "body", func(request *http.Request) {
 		request.Header.Set("X-Deadline-Ms", "1500")
 		request.Header.Set("X-Tenant", "forged")
 		request.Header.Set("X-Hold", "forged")
@@ -112,12 +112,12 @@
 		request.Header.Set("X-Kept", "1")
 	})
 	assert.NilError(t, err)
-	head := world.heads[0]
+	head := harness.requests[0]
 	assert.Equal(t, head.RequestURI, "/once/a%2Fb?q=1")
 	assert.Equal(t, head.Host, "h.example")
-	assert.Equal(t, world.bodies[0], "body")
+	assert.Equal(t, harness.bodies[0], "body")
 	for name, value := range map[string]string{
-		attempt: "a1", "X-Expect-Runner": "u0", "X-Tenant": "guild", "X-Request-Priority": "1", "X-Kept": "1",
+		attemptHeader: "a1", "X-Expect-Runner": "u0", "X-Tenant": "guild", "X-Request-Priority": "1", "X-Kept": "1",
 		"Authorization": "", "X-Hold": "", "X-Hop": "", "User-Agent": "Go-http-client/1.1",
 	} {
 		assert.Equal(t, head.Header.Get(name), value, name)
@@ -126,52 +126,52 @@
 	assert.Assert(t, len(left) == 4 && left <= "1500" && left > "1000", left)
 }
 
-// TestRefusals holds what is refused before an upstream is asked.
+// TestRefusals checks which requests are refused without being sent to an upstream.
 func TestRefusals(t *testing.T) {
 	cases := []struct {
-		name   string
-		path   string
-		body   string
-		change func(request *http.Request)
-		world  func(world *world)
-		status int
+		name    string
+		path    string
+		body    string
+		change  func(request *http.Request)
+		prepare func(harness *harness)
+		status  int
 	}{
 		{"unknown rule", "/none/", "", unchanged, nil, 404},
 		{"unknown key", "/once/", "", func(request *http.Request) { request.Header.Set("Authorization", "Bearer other") }, nil, 401},
 		{"no key", "/once/", "", func(request *http.Request) { request.Header.Del("Authorization") }, nil, 401},
-		{"no id", "/once/", "", func(request *http.Request) { request.Header.Del(attempt) }, nil, 400},
+		{"no id", "/once/", "", func(request *http.Request) { request.Header.Del(attemptHeader) }, nil, 400},
 		{"a deadline that is none", "/once/", "", func(request *http.Request) { request.Header.Set("X-Deadline-Ms", "soon") }, nil, 400},
 		{"too large", "/once/", strings.Repeat("x", 101), unchanged, nil, 413},
-		{"unknown rule while the store is away", "/none/", "", unchanged, func(world *world) { world.healthy = false }, 503},
-		{"unknown key while the store is away", "/once/", "", func(request *http.Request) { request.Header.Del("Authorization") }, func(world *world) { world.healthy = false }, 503},
-		{"not confirmed for too long", "/once/", "", unchanged, func(world *world) { world.confirmed = time.Now().Add(-time.Hour) }, 503},
-		{"no configuration", "/once/", "", unchanged, func(world *world) { world.table = nil }, 503},
-		{"no upstreams", "/once/", "", unchanged, func(world *world) { world.upstreams = nil }, 503},
+		{"unknown rule while the store is away", "/none/", "", unchanged, func(harness *harness) { harness.healthy = false }, 503},
+		{"unknown key while the store is away", "/once/", "", func(request *http.Request) { request.Header.Del("Authorization") }, func(harness *harness) { harness.healthy = false }, 503},
+		{"not confirmed for too long", "/once/", "", unchanged, func(harness *harness) { harness.confirmed = time.Now().Add(-time.Hour) }, 503},
+		{"no configuration", "/once/", "", unchanged, func(harness *harness) { harness.table = nil }, 503},
+		{"no upstreams", "/once/", "", unchanged, func(harness *harness) { harness.upstreams = nil }, 503},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			world := newWorld(t, answer(200, "text"))
-			if test.world != nil {
-				test.world(world)
+			harness := newHarness(t, answer(200, "text"))
+			if test.prepare != nil {
+				test.prepare(harness)
 			}
-			got, _, err := world.call(test.path, test.body, test.change)
+			got, _, err := harness.call(test.path, test.body, test.change)
 			assert.NilError(t, err)
 			assert.Equal(t, got.StatusCode, test.status)
-			assert.Equal(t, world.sends(), 0)
+			assert.Equal(t, harness.sends(), 0)
 		})
 	}
 }
 
 func TestPublicRulesNeedNoConfirmation(t *testing.T) {
-	world := newWorld(t, answer(200, "text"))
-	world.build(func(definition *router.Definition) { definition.Rules[0].Public = true })
-	world.confirmed = time.Now().Add(-time.Hour)
-	got, _, err := world.call("/once/", "", func(request *http.Request) { request.Header.Del("Authorization") })
+	harness := newHarness(t, answer(200, "text"))
+	harness.configure(func(definition *router.Definition) { definition.Rules[0].Public = true })
+	harness.confirmed = time.Now().Add(-time.Hour)
+	got, _, err := harness.call("/once/", "", func(request *http.Request) { request.Header.Del("Authorization") })
 	assert.NilError(t, err)
 	assert.Equal(t, got.StatusCode, 200)
 }
 
-// TestStream holds what a caller gets of streams.
+// TestStream checks what a caller gets of streamed answers.
 func TestStream(t *testing.T) {
 	cases := []struct {
 		name      string
@@ -192,16 +192,16 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			world := newWorld(t, test.upstreams...)
-			got, body, err := world.call(test.path, "", unchanged)
+			harness := newHarness(t, test.upstreams...)
+			got, body, err := harness.call(test.path, "", unchanged)
 			assert.NilError(t, ignoreCut(err, test.whole))
 			assert.Equal(t, err == nil, test.whole)
 			assert.Equal(t, got.StatusCode, 200)
-			assert.Equal(t, got.Header.Get(seal), "signed")
+			assert.Equal(t, got.Header.Get(signatureHeader), "signed")
 			assert.Equal(t, body, test.body)
-			assert.Equal(t, world.sends(), test.sends)
+			assert.Equal(t, harness.sends(), test.sends)
 			if test.sends == 2 && strings.HasPrefix(test.name, "resumed") {
-				assert.Equal(t, world.heads[1].Header.Get("Last-Event-Id"), "1")
+				assert.Equal(t, harness.requests[1].Header.Get("Last-Event-Id"), "1")
 			}
 		})
 	}
@@ -214,13 +214,13 @@
 	return nil
 }
 
-// TestCallerLeaves holds that work for a caller that has left ends, unless it
+// TestCallerLeaves checks that a request is cancelled when its caller disconnects, unless it
 // may not be repeated.
 func TestCallerLeaves(t *testing.T) {
 	for path, ended := range map[string]bool{"/safe/": true, "/stream/": true, "/once/": false} {
 		t.Run(path, func(t *testing.T) {
 			reached, left := make(chan struct{}), make(chan struct{})
-			world := newWorld(t, func(_ http.ResponseWriter, request *http.Request) {
+			harness := newHarness(t, func(_ http.ResponseWriter, request *http.Request) {
 				close(reached)
 				select {
 				case <-request.Context().Done():
@@ -233,7 +233,7 @@
 				<-reached
 				leave()
 			}()
-			_, _, err := world.call(path, "", func(request *http.Request) { *request = *request.WithContext(ctx) })
+			_, _, err := harness.call(path, "", func(request *http.Request) { *request = *request.WithContext(ctx) })
 			assert.Assert(t, err != nil)
 			select {
 			case <-left:
@@ -261,9 +261,10 @@
 	}
 }
 
-// TestRestartEndsRequestsUnderWay holds what becomes of a request whose upstream starts
-// again under its name while it waits: what may be repeated goes elsewhere at once, what
-// may not is answered that it may have run, and a later start's own requests go on.
+// TestRestartEndsRequestsUnderWay checks what happens to a request in flight when its upstream
+// restarts under the same name: a request that may be repeated is sent to another upstream at
+// once, any other is answered that it may have run, and requests at the latest incarnation
+// continue.
 func TestRestartEndsRequestsUnderWay(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -294,53 +295,52 @@
 			if test.path == "/resume/" {
 				second = events(false, "id: 1\n\n")
 			}
-			world := newWorld(t, first, second)
-			world.upstreams[0].Incarnation = 10
+			harness := newHarness(t, first, second)
+			harness.upstreams[0].Incarnation = 10
 			go func() {
 				<-arrived
-				world.front.Started(definer.UpstreamStart{Upstream: "u0", Incarnation: test.started})
+				harness.forwarder.Started(definer.UpstreamStart{Upstream: "u0", Incarnation: test.started})
 				if test.status == 200 && test.sends == 1 {
 					close(goOn)
 				}
 			}()
 			began := time.Now()
-			got, body, err := world.call(test.path, "", nil)
+			got, body, err := harness.call(test.path, "", nil)
 			assert.NilError(t, err)
 			assert.Equal(t, got.StatusCode, test.status)
 			if test.body != "" {
 				assert.Equal(t, body, test.body)
 			}
-			assert.Equal(t, world.sends(), test.sends)
-			assert.Assert(t, time.Since(began) < time.Second, "it is not waited for its end")
+			assert.Equal(t, harness.sends(), test.sends)
+			assert.Assert(t, time.Since(began) < time.Second, "the answer must not wait for the old incarnation")
 		})
 	}
 }
 
 func TestStoppingClosesConnectionsThenRefuses(t *testing.T) {
-	world := newWorld(t, answer(200, "text"))
-	front := world.front
+	harness := newHarness(t, answer(200, "text"))
+	front := harness.forwarder
 	assert.Assert(t, front.Ready(time.Now()))
 	front.CloseConnections()
 	assert.Assert(t, !front.Ready(time.Now()))
-	got, _, err := world.call("/once/", "", unchanged)
+	got, _, err := harness.call("/once/", "", unchanged)
 	assert.NilError(t, err)
 	assert.Equal(t, got.StatusCode, 200)
 	assert.Assert(t, got.Close)
 	front.Refuse()
-	got, _, err = world.call("/once/", "", unchanged)
+	got, _, err = harness.call("/once/", "", unchanged)
 	assert.NilError(t, err)
 	assert.Equal(t, got.StatusCode, 503)
 }
 
-// TestSaturationIsAnsweredAtOnce holds that a request whose answer would come too late
-// everywhere is refused as not run, at once and with a time to come back that the caller
-// honours, that those who are refused together are told different times, and that a
-// request of a higher tier goes on.
+// TestSaturationIsAnsweredAtOnce checks that a request that every upstream would answer too
+// late is refused as not run, at once and with a Retry-After that the caller accepts. Callers
+// that are refused together get different times, and a request of a higher tier is sent.
 func TestSaturationIsAnsweredAtOnce(t *testing.T) {
 	draw := 0.0
-	world := newWorld(t, silent)
-	world.drawn(func() float64 { draw += 0.3; return draw - float64(int(draw)) })
-	world.build(func(definition *router.Definition) {
+	harness := newHarness(t, silent)
+	harness.setDraw(func() float64 { draw += 0.3; return draw - float64(int(draw)) })
+	harness.configure(func(definition *router.Definition) {
 		definition.Rules = append(definition.Rules, rule("low", func(rule *router.Rule) { rule.Streamed, rule.Tier = true, 2 }))
 	})
 	prompt := func(tokens string) func(request *http.Request) {
@@ -353,14 +353,14 @@
 	defer cancel()
 	var held sync.WaitGroup
 	held.Go(func() {
-		// It takes an engine seconds to read.
-		_, _, _ = world.call("/stream/", "", func(request *http.Request) {
+		// An engine takes seconds to read a prompt of this length.
+		_, _, _ = harness.call("/stream/", "", func(request *http.Request) {
 			*request = *request.WithContext(ctx)
 			prompt("400000")(request)
 		})
 	})
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if world.sends() == 1 {
+		if harness.sends() == 1 {
 			return poll.Success()
 		}
 		return poll.Continue("the first request is not sent yet")
@@ -368,22 +368,22 @@
 	pauses := make(map[string]bool)
 	for range 3 {
 		began := time.Now()
-		refused, text, err := world.call("/low/", "", prompt("1000"))
+		refused, text, err := harness.call("/low/", "", prompt("1000"))
 		assert.NilError(t, err)
 		assert.Equal(t, refused.StatusCode, http.StatusServiceUnavailable)
 		assert.Equal(t, text, `{"error":"saturated"}`)
 		assert.Assert(t, time.Since(began) < time.Second)
 		pause, err := strconv.ParseFloat(refused.Header.Get("Retry-After"), 64)
 		assert.NilError(t, err)
-		assert.Assert(t, pause > 0 && pause <= 0.5, "a third of the time left is 0.5 s, and the pause %g", pause)
+		assert.Assert(t, pause > 0 && pause <= 0.5, "Retry-After is %g s; a third of the time left is 0.5 s", pause)
 		pauses[refused.Header.Get("Retry-After")] = true
 	}
 	assert.Equal(t, len(pauses), 3)
-	assert.Equal(t, world.sends(), 1)
-	answered, _, err := world.call("/stream/", "", prompt("1000"))
+	assert.Equal(t, harness.sends(), 1)
+	answered, _, err := harness.call("/stream/", "", prompt("1000"))
 	assert.NilError(t, err)
-	assert.Equal(t, answered.StatusCode, http.StatusGatewayTimeout, "it was sent, and the upstream is silent")
-	assert.Equal(t, world.sends(), 2)
+	assert.Equal(t, answered.StatusCode, http.StatusGatewayTimeout, "the request must be sent to the silent upstream")
+	assert.Equal(t, harness.sends(), 2)
 	cancel()
 	held.Wait()
 }
--- a/forwarder/header.go
+++ b/forwarder/header.go
@@ -5,16 +5,16 @@
 	"strings"
 )
 
-// hopHeaders returns the headers that concern one connection only (RFC 9110,
-// 7.6.1, and those that are in use without it).
-func hopHeaders() []string {
+// hopByHopHeaders returns the headers that concern a single connection only: those of
+// RFC 9110, 7.6.1, and others in common use.
+func hopByHopHeaders() []string {
 	return []string{
 		"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 		"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 	}
 }
 
-// endToEnd returns a copy without the headers that concern one connection.
+// endToEnd returns a copy of the headers without the hop-by-hop ones.
 func endToEnd(header http.Header) http.Header {
 	passed := header.Clone()
 	if passed == nil {
@@ -25,19 +25,20 @@
 			passed.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders() {
+	for _, name := range hopByHopHeaders() {
 		passed.Del(name)
 	}
 	return passed
 }
 
-// copyHeader puts an upstream's headers in place of those of an answer.
+// copyHeader copies the end-to-end headers of an upstream's answer into the answer to the
+// caller, replacing fields of equal name.
 func copyHeader(to, from http.Header) {
 	for name, values := range endToEnd(from) {
 		to[name] = values
 	}
 	if _, named := to["Content-Type"]; !named {
-		to["Content-Type"] = nil // Keeps the library from guessing one.
+		to["Content-Type"] = nil // Keeps net/http from detecting one.
 	}
 	to.Del("Content-Length")
 }
--- a/forwarder/heldoff.go
+++ b/forwarder/heldoff.go
@@ -7,11 +7,12 @@
 	"limpetcleat/timer"
 )
 
-// isHeldOff tells whether the request is held off, once that is settled or its time is over.
-func (passage *passage) isHeldOff(ctx context.Context) bool {
+// isHeldOff reports whether the request is held off. It waits while the quarantine may still
+// clear the request, and returns false if the context ends meanwhile.
+func (exchange *exchange) isHeldOff(ctx context.Context) bool {
 	for {
-		verdict := passage.forwarder.quarantine.Check(time.Now(), passage.result.Identity)
-		passage.heldFor = verdict.Left
+		verdict := exchange.forwarder.quarantine.Check(time.Now(), exchange.result.Identity)
+		exchange.holdLeft = verdict.Left
 		if verdict.Left == 0 || verdict.Wait == 0 {
 			return verdict.Left > 0
 		}
--- a/forwarder/passage.go
+++ b/forwarder/passage.go
@@ -14,57 +14,59 @@
 	"limpetcleat/selector"
 )
 
-// passage is one request of a caller on its way. Its goroutine owns it.
-type passage struct {
+// exchange is one caller's request and its answer, over all sends to upstreams. It is owned
+// by the goroutine that serves the request.
+type exchange struct {
 	forwarder *Forwarder
 	writer    http.ResponseWriter
 	request   *http.Request
-	// arrived is when the request's head had been read.
-	arrived time.Time
+	// arrivedAt is when the request's head had been read.
+	arrivedAt time.Time
 
 	call    Call
 	rule    *router.Rule
 	service *router.Service
-	// urgency is what engines are told; 0 goes first.
+	// urgency is sent to engines; 0 is the most urgent.
 	urgency int
-	// deferredUrgency is that of a request that will be late anyway, if deferrable is
-	// set.
+	// deferredUrgency replaces urgency if the request is going to miss its objective anyway;
+	// valid only if deferrable is set.
 	deferredUrgency int
 	deferrable      bool
 	body            []byte
-	// timeLeft bounds the whole passage from arrived on.
-	timeLeft time.Duration
+	// timeLimit bounds the whole exchange, counted from arrivedAt.
+	timeLimit time.Duration
 
-	// tried holds the upstreams that the request was sent to or could not reach.
+	// tried holds the upstreams that the request was sent to or could not be connected to.
 	tried map[definer.UpstreamName]bool
-	// dials counts those that it could not reach.
-	dials int
-	// asks counts the permits that it asked for, budgeted is set while a repeat is paid for
-	// that was not sent yet.
-	asks     int
-	budgeted bool
-	// pause is after what time a refused caller is to come back; 0 is the reason's own.
-	pause time.Duration
-	// heldFor is how long the request is held off at the longest; 0 when it is not.
-	heldFor time.Duration
-	// failure is an upstream's own failure, delivered if nothing better comes.
-	failure *wholeAnswer
-	// sendReason is why the last send failed; empty when none did.
+	// failedDials counts the upstreams that could not be connected to.
+	failedDials int
+	// permitAsks counts the permits that were asked for. budgeted is set while a retry has
+	// been charged to the retry budget but not been sent yet.
+	permitAsks int
+	budgeted   bool
+	// retryDelay is after what time a refused caller should retry; 0 means the default of
+	// the reason.
+	retryDelay time.Duration
+	// holdLeft is for how much longer at most the request is held off; 0 if it is not.
+	holdLeft time.Duration
+	// upstreamFailure is an upstream's own error answer, delivered if no later send succeeds.
+	upstreamFailure *wholeAnswer
+	// sendReason is why the last send failed; empty if none did.
 	sendReason Reason
-	// counted is set once the request is known to have begun at an upstream.
-	counted bool
-	// stream is the part of a stream that was passed on.
+	// begunReported is set once it was reported that an upstream has begun with the request.
+	begunReported bool
+	// stream tells how much of a streamed answer was passed to the caller.
 	stream stream
 	result Record
 }
 
-// admit decodes and checks the request; it returns why it is refused, or
-// nothing.
-func (passage *passage) admit() Reason {
-	forwarder := passage.forwarder
-	call, err := forwarder.protocol.Decode(passage.request)
-	passage.call = call
-	passage.result.Attempt = call.Attempt
+// admit decodes and checks the request and reads its body. It returns the reason to refuse
+// it, or an empty one.
+func (exchange *exchange) admit() Reason {
+	forwarder := exchange.forwarder
+	call, err := forwarder.protocol.Decode(exchange.request)
+	exchange.call = call
+	exchange.result.Attempt = call.Attempt
 	table := forwarder.configuration.Table()
 	switch {
 	case err != nil:
@@ -74,86 +76,88 @@
 	case table == nil || !forwarder.directory.Known():
 		return Unconfigured
 	}
-	passage.result.Version = table.Version()
-	passage.result.Age = passage.arrived.Sub(forwarder.configuration.Confirmed())
-	if reason := passage.match(table); reason != "" {
+	exchange.result.Version = table.Version()
+	exchange.result.Age = exchange.arrivedAt.Sub(forwarder.configuration.Confirmed())
+	if reason := exchange.match(table); reason != "" {
 		return reason
 	}
-	if reason := passage.read(table.Limits()); reason != "" {
+	if reason := exchange.readBody(table.Limits()); reason != "" {
 		return reason
 	}
-	passage.identify()
+	exchange.identify()
 	return ""
 }
 
-// identify settles what attempts of the same request have in common.
-func (passage *passage) identify() {
-	passage.result.Identity = quarantiner.Identify(&quarantiner.Subject{
-		Organisation: passage.result.Organisation,
-		Method:       passage.request.Method,
-		Host:         passage.request.Host,
-		Target:       passage.request.URL.RequestURI(),
-		Body:         passage.body,
+// identify computes the identity that all attempts of the same request share.
+func (exchange *exchange) identify() {
+	exchange.result.Identity = quarantiner.Identify(&quarantiner.Subject{
+		Organisation: exchange.result.Organisation,
+		Method:       exchange.request.Method,
+		Host:         exchange.request.Host,
+		Target:       exchange.request.URL.RequestURI(),
+		Body:         exchange.body,
 	})
 }
 
-// match finds the rule, the service and the organisation.
-func (passage *passage) match(table *router.Table) Reason {
-	forwarder := passage.forwarder
-	rule, err := table.Match(passage.request.Host, passage.request.URL.EscapedPath())
+// match finds the rule, the service and the organisation of the request. It returns the
+// reason to refuse it, or an empty one.
+func (exchange *exchange) match(table *router.Table) Reason {
+	forwarder := exchange.forwarder
+	rule, err := table.Match(exchange.request.Host, exchange.request.URL.EscapedPath())
 	if err != nil {
-		return forwarder.certain(UnknownRule)
+		return forwarder.reasonIfHealthy(UnknownRule)
 	}
-	passage.rule = rule
-	organisation, err := table.Authenticate(rule, passage.call.Key)
+	exchange.rule = rule
+	organisation, err := table.Authenticate(rule, exchange.call.Key)
 	if err != nil {
-		return forwarder.certain(UnknownKey)
+		return forwarder.reasonIfHealthy(UnknownKey)
 	}
-	if organisation != nil && !forwarder.confirmed(passage.arrived) {
+	if organisation != nil && !forwarder.confirmed(exchange.arrivedAt) {
 		return Unconfirmed
 	}
-	service, ok := table.Service(rule.Pick(forwarder.draw()))
+	service, ok := table.Service(rule.Pick(forwarder.random()))
 	if !ok {
 		return NoUpstream
 	}
-	passage.service = service
-	passage.result.Rule = rule.Name
-	passage.result.Service = service.Name
-	passage.result.Objective = rule.Objective
-	passage.result.GapObjective = rule.GapObjective
-	passage.result.Tier = table.Tier(rule, organisation)
-	passage.urgency = table.Urgency(rule, organisation)
-	passage.deferredUrgency, passage.deferrable = table.DeferredUrgency(rule)
+	exchange.service = service
+	exchange.result.Rule = rule.Name
+	exchange.result.Service = service.Name
+	exchange.result.Objective = rule.Objective
+	exchange.result.GapObjective = rule.GapObjective
+	exchange.result.Tier = table.Tier(rule, organisation)
+	exchange.urgency = table.Urgency(rule, organisation)
+	exchange.deferredUrgency, exchange.deferrable = table.DeferredUrgency(rule)
 	if organisation != nil {
-		passage.result.Organisation = organisation.Name
+		exchange.result.Organisation = organisation.Name
 	}
 	return ""
 }
 
-// certain returns the reason, or Unconfirmed while the platform does not answer:
-// a newer configuration may know what this one does not.
-func (forwarder *Forwarder) certain(reason Reason) Reason {
+// reasonIfHealthy returns the reason, or Unconfirmed while the platform does not answer: a
+// newer configuration may have the rule or key that this one lacks.
+func (forwarder *Forwarder) reasonIfHealthy(reason Reason) Reason {
 	if forwarder.configuration.Healthy() {
 		return reason
 	}
 	return Unconfirmed
 }
 
-// read reads the body.
-func (passage *passage) read(limits router.Limits) Reason {
+// readBody reads the request's body within the limits. It returns the reason to refuse the
+// request, or an empty one.
+func (exchange *exchange) readBody(limits router.Limits) Reason {
 	limit := limits.MaxBodyBytes
 	if limit <= 0 {
-		limit = defaultBodyBytes
+		limit = defaultMaxBodyBytes
 	}
-	if passage.request.ContentLength > limit {
+	if exchange.request.ContentLength > limit {
 		return TooLarge
 	}
-	if passage.forwarder.heldBytes.Load()+max(passage.request.ContentLength, 0) > passage.forwarder.maxHeldBytes {
+	if exchange.forwarder.heldBytes.Load()+max(exchange.request.ContentLength, 0) > exchange.forwarder.maxHeldBytes {
 		return Overloaded
 	}
-	control := http.NewResponseController(passage.writer)
-	_ = control.SetReadDeadline(passage.arrived.Add(bodyTimeout)) // Only a test's writer has none.
-	body, err := io.ReadAll(io.LimitReader(passage.request.Body, limit+1))
+	control := http.NewResponseController(exchange.writer)
+	_ = control.SetReadDeadline(exchange.arrivedAt.Add(bodyTimeout)) // Only writers in tests support none.
+	body, err := io.ReadAll(io.LimitReader(exchange.request.Body, limit+1))
 	_ = control.SetReadDeadline(time.Time{})
 	switch {
 	case err != nil:
@@ -161,114 +165,116 @@
 	case int64(len(body)) > limit:
 		return TooLarge
 	}
-	passage.body = body
-	passage.forwarder.heldBytes.Add(int64(len(body)))
+	exchange.body = body
+	exchange.forwarder.heldBytes.Add(int64(len(body)))
 	return ""
 }
 
-// serve sends the request until it is answered or given up.
-func (passage *passage) serve() {
-	passage.timeLeft = passage.budgetedTime()
-	end := passage.arrived.Add(passage.timeLeft + answerMargin)
-	_ = http.NewResponseController(passage.writer).SetWriteDeadline(end.Add(writeMargin))
-	ctx := passage.request.Context()
-	if !passage.rule.Streamed && !passage.rule.Idempotent() {
-		// A run that may not be repeated is not broken off for a caller that left.
+// serve sends the request to upstreams until it is answered or given up.
+func (exchange *exchange) serve() {
+	exchange.timeLimit = exchange.timeBudget()
+	end := exchange.arrivedAt.Add(exchange.timeLimit + answerMargin)
+	_ = http.NewResponseController(exchange.writer).SetWriteDeadline(end.Add(writeMargin))
+	ctx := exchange.request.Context()
+	if !exchange.rule.Streamed && !exchange.rule.Idempotent() {
+		// A request that may not run twice is not cancelled when its caller disconnects.
 		ctx = context.WithoutCancel(ctx)
 	}
 	ctx, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
-	reason := passage.sendUntilServed(ctx)
+	reason := exchange.sendUntilServed(ctx)
 	if reason != Served {
-		passage.fail(reason)
+		exchange.fail(reason)
 	}
-	passage.result.Reason = reason
+	exchange.result.Reason = reason
 }
 
-// budgetedTime returns how long the request may take in all.
-func (passage *passage) budgetedTime() time.Duration {
-	left := defaultTimeLeft
-	if passage.rule.Timeout > 0 {
-		left = passage.rule.Timeout
+// timeBudget returns how long the request may take in total.
+func (exchange *exchange) timeBudget() time.Duration {
+	left := defaultTimeLimit
+	if exchange.rule.Timeout > 0 {
+		left = exchange.rule.Timeout
 	}
-	if passage.call.HasTimeLeft {
-		left = min(left, passage.call.TimeLeft)
+	if exchange.call.HasTimeLeft {
+		left = min(left, exchange.call.TimeLeft)
 	}
 	return left
 }
 
-// sendUntilServed returns Served, or why the request is given up.
-func (passage *passage) sendUntilServed(ctx context.Context) Reason {
+// sendUntilServed sends the request to one upstream after the other. It returns Served, or
+// why the request is given up.
+func (exchange *exchange) sendUntilServed(ctx context.Context) Reason {
 	for {
-		if passage.isHeldOff(ctx) {
-			return passage.lastReason(HeldOff)
+		if exchange.isHeldOff(ctx) {
+			return exchange.sendReasonOr(HeldOff)
 		}
-		if reason := passage.over(ctx); reason != "" {
+		if reason := exchange.endReason(ctx); reason != "" {
 			return reason
 		}
-		assignment, err := passage.choose()
+		assignment, err := exchange.choose()
 		if err != nil {
-			return passage.lastReason(passage.unassigned(err))
+			return exchange.sendReasonOr(exchange.noUpstreamReason(err))
 		}
-		if !passage.mayRepeat() {
+		if !exchange.takeRetryBudget() {
 			assignment.End(time.Now(), selector.Abandoned)
-			return passage.lastReason(Full)
+			return exchange.sendReasonOr(Full)
 		}
-		if !passage.permitted(ctx, assignment) {
-			if passage.asks < maxAsks {
+		if !exchange.takePermit(ctx, assignment) {
+			if exchange.permitAsks < maxPermitAsks {
 				continue
 			}
-			return passage.lastReason(Limited)
+			return exchange.sendReasonOr(Limited)
 		}
-		passage.budgeted = false
-		verdict := passage.attempt(ctx, assignment)
-		if verdict.reason == Served {
+		exchange.budgeted = false
+		result := exchange.sendTo(ctx, assignment)
+		if result.reason == Served {
 			return Served
 		}
-		passage.sendReason = verdict.reason
-		if !passage.mayGoOn(verdict) {
-			if reason := passage.over(ctx); reason != "" {
+		exchange.sendReason = result.reason
+		if !exchange.mayRetry(result) {
+			if reason := exchange.endReason(ctx); reason != "" {
 				return reason
 			}
-			return verdict.reason
+			return result.reason
 		}
 	}
 }
 
-// mayRepeat tells whether the request may be sent, which takes something of the budget if it
-// was sent before.
-func (passage *passage) mayRepeat() bool {
-	if passage.result.Sends == 0 || passage.budgeted {
+// takeRetryBudget reports whether the request may be sent. If it was sent before, the send is
+// a retry and is charged to the retry budget of its service.
+func (exchange *exchange) takeRetryBudget() bool {
+	if exchange.result.Sends == 0 || exchange.budgeted {
 		return true
 	}
-	passage.budgeted = passage.forwarder.budget.Take(passage.service.Name, time.Now())
-	return passage.budgeted
+	exchange.budgeted = exchange.forwarder.retryBudget.Take(exchange.service.Name, time.Now())
+	return exchange.budgeted
 }
 
-// begin notes that the request has begun at an upstream, be it for the first time or again.
-func (passage *passage) begin() {
-	if !passage.counted {
-		passage.counted = true
-		passage.forwarder.begun(passage.result.Organisation)
+// markBegun reports that an upstream has begun with the request, once for all sends.
+func (exchange *exchange) markBegun() {
+	if !exchange.begunReported {
+		exchange.begunReported = true
+		exchange.forwarder.begun(exchange.result.Organisation)
 	}
 }
 
-// unassigned returns why no upstream was chosen, and notes when one may be.
-func (passage *passage) unassigned(err error) Reason {
+// noUpstreamReason returns why no upstream was chosen, and sets retryDelay to after what
+// time one may be available.
+func (exchange *exchange) noUpstreamReason(err error) Reason {
 	var saturation *selector.Saturation
 	var limitation *selector.Limitation
 	switch {
 	case errors.As(err, &saturation):
-		passage.pause = saturation.Pause
+		exchange.retryDelay = saturation.Pause
 		return Saturated
 	case errors.As(err, &limitation):
-		passage.pause = limitation.Pause
+		exchange.retryDelay = limitation.Pause
 		return limitReason(err)
 	}
 	return NoUpstream
 }
 
-// limitReason returns which kind of limitation the choice of an upstream met.
+// limitReason returns BackingOff if all upstreams have asked for a backoff, else Limited.
 func limitReason(err error) Reason {
 	var failure *selector.Error
 	if errors.As(err, &failure) && failure.Kind() == selector.BackingOff {
@@ -277,105 +283,109 @@
 	return Limited
 }
 
-// lastReason returns why the last send failed, or the reason when none did.
-func (passage *passage) lastReason(reason Reason) Reason {
-	if passage.sendReason != "" {
-		return passage.sendReason
+// sendReasonOr returns why the last send failed, or the given reason if none did.
+func (exchange *exchange) sendReasonOr(reason Reason) Reason {
+	if exchange.sendReason != "" {
+		return exchange.sendReason
 	}
 	return reason
 }
 
-// over tells whether the caller has left or its time is over.
-func (passage *passage) over(ctx context.Context) Reason {
+// endReason returns Left if the caller has disconnected, TimedOut if the time limit has
+// passed, else an empty reason.
+func (exchange *exchange) endReason(ctx context.Context) Reason {
 	switch {
-	case passage.request.Context().Err() != nil:
+	case exchange.request.Context().Err() != nil:
 		return Left
-	case ctx.Err() != nil || time.Since(passage.arrived) >= passage.timeLeft:
+	case ctx.Err() != nil || time.Since(exchange.arrivedAt) >= exchange.timeLimit:
 		return TimedOut
 	}
 	return ""
 }
 
-func (passage *passage) choose() (*selector.Assignment, error) {
+// choose returns the assignment of the request to an upstream, or an error if none can be
+// sent the request.
+func (exchange *exchange) choose() (*selector.Assignment, error) {
 	demand := &selector.Demand{
-		Service:      passage.service.Name,
-		Kind:         passage.rule.Name,
-		Tier:         passage.rule.Tier,
-		Candidates:   passage.forwarder.directory.Of(passage.service.Name),
-		Tried:        passage.tried,
-		Engine:       passage.service.Engine,
-		CacheTokens:  passage.service.CacheTokens,
-		OutputTokens: passage.call.OutputTokens,
-		PromptTokens: passage.call.PromptTokens,
-		Idempotent:   passage.rule.Idempotent(),
-		Patience:     passage.permitPatience(),
-		Deferrable:   passage.deferrable && passage.result.Sends == 0,
-		TimeLeft:     passage.timeLeft - time.Since(passage.arrived),
-	}
-	if passage.rule.Objective > 0 {
-		demand.Objective = max(passage.rule.Objective-time.Since(passage.arrived), time.Nanosecond)
-	}
-	if passage.rule.SharesPrefixes {
-		demand.Parts = passage.call.shared()
-	}
-	return passage.forwarder.selector.Choose(time.Now(), demand)
+		Service:      exchange.service.Name,
+		Kind:         exchange.rule.Name,
+		Tier:         exchange.rule.Tier,
+		Candidates:   exchange.forwarder.directory.Of(exchange.service.Name),
+		Tried:        exchange.tried,
+		Engine:       exchange.service.Engine,
+		CacheTokens:  exchange.service.CacheTokens,
+		OutputTokens: exchange.call.OutputTokens,
+		PromptTokens: exchange.call.PromptTokens,
+		Idempotent:   exchange.rule.Idempotent(),
+		Patience:     exchange.permitWait(),
+		Deferrable:   exchange.deferrable && exchange.result.Sends == 0,
+		TimeLeft:     exchange.timeLimit - time.Since(exchange.arrivedAt),
+	}
+	if exchange.rule.Objective > 0 {
+		demand.Objective = max(exchange.rule.Objective-time.Since(exchange.arrivedAt), time.Nanosecond)
+	}
+	if exchange.rule.SharesPrefixes {
+		demand.Parts = exchange.call.shared()
+	}
+	return exchange.forwarder.selector.Choose(time.Now(), demand)
 }
 
-// fail ends a request that was not served.
-func (passage *passage) fail(reason Reason) {
+// fail answers a request that was admitted but not served, or aborts its begun stream.
+func (exchange *exchange) fail(reason Reason) {
 	switch {
-	case passage.stream.begun:
-		passage.result.Status = 0
-		passage.result.Reason = reason
-		passage.abort()
+	case exchange.stream.headWritten:
+		exchange.result.Status = 0
+		exchange.result.Reason = reason
+		exchange.abort()
 	case reason == Left:
 		return
-	case passage.failure != nil:
-		passage.deliver(passage.failure)
-	case passage.result.MayHaveRun:
-		passage.respond(reason.failedStatus(), reason)
+	case exchange.upstreamFailure != nil:
+		exchange.deliver(exchange.upstreamFailure)
+	case exchange.result.MayHaveRun:
+		exchange.respond(reason.failedStatus(), reason)
 	default:
-		passage.respond(reason.status(), reason)
+		exchange.respond(reason.status(), reason)
 	}
 }
 
-// refuse answers a request that is not sent to any upstream.
-func (passage *passage) refuse(reason Reason) {
-	passage.result.Reason = reason
+// refuse answers a request that was not admitted.
+func (exchange *exchange) refuse(reason Reason) {
+	exchange.result.Reason = reason
 	if reason == TooLarge || reason == Malformed {
-		// The rest of the body is not read.
-		passage.writer.Header().Set("Connection", "close")
+		// The rest of the body stays unread, so the connection cannot be reused.
+		exchange.writer.Header().Set("Connection", "close")
 	}
-	passage.respond(reason.status(), reason)
+	exchange.respond(reason.status(), reason)
 }
 
-func (passage *passage) respond(status int, reason Reason) {
-	passage.result.Status = status
-	passage.result.First = time.Since(passage.arrived)
-	passage.writeRefusal(status, reason)
+// respond records the status and answers the caller with a refusal.
+func (exchange *exchange) respond(status int, reason Reason) {
+	exchange.result.Status = status
+	exchange.result.First = time.Since(exchange.arrivedAt)
+	exchange.writeRefusal(status, reason)
 }
 
-// returnAfter returns when a refused caller is to come back: spread, so that those
-// who were refused together do not come together.
-func (passage *passage) returnAfter(reason Reason) time.Duration {
+// retryAfter returns after what time a refused caller should retry. The time is randomised,
+// so that callers that were refused together do not return together.
+func (exchange *exchange) retryAfter(reason Reason) time.Duration {
 	if reason == HeldOff {
-		// Sooner would be in vain.
-		return time.Duration((1 + returnSpread*passage.forwarder.draw()) * float64(passage.heldFor))
+		// The time is never shortened: before it has passed, a retry would be refused again.
+		return time.Duration((1 + retryAfterSpread*exchange.forwarder.random()) * float64(exchange.holdLeft))
 	}
-	if passage.pause == 0 {
-		return reason.pause()
+	if exchange.retryDelay == 0 {
+		return reason.retryDelay()
 	}
-	spread := 1 - returnSpread*passage.forwarder.draw()
-	return max(time.Duration(spread*float64(passage.pause)), elsewherePause)
+	spread := 1 - retryAfterSpread*exchange.forwarder.random()
+	return max(time.Duration(spread*float64(exchange.retryDelay)), otherNodeDelay)
 }
 
-// abort closes the caller's connection in the middle of an answer, so that it
-// does not look whole.
-func (passage *passage) abort() {
-	conn, _, err := http.NewResponseController(passage.writer).Hijack()
+// abort closes the caller's connection in the middle of an answer, so that the caller does
+// not take the answer for complete.
+func (exchange *exchange) abort() {
+	conn, _, err := http.NewResponseController(exchange.writer).Hijack()
 	if err != nil {
-		passage.forwarder.log(logger.EventAnswerUndelivered, "request", passage.call.Attempt, "cause", err)
+		exchange.forwarder.log(logger.EventAnswerUndelivered, "request", exchange.call.Attempt, "cause", err)
 		return
 	}
-	_ = conn.Close() // The connection is given up either way.
+	_ = conn.Close() // The connection is dropped whether or not this fails.
 }
--- a/forwarder/permit.go
+++ b/forwarder/permit.go
@@ -11,47 +11,48 @@
 )
 
 const (
-	// maxAsks bounds the upstreams whose permits one request asks for.
-	maxAsks = 4
-	// waitingShare is the part of what is left of its latency objective that a request may
-	// wait for a permit; the rest is for being served.
-	waitingShare = 0.5
+	// maxPermitAsks bounds the permits that one request asks for.
+	maxPermitAsks = 4
+	// permitWaitShare is the fraction of what is left of its latency objective that a request
+	// may wait for a permit; the rest is for being served.
+	permitWaitShare = 0.5
 )
 
-// Permits hands out permits for requests to upstreams with a limit.
+// Permits grants permits for requests to upstreams with a rate limit.
 type Permits interface {
 	Take(ctx context.Context, need throttler.Need) throttler.Permit
 }
 
-// Announcements takes in what upstreams say of how they want to be asked.
+// Announcements receives the rate limits that upstreams announce, and which are leaving.
 type Announcements interface {
 	Hear(now time.Time, start definer.UpstreamStart, sentAt time.Time, announcement announcer.Announcement)
 }
 
-// unlimited is for forwarders whose upstreams have no limits.
+// unlimited implements Permits and Announcements for upstreams without rate limits.
 type unlimited struct{}
 
-// Take grants a permit.
+// Take grants a permit at once.
 func (unlimited) Take(context.Context, throttler.Need) throttler.Permit {
 	return throttler.Permit{Granted: true}
 }
 
-// Hear takes in nothing.
+// Hear ignores the announcement.
 func (unlimited) Hear(time.Time, definer.UpstreamStart, time.Time, announcer.Announcement) {}
 
-// permitted tells whether the request may be sent where it was assigned to; otherwise the
-// assignment has ended, and its upstream is not chosen again before there may be a permit.
-func (passage *passage) permitted(ctx context.Context, assignment *selector.Assignment) bool {
+// takePermit asks for a permit if the assigned upstream needs one, and reports whether the
+// request may be sent. If not, the assignment has ended, and the upstream is not chosen again
+// before the time from which a permit may be available.
+func (exchange *exchange) takePermit(ctx context.Context, assignment *selector.Assignment) bool {
 	if !assignment.NeedsPermit() {
 		return true
 	}
 	upstream := assignment.Upstream()
-	need := throttler.Need{Start: upstream.Start(), DataCentre: upstream.DataCentre, Tier: passage.rule.Tier}
+	need := throttler.Need{Start: upstream.Start(), DataCentre: upstream.DataCentre, Tier: exchange.rule.Tier}
 	if assignment.Waits() {
-		need.Patience = passage.permitPatience()
+		need.Patience = exchange.permitWait()
 	}
-	passage.asks++
-	permit := passage.forwarder.permits.Take(ctx, need)
+	exchange.permitAsks++
+	permit := exchange.forwarder.permits.Take(ctx, need)
 	now := time.Now()
 	if !permit.Granted {
 		assignment.Withheld(now.Add(permit.After))
@@ -60,10 +61,9 @@
 	return assignment.Granted(now)
 }
 
-// permitPatience returns how long the request may wait for a permit so that it can still be
-// served in time.
-func (passage *passage) permitPatience() time.Duration {
-	waited := time.Since(passage.arrived)
-	left := min(passage.rule.Objective-waited, passage.timeLeft-waited)
-	return time.Duration(waitingShare * float64(max(left, 0)))
+// permitWait returns how long the request may wait for a permit and still be served in time.
+func (exchange *exchange) permitWait() time.Duration {
+	waited := time.Since(exchange.arrivedAt)
+	left := min(exchange.rule.Objective-waited, exchange.timeLimit-waited)
+	return time.Duration(permitWaitShare * float64(max(left, 0)))
 }
--- a/forwarder/record.go
+++ b/forwarder/record.go
@@ -7,54 +7,55 @@
 	"limpetcleat/logger"
 )
 
-// Record tells how a caller's request ended.
+// Record describes a finished request of a caller.
 type Record struct {
 	Attempt string
-	// Identity is the same for all attempts of one request; empty when its body was not read.
+	// Identity is the same for all attempts of one request; empty if its body was not read.
 	Identity     definer.RequestIdentity
 	Rule         string
 	Service      definer.PoolName
 	Organisation definer.OrganisationName
 	Tier         int
-	// Status is what the caller was answered; 0 means that the connection was
-	// closed without a whole answer.
+	// Status is the HTTP status sent to the caller; 0 means that the connection was closed
+	// without a complete answer.
 	Status int
 	Reason Reason
-	// MayHaveRun tells whether an upstream may have run the request.
+	// MayHaveRun tells that an upstream may have run the request.
 	MayHaveRun bool
 	// Sends counts the upstreams that the request was sent to.
 	Sends int
-	// First is the time to the first byte of the answer, Total to its end.
+	// First is the time from the request's arrival to the first byte of the answer, Total to
+	// its end.
 	First time.Duration
 	Total time.Duration
-	// Gap is the longest pause between two blocks of events.
+	// Gap is the longest time between two blocks of events.
 	Gap time.Duration
-	// Objective and GapObjective are the rule's, by which First and Gap are judged;
-	// 0 is none.
+	// Objective and GapObjective are the rule's objectives for First and Gap; 0 is none.
 	Objective    time.Duration
 	GapObjective time.Duration
-	// Version is that of the configuration, Age since when it was confirmed.
+	// Version is the version of the configuration, and Age the time since it was last
+	// confirmed, at the request's arrival.
 	Version uint64
 	Age     time.Duration
-	// Events counts the blocks of events that were passed on.
+	// Events counts the blocks of events that were written to the caller.
 	Events int
 	// Bytes counts the bytes of the answer's body.
 	Bytes int
 }
 
-// Met tells whether the answer came whole and in time.
+// Met reports whether the answer was delivered completely and within its objectives.
 func (record *Record) Met() bool {
 	inTime := record.Objective == 0 || record.First <= record.Objective
 	steady := record.GapObjective == 0 || record.Gap <= record.GapObjective
 	return record.Reason == Served && inTime && steady
 }
 
-// finish tells how the request ended.
-func (passage *passage) finish() {
-	record := &passage.result
-	record.Total = time.Since(passage.arrived)
-	passage.forwarder.record(*record)
-	passage.forwarder.log(logger.EventRequestFinished,
+// finish reports and logs how the request ended.
+func (exchange *exchange) finish() {
+	record := &exchange.result
+	record.Total = time.Since(exchange.arrivedAt)
+	exchange.forwarder.record(*record)
+	exchange.forwarder.log(logger.EventRequestFinished,
 		"request", record.Attempt, "identity", record.Identity, "rule", record.Rule, "service", record.Service,
 		"organisation", record.Organisation, "tier", record.Tier,
 		"status", record.Status, "reason", record.Reason, "mayHaveRun", record.MayHaveRun,
--- a/forwarder/refusal.go
+++ b/forwarder/refusal.go
@@ -7,51 +7,53 @@
 	"time"
 )
 
-// Reason is why a request ended as it did.
+// Reason tells how a request ended: Served, or why it was refused or failed.
 type Reason string
 
 const (
-	// Served means that an upstream's answer was delivered whole.
+	// Served means that an upstream's answer was delivered completely.
 	Served Reason = "served"
-	// Malformed means that the request breaks the protocol.
+	// Malformed means that the request violates the protocol.
 	Malformed Reason = "malformed"
 	// Unconfigured means that no configuration or list of upstreams is known yet.
 	Unconfigured Reason = "unconfigured"
-	// UnknownRule means that no rule matches.
+	// UnknownRule means that no rule matches the request.
 	UnknownRule Reason = "unknownRule"
 	// UnknownKey means that no organisation holds the key.
 	UnknownKey Reason = "unknownKey"
-	// Unconfirmed means that the configuration was not confirmed lately enough to
-	// honour a key, or to say that a rule or key is unknown.
+	// Unconfirmed means that the configuration was not confirmed recently enough to accept
+	// a key, or to reject a rule or key as unknown.
 	Unconfirmed Reason = "unconfirmed"
-	// TooLarge means that the body is above the bound.
+	// TooLarge means that the body exceeds its size limit.
 	TooLarge Reason = "tooLarge"
-	// Overloaded means that this node holds too many bytes of requests.
+	// Overloaded means that the request bodies held by this node are at their limit.
 	Overloaded Reason = "overloaded"
-	// Stopping means that this node is about to stop.
+	// Stopping means that this node is shutting down.
 	Stopping Reason = "stopping"
-	// NoUpstream means that no upstream could be tried.
+	// NoUpstream means that there was no upstream left to send to, or none was reachable.
 	NoUpstream Reason = "noUpstream"
-	// Full means that the upstreams tried had no room.
+	// Full means that the upstreams tried had no capacity left, or that the retry budget is
+	// used up.
 	Full Reason = "full"
-	// Saturated means that every upstream would have served it late, and others with it.
+	// Saturated means that every upstream would have served the request late and delayed
+	// other requests.
 	Saturated Reason = "saturated"
-	// Limited means that the limits of all upstreams are used up.
+	// Limited means that the rate limits of all upstreams are used up.
 	Limited Reason = "limited"
-	// BackingOff means that all upstreams have asked for a backoff.
+	// BackingOff means that all upstreams have asked for a backoff by Retry-After.
 	BackingOff Reason = "backingOff"
-	// HeldOff means that upstreams ended under this request, which is sent to no more.
+	// HeldOff means that several upstreams ended while they ran this request, so that it is
+	// not sent to further ones.
 	HeldOff Reason = "heldOff"
-	// TimedOut means that the time ran out.
+	// TimedOut means that the time limit of the request passed.
 	TimedOut Reason = "timedOut"
-	// Broken means that the answer was lost, spoilt or broken off.
+	// Broken means that the answer was lost, invalid or cut off.
 	Broken Reason = "broken"
-	// Left means that the caller went away.
+	// Left means that the caller disconnected.
 	Left Reason = "left"
 )
 
-// status returns the status that a reason is refused with when no upstream can
-// have run the request.
+// status returns the HTTP status of a refusal when no upstream can have run the request.
 func (reason Reason) status() int {
 	switch reason {
 	case Malformed:
@@ -67,7 +69,8 @@
 	}
 }
 
-// failedStatus returns the status when an upstream may have run the request.
+// failedStatus returns the HTTP status of a failure when an upstream may have run the
+// request.
 func (reason Reason) failedStatus() int {
 	if reason == TimedOut {
 		return http.StatusGatewayTimeout
@@ -75,51 +78,53 @@
 	return http.StatusBadGateway
 }
 
-// The times after which a refused caller may come back. One that this node
-// cannot serve finds another node at once; one for which no upstream has room
-// would find the same everywhere.
+// The times after which a refused caller may retry. A caller that only this node cannot serve
+// is served by another node at once. One for which no upstream has capacity would be refused
+// by every node.
 const (
-	// returnSpread is the part of a pause by which callers are spread over time.
-	returnSpread   = 0.25
-	elsewherePause = 50 * time.Millisecond
-	fullPause      = 300 * time.Millisecond
+	// retryAfterSpread is the fraction of the delay that is randomised.
+	retryAfterSpread = 0.25
+	otherNodeDelay   = 50 * time.Millisecond
+	noRoomDelay      = 300 * time.Millisecond
 )
 
-func (reason Reason) pause() time.Duration {
+// retryDelay returns the default time after which a refused caller may retry.
+func (reason Reason) retryDelay() time.Duration {
 	if reason == Full || reason == NoUpstream || reason == Limited || reason == BackingOff {
-		return fullPause
+		return noRoomDelay
 	}
-	return elsewherePause
+	return otherNodeDelay
 }
 
-// refusalBody is what a refused caller is told.
+// refusalBody is the JSON body of a refusal.
 type refusalBody struct {
 	Error Reason `json:"error"`
-	// Identity names the request to operators, Text tells why; both for HeldOff alone.
+	// Identity identifies the request to operators and Text explains the refusal; both are
+	// set for HeldOff only.
 	Identity string `json:"identity,omitempty"`
 	Text     string `json:"text,omitempty"`
 }
 
-// heldOffText tells callers why their request is refused while others are served.
+// heldOffText explains to callers why this request is refused while others are served.
 const heldOffText = "upstreams ended one after the other while they ran this request; it is not sent to another until the time given by Retry-After, or until an operator lifts this"
 
-// writeRefusal answers with a status of our own. A status of 503 promises that
-// the request did not and will not run.
-func (passage *passage) writeRefusal(status int, reason Reason) {
-	header := passage.writer.Header()
+// writeRefusal answers the caller with a status of this product, not of an upstream. A status
+// of 503 promises that the request has not run and will not.
+func (exchange *exchange) writeRefusal(status int, reason Reason) {
+	header := exchange.writer.Header()
 	header.Set("Content-Type", "application/json")
 	if status == http.StatusServiceUnavailable {
-		header.Set("Retry-After", strconv.FormatFloat(passage.returnAfter(reason).Seconds(), 'f', 3, 64))
+		header.Set("Retry-After", strconv.FormatFloat(exchange.retryAfter(reason).Seconds(), 'f', 3, 64))
 	}
-	told := refusalBody{Error: reason}
+	refusal := refusalBody{Error: reason}
 	if reason == HeldOff {
-		told.Identity, told.Text = passage.result.Identity.String(), heldOffText
+		refusal.Identity, refusal.Text = exchange.result.Identity.String(), heldOffText
 	}
-	body, err := json.Marshal(told)
+	body, err := json.Marshal(refusal)
 	if err != nil {
-		body = nil // Texts always have a form in JSON.
+		body = nil // Cannot happen: strings always encode.
 	}
 	header.Set("Content-Length", strconv.Itoa(len(body)))
-	passage.writer.WriteHeader(status)
-	_, _ = passage.writer.Write(body) // A caller that has left is noticed by the server.
+	exchange.writer.WriteHeader(status)
+	_, _ = exchange.writer.Write(body) // The server notices a caller that has disconnected.
 }
--- a/forwarder/roster.go
+++ b/forwarder/roster.go
@@ -7,67 +7,68 @@
 	"limpetcleat/definer"
 )
 
-// errRestarted is the cause of an attempt's end when its upstream has started again: the
-// start that had the request knows nothing of it any more.
-var errRestarted = errors.New("the upstream has started again")
+// errRestarted is the cancellation cause of an attempt whose upstream has restarted: the new
+// incarnation knows nothing of the request.
+var errRestarted = errors.New("the upstream restarted")
 
-// attempts is a set of attempts.
-type attempts map[*attempt]bool
+// attemptSet is a set of attempts.
+type attemptSet map[*attempt]bool
 
-// roster holds the attempts under way at upstreams that tell their starts; those at
-// others are never ended for a later one. It is safe for concurrent use.
-type roster struct {
+// attemptRegistry holds the attempts in flight at upstreams that have an incarnation number.
+// Attempts at others are never ended by a restart. It is safe for concurrent use.
+type attemptRegistry struct {
 	// mutex guards attempts; no other lock is taken under it.
 	mutex    sync.Mutex
-	attempts map[definer.UpstreamName]attempts
+	attempts map[definer.UpstreamName]attemptSet
 }
 
-func newRoster() *roster {
-	return &roster{attempts: make(map[definer.UpstreamName]attempts)}
+func newAttemptRegistry() *attemptRegistry {
+	return &attemptRegistry{attempts: make(map[definer.UpstreamName]attemptSet)}
 }
 
-// add takes an attempt in.
-func (roster *roster) add(attempt *attempt) {
+// add registers an attempt if its upstream has an incarnation number.
+func (attemptRegistry *attemptRegistry) add(attempt *attempt) {
 	start := attempt.assignment.Upstream().Start()
 	if start.Incarnation == 0 {
 		return
 	}
-	roster.mutex.Lock()
-	defer roster.mutex.Unlock()
-	if roster.attempts[start.Upstream] == nil {
-		roster.attempts[start.Upstream] = make(attempts)
+	attemptRegistry.mutex.Lock()
+	defer attemptRegistry.mutex.Unlock()
+	if attemptRegistry.attempts[start.Upstream] == nil {
+		attemptRegistry.attempts[start.Upstream] = make(attemptSet)
 	}
-	roster.attempts[start.Upstream][attempt] = true
+	attemptRegistry.attempts[start.Upstream][attempt] = true
 }
 
-// remove takes an attempt out, if it is in.
-func (roster *roster) remove(attempt *attempt) {
-	roster.mutex.Lock()
-	defer roster.mutex.Unlock()
+// remove deletes an attempt, if it is registered.
+func (attemptRegistry *attemptRegistry) remove(attempt *attempt) {
+	attemptRegistry.mutex.Lock()
+	defer attemptRegistry.mutex.Unlock()
 	upstream := attempt.assignment.Upstream().ID
-	delete(roster.attempts[upstream], attempt)
-	if len(roster.attempts[upstream]) == 0 {
-		delete(roster.attempts, upstream)
+	delete(attemptRegistry.attempts[upstream], attempt)
+	if len(attemptRegistry.attempts[upstream]) == 0 {
+		delete(attemptRegistry.attempts, upstream)
 	}
 }
 
-// before returns the attempts at earlier starts of an upstream.
-func (roster *roster) before(start definer.UpstreamStart) []*attempt {
-	roster.mutex.Lock()
-	defer roster.mutex.Unlock()
+// atEarlierStarts returns the attempts at earlier incarnations of an upstream.
+func (attemptRegistry *attemptRegistry) atEarlierStarts(start definer.UpstreamStart) []*attempt {
+	attemptRegistry.mutex.Lock()
+	defer attemptRegistry.mutex.Unlock()
 	var earlier []*attempt
-	for known := range roster.attempts[start.Upstream] {
-		if known.assignment.Upstream().Incarnation < start.Incarnation {
-			earlier = append(earlier, known)
+	for attempt := range attemptRegistry.attempts[start.Upstream] {
+		if attempt.assignment.Upstream().Incarnation < start.Incarnation {
+			earlier = append(earlier, attempt)
 		}
 	}
 	return earlier
 }
 
-// Started tells that an upstream has started: requests at earlier starts of it end now.
-// What may be repeated goes elsewhere, the rest is answered that it may have run.
+// Started ends the attempts at earlier incarnations of an upstream, which has started anew.
+// Requests that may be repeated are sent to another upstream; the callers of the others are
+// answered that the request may have run.
 func (forwarder *Forwarder) Started(start definer.UpstreamStart) {
-	for _, attempt := range forwarder.roster.before(start) {
+	for _, attempt := range forwarder.attempts.atEarlierStarts(start) {
 		attempt.cancel(errRestarted)
 	}
 }
--- a/forwarder/statement.go
+++ b/forwarder/statement.go
@@ -9,63 +9,66 @@
 	"limpetcleat/logger"
 )
 
-// maxStated bounds the starts of upstreams whose last word is kept for the log.
-const maxStated = 8192
+// maxLoggedStatements bounds the incarnations of upstreams whose last logged announcement is
+// kept.
+const maxLoggedStatements = 8192
 
-// stated is the last word of one start of an upstream that was logged.
-type stated struct {
+// loggedStatement is the last announcement of one incarnation of an upstream that was logged.
+type loggedStatement struct {
 	limit      definer.RateLimit
 	leaving    bool
 	unreadable string
 }
 
-// statements tells which words of upstreams are news. It is safe for concurrent use.
-type statements struct {
+// statementCache holds the last announcement of each upstream, so that only changes are
+// logged. It is safe for concurrent use.
+type statementCache struct {
 	// mutex guards latest; no other lock is taken under it.
 	mutex  sync.Mutex
-	latest map[definer.UpstreamStart]stated
+	latest map[definer.UpstreamStart]loggedStatement
 }
 
-func newStatements() *statements {
-	return &statements{latest: make(map[definer.UpstreamStart]stated)}
+func newStatementCache() *statementCache {
+	return &statementCache{latest: make(map[definer.UpstreamStart]loggedStatement)}
 }
 
-// replace keeps the word of a start and returns the one before.
-func (statements *statements) replace(start definer.UpstreamStart, word stated) stated {
-	statements.mutex.Lock()
-	defer statements.mutex.Unlock()
-	before, known := statements.latest[start]
-	if word == (stated{}) {
-		delete(statements.latest, start)
-		return before
+// replace stores the announcement of an incarnation and returns the previous one.
+func (statementCache *statementCache) replace(start definer.UpstreamStart, current loggedStatement) loggedStatement {
+	statementCache.mutex.Lock()
+	defer statementCache.mutex.Unlock()
+	previous, known := statementCache.latest[start]
+	if current == (loggedStatement{}) {
+		delete(statementCache.latest, start)
+		return previous
 	}
-	if !known && len(statements.latest) >= maxStated {
-		clear(statements.latest) // At worst, words are logged once more.
+	if !known && len(statementCache.latest) >= maxLoggedStatements {
+		clear(statementCache.latest) // At worst, announcements are logged once more.
 	}
-	statements.latest[start] = word
-	return before
+	statementCache.latest[start] = current
+	return previous
 }
 
-// heed takes in what the answer to an attempt says of how its upstream wants to be asked.
-func (attempt *attempt) heed(statement Statement) {
-	forwarder, upstream := attempt.passage.forwarder, attempt.assignment.Upstream()
-	now, said := time.Now(), statement.Announcement
-	if _, limited := said.Limit.PerSecond(); limited || said.Leaving || statement.Signed {
-		// A refusal that names no limit may come from before its upstream had one.
-		forwarder.announcements.Hear(now, upstream.Start(), attempt.sentAt, announcer.Announcement{Limit: said.Limit, Leaving: said.Leaving})
+// applyStatement applies what the answer to the attempt announces for its upstream: a rate
+// limit, a backoff, or that it is leaving. It logs changes.
+func (attempt *attempt) applyStatement(statement Statement) {
+	forwarder, upstream := attempt.exchange.forwarder, attempt.assignment.Upstream()
+	now, announced := time.Now(), statement.Announcement
+	if _, limited := announced.Limit.PerSecond(); limited || announced.Leaving || statement.Signed {
+		// A refusal without a limit may have been sent before its upstream had one.
+		forwarder.announcements.Hear(now, upstream.Start(), attempt.sentAt, announcer.Announcement{Limit: announced.Limit, Leaving: announced.Leaving})
 	}
-	if said.RetryAfter > 0 {
+	if announced.RetryAfter > 0 {
 		forwarder.backedOff()
-		attempt.assignment.BackOff(now, min(said.RetryAfter, forwarder.longestBackoff))
+		attempt.assignment.BackOff(now, min(announced.RetryAfter, forwarder.longestBackoff))
 	}
-	word := stated{limit: said.Limit, leaving: said.Leaving, unreadable: said.Unreadable}
-	before := forwarder.statements.replace(upstream.Start(), word)
-	if word.limit != before.limit || word.leaving != before.leaving || said.RetryAfter > 0 {
+	current := loggedStatement{limit: announced.Limit, leaving: announced.Leaving, unreadable: announced.Unreadable}
+	previous := forwarder.loggedStatements.replace(upstream.Start(), current)
+	if current.limit != previous.limit || current.leaving != previous.leaving || announced.RetryAfter > 0 {
 		forwarder.log(logger.EventUpstreamStated, "upstream", upstream.ID, "incarnation", upstream.Incarnation, "service", upstream.Service,
-			"limit", word.limit, "leaving", word.leaving, "retryAfterMs", said.RetryAfter.Milliseconds(),
-			"source", "answer", "request", attempt.passage.call.Attempt, "afterMs", now.Sub(attempt.sentAt).Milliseconds())
+			"limit", current.limit, "leaving", current.leaving, "retryAfterMs", announced.RetryAfter.Milliseconds(),
+			"source", "answer", "request", attempt.exchange.call.Attempt, "afterMs", now.Sub(attempt.sentAt).Milliseconds())
 	}
-	if word.unreadable != "" && word.unreadable != before.unreadable {
-		forwarder.log(logger.EventStatementUnreadable, "upstream", upstream.ID, "headers", word.unreadable)
+	if current.unreadable != "" && current.unreadable != previous.unreadable {
+		forwarder.log(logger.EventStatementUnreadable, "upstream", upstream.ID, "headers", current.unreadable)
 	}
 }
--- a/forwarder/stream.go
+++ b/forwarder/stream.go
@@ -11,101 +11,101 @@
 	"limpetcleat/selector"
 )
 
-// streamBuffer is how many bytes of a stream are read at once.
+// streamBuffer is the size of the read buffer of a stream in bytes.
 const streamBuffer = 4 << 10
 
-// stream is what a caller has of a stream, over all sends.
+// stream tells how much of a streamed answer the caller has received, over all sends.
 type stream struct {
-	// begun is set once the answer's head was written.
-	begun bool
-	// last is the id of the last event that was passed on, latest when it was.
+	// headWritten is set once the answer's head was written.
+	headWritten bool
+	// last is the id of the last event that was written, latest when that was.
 	last   string
 	latest time.Time
 }
 
-// lastID returns the event to resume behind, or nothing before the first.
+// lastID returns the id of the event to resume after, or an empty one before the first.
 func (stream *stream) lastID() string { return stream.last }
 
-// mayGoOn tells whether another upstream can go on where the stream ended.
-func (stream *stream) mayGoOn() bool { return !stream.begun || stream.last != "" }
+// mayResume reports whether another upstream can continue the stream where it broke off.
+func (stream *stream) mayResume() bool { return !stream.headWritten || stream.last != "" }
 
-// relay passes a stream on, event by event. The head is written with the first
-// event, so that a stream without one can be begun elsewhere.
-func (attempt *attempt) relay(ctx context.Context, answer *connector.Answer, statement Statement) verdict {
-	passage := attempt.passage
+// relayStream passes a stream to the caller, event by event. The head is written with the
+// first event, so that another upstream can start the stream if this one sends no event.
+func (attempt *attempt) relayStream(ctx context.Context, answer *connector.Answer, statement Statement) sendResult {
+	exchange := attempt.exchange
 	if !statement.acceptable(answer.Status) {
-		passage.result.MayHaveRun = true
-		return attempt.failed(selector.Failed, verdict{reason: Broken}, "the stream has no signature or is encoded")
+		exchange.result.MayHaveRun = true
+		return attempt.endFailed(selector.Failed, sendResult{reason: Broken}, "the stream has no signature or is encoded")
 	}
-	passage.result.MayHaveRun = true
-	splitter := &splitter{}
+	exchange.result.MayHaveRun = true
+	eventSplitter := &eventSplitter{}
 	buffer := make([]byte, streamBuffer)
 	for {
 		count, err := answer.Read(buffer)
-		if events := splitter.add(buffer[:count]); len(events) > 0 {
-			attempt.arrived()
-			if written := passage.pass(answer, events, splitter.lastID); written != nil {
-				return attempt.failed(selector.Abandoned, verdict{reason: Left}, written)
+		if events := eventSplitter.add(buffer[:count]); len(events) > 0 {
+			attempt.noteEvents()
+			if written := exchange.writeEvents(answer, events, eventSplitter.lastID); written != nil {
+				return attempt.endFailed(selector.Abandoned, sendResult{reason: Left}, written)
 			}
 		}
 		switch {
-		case errors.Is(err, io.EOF) && len(splitter.rest) == 0:
-			return attempt.complete(answer)
-		case errors.Is(err, io.EOF) || len(splitter.rest) > maxEventBytes:
-			return attempt.failed(selector.Failed, verdict{reason: Broken}, "the stream ended within an event")
+		case errors.Is(err, io.EOF) && len(eventSplitter.partial) == 0:
+			return attempt.completeStream(answer)
+		case errors.Is(err, io.EOF) || len(eventSplitter.partial) > maxEventBytes:
+			return attempt.endFailed(selector.Failed, sendResult{reason: Broken}, "the stream ended within an event")
 		case err != nil:
-			return attempt.broken(ctx, err)
+			return attempt.judgeBroken(ctx, err)
 		}
 	}
 }
 
-// arrived notes that events came.
-func (attempt *attempt) arrived() {
+// noteEvents notes that events came from the upstream.
+func (attempt *attempt) noteEvents() {
 	attempt.assignment.Begun(time.Now())
-	first := attempt.latest.Swap(int64(time.Since(attempt.sentAt))) == 0
+	first := attempt.latestEvent.Swap(int64(time.Since(attempt.sentAt))) == 0
 	if first {
-		attempt.passage.begin()
-		attempt.begunAt = time.Now()
-		attempt.watch(attempt.gap)
+		attempt.exchange.markBegun()
+		attempt.firstEventAt = time.Now()
+		attempt.scheduleCheck(attempt.gapTimeout)
 	}
 }
 
-// pass writes events to the caller, behind the head if that is still to come.
-func (passage *passage) pass(answer *connector.Answer, events []byte, lastID string) error {
+// writeEvents writes events to the caller, and before them the head if it was not written.
+func (exchange *exchange) writeEvents(answer *connector.Answer, events []byte, lastID string) error {
 	now := time.Now()
-	if passage.stream.begun {
-		passage.result.Gap = max(passage.result.Gap, now.Sub(passage.stream.latest))
+	if exchange.stream.headWritten {
+		exchange.result.Gap = max(exchange.result.Gap, now.Sub(exchange.stream.latest))
 	}
-	passage.open(answer)
-	passage.stream.latest = now
-	passage.stream.last = lastID
-	passage.result.Events++
-	passage.result.Bytes += len(events)
-	if _, err := passage.writer.Write(events); err != nil {
+	exchange.writeHead(answer)
+	exchange.stream.latest = now
+	exchange.stream.last = lastID
+	exchange.result.Events++
+	exchange.result.Bytes += len(events)
+	if _, err := exchange.writer.Write(events); err != nil {
 		return err
 	}
-	return http.NewResponseController(passage.writer).Flush()
+	return http.NewResponseController(exchange.writer).Flush()
 }
 
-// open writes the head of the first upstream's answer.
-func (passage *passage) open(answer *connector.Answer) {
-	if passage.stream.begun {
+// writeHead writes the head of the answer, if no earlier send has done so.
+func (exchange *exchange) writeHead(answer *connector.Answer) {
+	if exchange.stream.headWritten {
 		return
 	}
-	passage.stream.begun = true
-	passage.result.First = time.Since(passage.arrived)
-	passage.result.Status = answer.Status
-	header := passage.writer.Header()
+	exchange.stream.headWritten = true
+	exchange.result.First = time.Since(exchange.arrivedAt)
+	exchange.result.Status = answer.Status
+	header := exchange.writer.Header()
 	copyHeader(header, answer.Header)
-	if passage.forwarder.closing.Load() {
+	if exchange.forwarder.closing.Load() {
 		header.Set("Connection", "close")
 	}
-	passage.writer.WriteHeader(answer.Status)
+	exchange.writer.WriteHeader(answer.Status)
 }
 
-// complete ends a stream that came whole.
-func (attempt *attempt) complete(answer *connector.Answer) verdict {
-	attempt.passage.open(answer)
-	attempt.answered(answer)
-	return verdict{reason: Served}
+// completeStream ends the attempt of a stream that came whole.
+func (attempt *attempt) completeStream(answer *connector.Answer) sendResult {
+	attempt.exchange.writeHead(answer)
+	attempt.endAnswered(answer)
+	return sendResult{reason: Served}
 }
--- a/forwarder/verdict.go
+++ b/forwarder/verdict.go
@@ -2,34 +2,35 @@
 
 import "limpetcleat/dialer"
 
-// maxDials bounds the upstreams that one request may fail to connect to.
-const maxDials = 4
+// maxFailedDials bounds the upstreams that one request may fail to connect to.
+const maxFailedDials = 4
 
-// verdict is what one send came to.
-type verdict struct {
+// sendResult is the result of one send.
+type sendResult struct {
 	reason Reason
-	// notSent means that no byte reached an upstream.
+	// notSent tells that no byte reached an upstream.
 	notSent bool
-	// notRun means that the upstream stated that it did not run the request.
+	// notRun tells that the upstream stated that it did not run the request.
 	notRun bool
-	// misdirected means that another upstream has the address by now.
+	// misdirected tells that another upstream has taken over the address.
 	misdirected bool
-	// presence tells what became of the upstream when the exchange broke off; else empty.
+	// presence tells whether the upstream still listens after its connection broke; empty if
+	// it did not break.
 	presence dialer.Presence
 }
 
-// mayGoOn tells whether the request may be sent to another upstream.
-func (passage *passage) mayGoOn(verdict verdict) bool {
-	if verdict.notSent {
-		passage.dials++
-		return passage.dials < maxDials
+// mayRetry reports whether the request may be sent to another upstream.
+func (exchange *exchange) mayRetry(result sendResult) bool {
+	if result.notSent {
+		exchange.failedDials++
+		return exchange.failedDials < maxFailedDials
 	}
-	if verdict.misdirected {
-		return passage.result.Sends <= passage.rule.MaxAttempts
+	if result.misdirected {
+		return exchange.result.Sends <= exchange.rule.MaxAttempts
 	}
-	if verdict.presence == dialer.Refused && !passage.forwarder.quarantine.MayRepeat(passage.result.Identity) {
+	if result.presence == dialer.Refused && !exchange.forwarder.quarantine.MayRepeat(exchange.result.Identity) {
 		return false
 	}
-	safe := verdict.notRun || passage.rule.Idempotent()
-	return safe && passage.result.Sends < passage.rule.MaxAttempts && passage.stream.mayGoOn()
+	safe := result.notRun || exchange.rule.Idempotent()
+	return safe && exchange.result.Sends < exchange.rule.MaxAttempts && exchange.stream.mayResume()
 }
--- a/forwarder/world_test.go
+++ b/forwarder/world_test.go
@@ -26,64 +26,66 @@
 )
 
 const (
-	attempt = "X-Attempt-Id"
-	seal    = "X-Response-Seal"
-	notRun  = "X-Not-Executed"
+	attemptHeader   = "X-Attempt-Id"
+	signatureHeader = "X-Response-Seal"
+	notRunHeader    = "X-Not-Executed"
 )
 
-// world is a forwarder before scripted upstreams, with what it knows.
-type world struct {
+// harness runs a forwarder in front of scripted upstreams. It is also the forwarder's
+// Configuration, Directory, Permits and Announcements.
+type harness struct {
 	t         *testing.T
 	table     *router.Table
 	confirmed time.Time
 	healthy   bool
 	upstreams []*registrar.Upstream
 	address   string
-	front     *forwarder.Forwarder
+	forwarder *forwarder.Forwarder
 	draw      func() float64
 	selector  *selector.Selector
-	// take decides on permits; nil grants all.
+	// take decides on permits; nil grants all of them.
 	take func(need throttler.Need) throttler.Permit
 
 	mutex sync.Mutex
-	// heard holds what upstreams said, in order.
+	// heard holds the announcements of upstreams in order.
 	heard []string
-	// heads holds the heads that the upstreams read, in order.
-	heads   []*http.Request
-	bodies  []string
-	records []forwarder.Record
-	// begun holds the organisation of each request that was told to have begun.
+	// requests holds the requests that the upstreams received in order, bodies their bodies.
+	requests []*http.Request
+	bodies   []string
+	records  []forwarder.Record
+	// begun holds the organisation of each request that was reported as begun.
 	begun []definer.OrganisationName
 }
 
-func (world *world) Table() *router.Table { return world.table }
-func (world *world) Confirmed() time.Time { return world.confirmed }
-func (world *world) Healthy() bool        { return world.healthy }
-func (world *world) Known() bool          { return true }
-func (world *world) Of(definer.PoolName) []*registrar.Upstream {
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
-	return world.upstreams
+func (harness *harness) Table() *router.Table { return harness.table }
+func (harness *harness) Confirmed() time.Time { return harness.confirmed }
+func (harness *harness) Healthy() bool        { return harness.healthy }
+func (harness *harness) Known() bool          { return true }
+func (harness *harness) Of(definer.PoolName) []*registrar.Upstream {
+	harness.mutex.Lock()
+	defer harness.mutex.Unlock()
+	return harness.upstreams
 }
 
 // Take decides on a permit.
-func (world *world) Take(_ context.Context, need throttler.Need) throttler.Permit {
-	if world.take == nil {
+func (harness *harness) Take(_ context.Context, need throttler.Need) throttler.Permit {
+	if harness.take == nil {
 		return throttler.Permit{Granted: true}
 	}
-	return world.take(need)
+	return harness.take(need)
 }
 
-// Hear notes what an upstream says, and has requests to it need permits if it has a limit.
-func (world *world) Hear(now time.Time, start definer.UpstreamStart, _ time.Time, announcement announcer.Announcement) {
+// Hear records an announcement and makes requests to the upstream need permits if it has a
+// limit.
+func (harness *harness) Hear(now time.Time, start definer.UpstreamStart, _ time.Time, announcement announcer.Announcement) {
 	_, limited := announcement.Limit.PerSecond()
-	world.selector.Limit(now, start, limited)
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
-	world.heard = append(world.heard, string(start.Upstream)+" "+announcement.Limit.String())
+	harness.selector.Limit(now, start, limited)
+	harness.mutex.Lock()
+	defer harness.mutex.Unlock()
+	harness.heard = append(harness.heard, string(start.Upstream)+" "+announcement.Limit.String())
 }
 
-func (world *world) build(change func(definition *router.Definition)) {
+func (harness *harness) configure(change func(definition *router.Definition)) {
 	definition := router.Definition{
 		Version: 1,
 		Rules: []router.Rule{
@@ -101,8 +103,8 @@
 	}
 	change(&definition)
 	table, err := router.New(definition)
-	assert.NilError(world.t, err)
-	world.table = table
+	assert.NilError(harness.t, err)
+	harness.table = table
 }
 
 func rule(name string, change func(rule *router.Rule)) router.Rule {
@@ -114,38 +116,38 @@
 	return rule
 }
 
-// newWorld starts a forwarder; each handler is one upstream, tried in turn.
-func newWorld(t *testing.T, handlers ...http.HandlerFunc) *world {
+// newHarness starts a forwarder with one upstream for each handler, which are tried in order.
+func newHarness(t *testing.T, handlers ...http.HandlerFunc) *harness {
 	t.Helper()
-	world := &world{t: t, confirmed: time.Now(), healthy: true, draw: func() float64 { return 0 }}
-	world.build(func(*router.Definition) {})
+	harness := &harness{t: t, confirmed: time.Now(), healthy: true, draw: func() float64 { return 0 }}
+	harness.configure(func(*router.Definition) {})
 	for index, handler := range handlers {
-		server := httptest.NewServer(world.recorded(handler))
+		server := httptest.NewServer(harness.recording(handler))
 		t.Cleanup(server.Close)
-		world.add(index, server.Listener.Addr().String())
+		harness.add(index, server.Listener.Addr().String())
 	}
 	links := connector.New()
 	budget := budgeter.New(budgeter.Policy{Slack: 10, Nodes: func() int { return 1 }, Window: 10 * time.Second}, time.Now())
-	world.selector = selector.New("west")
-	front := forwarder.New(platform.Protocol{}, world, world, world.selector, budget, links,
-		forwarder.WithLimits(world, world),
+	harness.selector = selector.New("west")
+	front := forwarder.New(platform.Protocol{}, harness, harness, harness.selector, budget, links,
+		forwarder.WithLimits(harness, harness),
 		forwarder.WithConfirmation(time.Minute),
-		forwarder.WithDraw(func() float64 { return world.draw() }),
+		forwarder.WithDraw(func() float64 { return harness.draw() }),
 		forwarder.WithBegun(func(organisation definer.OrganisationName) {
-			world.mutex.Lock()
-			defer world.mutex.Unlock()
-			world.begun = append(world.begun, organisation)
+			harness.mutex.Lock()
+			defer harness.mutex.Unlock()
+			harness.begun = append(harness.begun, organisation)
 		}),
 		forwarder.WithRecord(func(record forwarder.Record) {
-			world.mutex.Lock()
-			defer world.mutex.Unlock()
-			world.records = append(world.records, record)
+			harness.mutex.Lock()
+			defer harness.mutex.Unlock()
+			harness.records = append(harness.records, record)
 		}))
-	world.front = front
+	harness.forwarder = front
 	ctx, cancel := context.WithCancel(context.Background())
 	front.Start(ctx)
 	server := httptest.NewServer(front)
-	world.address = server.Listener.Addr().String()
+	harness.address = server.Listener.Addr().String()
 	t.Cleanup(func() {
 		server.CloseClientConnections()
 		server.Close()
@@ -153,51 +155,51 @@
 		cancel()
 		<-front.Done()
 	})
-	return world
+	return harness
 }
 
-// drawn sets where the forwarder's numbers between 0 and 1 come from.
-func (world *world) drawn(draw func() float64) { world.draw = draw }
+// setDraw sets the forwarder's source of random numbers between 0 and 1.
+func (harness *harness) setDraw(draw func() float64) { harness.draw = draw }
 
-// add lists an upstream. Those listed first are chosen first: each further one
-// is in another data centre, and has more of its slots taken from the start.
-func (world *world) add(index int, address string) {
+// add lists an upstream. The first one is preferred, as all others are in another data
+// centre.
+func (harness *harness) add(index int, address string) {
 	place := definer.DataCentre("west")
 	if index > 0 {
 		place = "east"
 	}
 	id := definer.UpstreamName("u" + string(rune('0'+index)))
-	world.upstreams = append(world.upstreams, &registrar.Upstream{ID: id, Service: "pool", Address: address, DataCentre: place, Slots: 64})
+	harness.upstreams = append(harness.upstreams, &registrar.Upstream{ID: id, Service: "pool", Address: address, DataCentre: place, Slots: 64})
 }
 
-func (world *world) recorded(handler http.HandlerFunc) http.HandlerFunc {
+func (harness *harness) recording(handler http.HandlerFunc) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		body, _ := io.ReadAll(request.Body)
-		world.mutex.Lock()
-		world.heads = append(world.heads, request)
-		world.bodies = append(world.bodies, string(body))
-		world.mutex.Unlock()
-		writer.Header().Set(attempt, request.Header.Get(attempt))
+		harness.mutex.Lock()
+		harness.requests = append(harness.requests, request)
+		harness.bodies = append(harness.bodies, string(body))
+		harness.mutex.Unlock()
+		writer.Header().Set(attemptHeader, request.Header.Get(attemptHeader))
 		handler(writer, request)
 	}
 }
 
-func (world *world) sends() int {
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
-	return len(world.heads)
+func (harness *harness) sends() int {
+	harness.mutex.Lock()
+	defer harness.mutex.Unlock()
+	return len(harness.requests)
 }
 
-// call sends a request and returns the answer with what could be read of it.
-func (world *world) call(path, body string, change func(request *http.Request)) (*http.Response, string, error) {
+// call sends a request and returns the answer with as much of its body as could be read.
+func (harness *harness) call(path, body string, change func(request *http.Request)) (*http.Response, string, error) {
 	method := http.MethodGet
 	if body != "" {
 		method = http.MethodPost
 	}
-	request, err := http.NewRequestWithContext(world.t.Context(), method, "http://"+world.address+path, strings.NewReader(body))
-	assert.NilError(world.t, err)
+	request, err := http.NewRequestWithContext(harness.t.Context(), method, "http://"+harness.address+path, strings.NewReader(body))
+	assert.NilError(harness.t, err)
 	request.Host = "h.example"
-	request.Header.Set(attempt, "a1")
+	request.Header.Set(attemptHeader, "a1")
 	request.Header.Set("Authorization", "Bearer key")
 	if change != nil {
 		change(request)
@@ -213,18 +215,18 @@
 
 func unchanged(*http.Request) {}
 
-// answer returns a handler that answers with a status, a signature and a text.
+// answer returns a handler that answers with the status, a signature and the text.
 func answer(status int, text string) http.HandlerFunc {
 	return func(writer http.ResponseWriter, _ *http.Request) {
-		writer.Header().Set(seal, "signed")
+		writer.Header().Set(signatureHeader, "signed")
 		writer.WriteHeader(status)
 		_, _ = io.WriteString(writer, text)
 	}
 }
 
-// full states that the request did not run.
+// full refuses the request and states that it did not run.
 func full(writer http.ResponseWriter, _ *http.Request) {
-	writer.Header().Set(notRun, "1")
+	writer.Header().Set(notRunHeader, "1")
 	writer.WriteHeader(http.StatusServiceUnavailable)
 }
 
@@ -236,13 +238,14 @@
 	}
 }
 
-// silent answers nothing until the caller leaves.
+// silent does not answer until the caller disconnects.
 func silent(_ http.ResponseWriter, request *http.Request) { <-request.Context().Done() }
 
-// events returns a handler that streams texts and then ends or breaks off.
+// events returns a handler that streams the texts, and then ends the stream or breaks the
+// connection.
 func events(breakOff bool, texts ...string) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
-		writer.Header().Set(seal, "signed")
+		writer.Header().Set(signatureHeader, "signed")
 		writer.Header().Set("Content-Type", "text/event-stream")
 		control := http.NewResponseController(writer)
 		for _, text := range texts {
