--- a/interpreter/interpreter.go
+++ b/interpreter/interpreter.go
@@ -1,5 +1,5 @@
-// Package interpreter reads what upstreams say, in the headers of their answers, of how they
-// want to be asked.
+// Package interpreter parses the headers by which upstreams announce a rate limit, a backoff or
+// that they are leaving. Malformed values are ignored and returned as unreadable.
 package interpreter
 
 import (
@@ -12,35 +12,36 @@
 	"limpetcleat/definer"
 )
 
-// The headers in which an upstream says how it wants to be asked.
+// The headers by which an upstream controls the requests that it is sent.
 const (
-	limitHeader      = "Server-Limit"   // Requests a second from all nodes, a decimal number.
-	leavingHeader    = "Server-Leaving" // 1 once the upstream leaves.
-	retryAfterHeader = "Retry-After"    // Seconds, with a status that turns the request away.
+	limitHeader      = "Server-Limit"   // Requests per second from all nodes together, a decimal number.
+	leavingHeader    = "Server-Leaving" // 1 if the upstream is about to leave, else 0.
+	retryAfterHeader = "Retry-After"    // Seconds or a date, with a status that refuses the request.
 )
 
-// MaxRetryAfter bounds how long an upstream may ask not to be sent anything: a wrong number must not
-// take it out of use for good.
+// MaxRetryAfter bounds the backoff that an upstream may ask for, so that a wrong value does not
+// take it out of use permanently.
 const MaxRetryAfter = time.Hour
 
-// maxUnreadable bounds what is kept of headers that cannot be read, in bytes.
+// maxUnreadable bounds the length of Announcement.Unreadable in bytes.
 const maxUnreadable = 200
 
-// Announcement is what the headers of one answer say. The zero value is nothing.
+// Announcement holds what the headers of one answer announce. The zero value announces nothing.
 type Announcement struct {
-	// Limit is what the upstream takes from all nodes together.
+	// Limit is the rate of requests that the upstream accepts from all nodes together.
 	Limit definer.RateLimit
-	// Leaving is set by an upstream that is about to end and is to be sent nothing more.
+	// Leaving tells that the upstream is about to end and must not be sent further requests.
 	Leaving bool
-	// RetryAfter is how long an upstream that turned the request away wants nothing from this
-	// node; 0 is not said.
+	// RetryAfter is for how long an upstream that refused the request wants no requests from
+	// this node; 0 if it does not say.
 	RetryAfter time.Duration
-	// Unreadable names the headers whose values cannot be read, with what stands there; such
-	// a value is passed over.
+	// Unreadable lists the headers with malformed values, and these values, which are
+	// ignored.
 	Unreadable string
 }
 
-// Interpret reads the headers of an answer with the status.
+// Interpret parses the headers of an answer with the given status. A backoff counts only with
+// the statuses Service Unavailable and Too Many Requests.
 func Interpret(status int, header http.Header) Announcement {
 	var announcement Announcement
 	announcement.Limit = decodeLimit(header, &announcement)
@@ -51,7 +52,7 @@
 	return announcement
 }
 
-// addUnreadable notes a header that cannot be read.
+// addUnreadable adds a header with a malformed value to Unreadable.
 func (announcement *Announcement) addUnreadable(name, value string) {
 	if announcement.Unreadable != "" {
 		announcement.Unreadable += ", "
@@ -62,8 +63,8 @@
 	}
 }
 
-// items returns the values of a header, those of one field line apart.
-func items(header http.Header, name string) []string {
+// headerItems returns all items of a header whose field lines are comma-separated lists.
+func headerItems(header http.Header, name string) []string {
 	var items []string
 	for _, line := range header.Values(name) {
 		for _, item := range strings.Split(line, ",") {
@@ -73,11 +74,11 @@
 	return items
 }
 
-// decodeLimit returns the lowest limit that is named.
+// decodeLimit returns the lowest limit among the items of the header.
 func decodeLimit(header http.Header, announcement *Announcement) definer.RateLimit {
 	var lowest definer.RateLimit
-	for _, item := range items(header, limitHeader) {
-		perSecond, ok := decimal(item)
+	for _, item := range headerItems(header, limitHeader) {
+		perSecond, ok := parseDecimal(item)
 		if !ok {
 			announcement.addUnreadable(limitHeader, item)
 			continue
@@ -89,10 +90,10 @@
 	return lowest
 }
 
-// decodeLeaving tells whether the runner says that it leaves.
+// decodeLeaving reports whether the header announces that the upstream leaves.
 func decodeLeaving(header http.Header, announcement *Announcement) bool {
 	leaving := false
-	for _, item := range items(header, leavingHeader) {
+	for _, item := range headerItems(header, leavingHeader) {
 		switch item {
 		case "1":
 			leaving = true
@@ -104,12 +105,13 @@
 	return leaving
 }
 
-// decodeRetryAfter returns the longest backoff that is asked for: seconds, or a date, which counts
-// from that of the answer where it has one.
+// decodeRetryAfter returns the longest backoff among the field lines of the header. A line is a
+// number of seconds or a date, which is relative to the Date of the answer, or to the current
+// time if the answer has none.
 func decodeRetryAfter(header http.Header, announcement *Announcement) time.Duration {
 	var longest time.Duration
 	for _, line := range header.Values(retryAfterHeader) {
-		backoff, ok := decodePause(strings.TrimSpace(line), header)
+		backoff, ok := decodeBackoff(strings.TrimSpace(line), header)
 		if !ok {
 			announcement.addUnreadable(retryAfterHeader, line)
 			continue
@@ -119,8 +121,9 @@
 	return longest
 }
 
-func decodePause(text string, header http.Header) (time.Duration, bool) {
-	if seconds, ok := decimal(text); ok {
+// decodeBackoff parses one value of Retry-After. The result is at most MaxRetryAfter.
+func decodeBackoff(text string, header http.Header) (time.Duration, bool) {
+	if seconds, ok := parseDecimal(text); ok {
 		return time.Duration(min(seconds, MaxRetryAfter.Seconds()) * float64(time.Second)), true
 	}
 	until, err := http.ParseTime(text)
@@ -134,8 +137,8 @@
 	return min(max(until.Sub(answered), 0), MaxRetryAfter), true
 }
 
-// decimal returns a number that is finite and not negative.
-func decimal(text string) (float64, bool) {
+// parseDecimal parses a number that must be finite and not negative.
+func parseDecimal(text string) (float64, bool) {
 	number, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(number) || math.IsInf(number, 0) || number < 0 {
 		return 0, false
--- a/interpreter/interpreter_test.go
+++ b/interpreter/interpreter_test.go
@@ -11,8 +11,7 @@
 	"limpetcleat/interpreter"
 )
 
-// TestWordsOfUpstreams reads what upstreams say of how they want to be asked, in forms that
-// are meant and in others.
+// TestWordsOfUpstreams parses headers of upstreams with valid and with malformed values.
 func TestWordsOfUpstreams(t *testing.T) {
 	const asked = "Thu, 01 Jan 2026 00:00:00 GMT"
 	cases := []struct {
@@ -39,7 +38,7 @@
 		{"leaving in other words", 200, http.Header{"Server-Leaving": {"yes"}}, "none", false, 0, `Server-Leaving: "yes"`},
 		{"backoff", 503, http.Header{"Retry-After": {"2.5"}}, "none", false, 2500 * time.Millisecond, ""},
 		{"backoff with an answer", 200, http.Header{"Retry-After": {"2.5"}}, "none", false, 0, ""},
-		{"two rests", 503, http.Header{"Retry-After": {"1", "3"}}, "none", false, 3 * time.Second, ""},
+		{"two backoffs", 503, http.Header{"Retry-After": {"1", "3"}}, "none", false, 3 * time.Second, ""},
 		{"backoff until a date", 503, http.Header{"Retry-After": {"Thu, 01 Jan 2026 00:00:07 GMT"}, "Date": {asked}}, "none", false, 7 * time.Second, ""},
 		{"backoff until a date gone by", 503, http.Header{"Retry-After": {"Wed, 31 Dec 2025 23:00:00 GMT"}, "Date": {asked}}, "none", false, 0, ""},
 		{"backoff without an end", 503, http.Header{"Retry-After": {"1e12"}}, "none", false, time.Hour, ""},
@@ -59,7 +58,7 @@
 	assert.Assert(t, len(long.Unreadable) <= 200)
 }
 
-// FuzzWordsOfUpstreams holds whatever stands in the headers to what the product can use.
+// FuzzWordsOfUpstreams checks that any header values give an announcement within its bounds.
 func FuzzWordsOfUpstreams(f *testing.F) {
 	for _, text := range []string{"2.2", "0", "-1", "1e999", "0x1p-3", "Thu, 01 Jan 2026 00:00:00 GMT", "1, 2", ""} {
 		f.Add(text, text, text)
--- a/matcher/limits.go
+++ b/matcher/limits.go
@@ -7,11 +7,10 @@
 	"github.com/expr-lang/expr/ast"
 )
 
-// functions returns the built-in functions that a condition may call. None of
-// them loops over a condition of its own or returns more than it was given, so
-// that the time and the memory of a run are bounded by the size of the condition
-// and of the request.
-func functions() []string {
+// allowedFunctions returns the built-in functions that a condition may call. None of them
+// takes a predicate to loop over or returns more than it was given, so that the time and the
+// memory of an evaluation are bounded by the size of the condition and of the request.
+func allowedFunctions() []string {
 	return []string{
 		"len", "lower", "upper", "trim", "trimPrefix", "trimSuffix",
 		"hasPrefix", "hasSuffix", "indexOf", "lastIndexOf",
@@ -19,41 +18,44 @@
 	}
 }
 
-// limits returns the settings that keep every condition bounded.
-func limits() []expr.Option {
+// compileOptions returns the options that bound the size of a condition and the functions that
+// it may call.
+func compileOptions() []expr.Option {
 	options := []expr.Option{expr.MaxNodes(maxConditionNodes), expr.DisableAllBuiltins()}
-	for _, name := range functions() {
+	for _, name := range allowedFunctions() {
 		options = append(options, expr.EnableBuiltin(name))
 	}
 	return options
 }
 
-// bounded returns why a condition could take too much time or memory, or nil.
-func bounded(root ast.Node) error {
-	visitor := &boundVisitor{}
-	ast.Walk(&root, visitor)
-	return visitor.fault
+// checkBounds returns an error if the evaluation of a condition could take too much time or
+// memory.
+func checkBounds(root ast.Node) error {
+	boundsChecker := &boundsChecker{}
+	ast.Walk(&root, boundsChecker)
+	return boundsChecker.fault
 }
 
-// boundVisitor looks for what could make a run or its preparation unbounded.
-type boundVisitor struct {
-	// fault is the first that was found.
+// boundsChecker is an ast.Visitor that looks for expressions whose compilation or evaluation
+// is unbounded.
+type boundsChecker struct {
+	// fault is the first error that was found, or nil.
 	fault error
 }
 
-// Visit looks at one node.
-func (visitor *boundVisitor) Visit(node *ast.Node) {
-	if visitor.fault != nil {
+// Visit checks one node. It implements ast.Visitor.
+func (boundsChecker *boundsChecker) Visit(node *ast.Node) {
+	if boundsChecker.fault != nil {
 		return
 	}
 	switch node := (*node).(type) {
 	case *ast.BinaryNode:
 		if node.Operator == ".." {
-			visitor.fault = fmt.Errorf("a range is not allowed; compare with its ends")
+			boundsChecker.fault = fmt.Errorf("ranges are not allowed; compare with both bounds instead")
 		}
 	case *ast.VariableDeclaratorNode:
-		visitor.fault = fmt.Errorf("a variable is not allowed")
+		boundsChecker.fault = fmt.Errorf("variables are not allowed")
 	case *ast.PredicateNode:
-		visitor.fault = fmt.Errorf("a loop is not allowed")
+		boundsChecker.fault = fmt.Errorf("loops are not allowed")
 	}
 }
--- a/matcher/matcher.go
+++ b/matcher/matcher.go
@@ -1,4 +1,6 @@
-// Package matcher finds the first rule whose condition holds for a request.
+// Package matcher compiles the conditions of rules, which are boolean expressions over the
+// properties of a request, and finds the first rule whose condition holds. Conditions are
+// restricted so that each evaluation is bounded in time and memory.
 package matcher
 
 import (
@@ -12,13 +14,16 @@
 	"limpetcleat/definer"
 )
 
+// The bounds of one condition: the length of its text in bytes, the number of nodes of its
+// syntax tree, and what the virtual machine may allocate to evaluate it.
 const (
 	maxConditionLength = 4096
 	maxConditionNodes  = 500
 	memoryBudget       = 100_000
 )
 
-// Properties are what the condition of a rule can see of a request.
+// Properties holds the properties of a request that conditions can use, under their names in
+// the expr tags.
 type Properties struct {
 	Organisation string            `expr:"organisation"`
 	Model        string            `expr:"model"`
@@ -31,16 +36,16 @@
 	Headers      map[string]string `expr:"headers"`
 }
 
-// Matcher holds the compiled conditions of one configuration's rules. It never
-// changes once built and may be used by many goroutines.
+// Matcher holds the compiled conditions of the rules of one configuration. It is immutable and
+// safe for concurrent use.
 type Matcher struct {
 	// rules and programs have the same length and order.
 	rules    []*definer.Rule
 	programs []*vm.Program
 }
 
-// New compiles the rules' conditions. The error joins the faults of all rules,
-// each of kind Unparsable.
+// New compiles the conditions of the rules. The error joins one error of kind Unparsable for
+// each rule whose condition is not valid.
 func New(rules []*definer.Rule) (*Matcher, error) {
 	matcher := &Matcher{rules: rules}
 	var faults []error
@@ -58,6 +63,7 @@
 	return matcher, nil
 }
 
+// compile parses, checks and compiles a condition, within the bounds.
 func compile(condition string) (*vm.Program, error) {
 	if len(condition) > maxConditionLength {
 		return nil, fmt.Errorf("the condition has %d bytes; allowed are %d", len(condition), maxConditionLength)
@@ -66,10 +72,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("condition %q: %w", condition, err)
 	}
-	if err := bounded(tree.Node); err != nil {
+	if err := checkBounds(tree.Node); err != nil {
 		return nil, fmt.Errorf("condition %q: %w", condition, err)
 	}
-	options := append(limits(), expr.Env(Properties{}), expr.AsBool())
+	options := append(compileOptions(), expr.Env(Properties{}), expr.AsBool())
 	program, err := expr.Compile(condition, options...)
 	if err != nil {
 		return nil, fmt.Errorf("condition %q: %w", condition, err)
@@ -77,13 +83,13 @@
 	return program, nil
 }
 
-// Match returns the first rule whose condition holds. The error is of kind
-// NoRule when none does. A condition that fails while it runs does not hold.
+// Match returns the first rule whose condition holds for a request with the properties. The
+// error is of kind NoRule if none does. A condition whose evaluation fails does not hold.
 func (matcher *Matcher) Match(properties Properties) (*definer.Rule, error) {
-	machine := newMachine()
-	var boxed any = properties // Once, not for each rule.
+	machine := newVM()
+	var boxed any = properties // Converted once, to allocate only once for all rules.
 	for index := range matcher.rules {
-		holds, err := matcher.run(machine, index, boxed)
+		holds, err := matcher.evaluate(machine, index, boxed)
 		if err == nil && holds {
 			return matcher.rules[index], nil
 		}
@@ -91,29 +97,30 @@
 	return nil, fail("match", NoRule, "none of %d rules matches", len(matcher.rules))
 }
 
-// Verdict tells how one rule judged a request.
+// Verdict is the result of evaluating the condition of one rule for a request.
 type Verdict struct {
 	rule    *definer.Rule
 	holds   bool
 	failure error
 }
 
-// Rule returns the rule that was tried.
+// Rule returns the rule whose condition was evaluated.
 func (verdict Verdict) Rule() *definer.Rule { return verdict.rule }
 
-// Holds tells whether the rule's condition held.
+// Holds reports whether the condition holds.
 func (verdict Verdict) Holds() bool { return verdict.holds }
 
-// Failure returns why the condition could not be run, or nil.
+// Failure returns the error of the evaluation, of kind Unrunnable, or nil.
 func (verdict Verdict) Failure() error { return verdict.failure }
 
-// Explain returns the verdicts of all rules up to and with the first that holds.
+// Explain returns the verdicts of the rules in order, up to and including the first whose
+// condition holds.
 func (matcher *Matcher) Explain(properties Properties) []Verdict {
 	var verdicts []Verdict
-	machine := newMachine()
-	var boxed any = properties // Once, not for each rule.
+	machine := newVM()
+	var boxed any = properties // Converted once, to allocate only once for all rules.
 	for index, rule := range matcher.rules {
-		holds, err := matcher.run(machine, index, boxed)
+		holds, err := matcher.evaluate(machine, index, boxed)
 		verdicts = append(verdicts, Verdict{rule: rule, holds: holds, failure: err})
 		if holds {
 			break
@@ -122,10 +129,13 @@
 	return verdicts
 }
 
-// newMachine returns what runs the conditions for one request, one at a time.
-func newMachine() *vm.VM { return &vm.VM{MemoryBudget: memoryBudget} }
+// newVM returns the virtual machine that evaluates the conditions for one request, one at a
+// time, within the memory budget.
+func newVM() *vm.VM { return &vm.VM{MemoryBudget: memoryBudget} }
 
-func (matcher *Matcher) run(machine *vm.VM, index int, properties any) (bool, error) {
+// evaluate reports whether the condition of the rule at the index holds. The error is of kind
+// Unrunnable.
+func (matcher *Matcher) evaluate(machine *vm.VM, index int, properties any) (bool, error) {
 	value, err := machine.Run(matcher.programs[index], properties)
 	if err != nil {
 		return false, fail("run", Unrunnable, "rule %q: %w", matcher.rules[index].Name(), err)
--- a/matcher/matcher_test.go
+++ b/matcher/matcher_test.go
@@ -73,9 +73,8 @@
 	assert.Equal(t, failure.Kind(), matcher.NoRule)
 }
 
-// unbounded lists conditions that would take too much time or memory, or are
-// wrong.
-func unbounded() []string {
+// invalidConditions returns conditions that are not valid or would take too much time or memory.
+func invalidConditions() []string {
 	return []string{
 		"", "nothing", "model", "1 ==", `organisation + 1 == 2`,
 		"len(1..1000000) > 1",
@@ -96,20 +95,20 @@
 }
 
 func TestFaultsOfAllConditionsAreTold(t *testing.T) {
-	conditions := append(unbounded(), "true")
+	conditions := append(invalidConditions(), "true")
 	_, err := matcher.New(rules(conditions...))
 	var joined interface{ Unwrap() []error }
 	assert.Assert(t, errors.As(err, &joined))
 	for index, fault := range joined.Unwrap() {
 		assert.ErrorContains(t, fault, fmt.Sprintf("rule %q:", fmt.Sprint(index)))
 	}
-	assert.Equal(t, len(joined.Unwrap()), len(unbounded()))
+	assert.Equal(t, len(joined.Unwrap()), len(invalidConditions()))
 }
 
-// FuzzMatcher has any condition meet any request: it neither crashes nor hangs,
-// and the explanation agrees with the match.
+// FuzzMatcher checks that any condition for any request neither panics nor hangs, and that
+// Explain agrees with Match.
 func FuzzMatcher(f *testing.F) {
-	for _, condition := range append(unbounded(), "true", `path matches "(a+)+$"`, `headers["a"] contains model`) {
+	for _, condition := range append(invalidConditions(), "true", `path matches "(a+)+$"`, `headers["a"] contains model`) {
 		f.Add(condition, "small", "/v1", "a", "b", 3)
 	}
 	f.Fuzz(func(t *testing.T, condition, model, path, header, value string, tokens int) {
@@ -124,7 +123,7 @@
 	})
 }
 
-// BenchmarkMatch has the last of 50 rules match.
+// BenchmarkMatch measures a match of the last of 50 rules.
 func BenchmarkMatch(b *testing.B) {
 	var conditions []string
 	for index := range 49 {
--- a/matcher/part.go
+++ b/matcher/part.go
@@ -6,8 +6,8 @@
 	"github.com/expr-lang/expr/vm"
 )
 
-// FirstFalse returns the first of the parts that a condition joins by && that
-// does not hold, for display; the whole condition when it joins none.
+// FirstFalse returns the first operand of a condition's top-level conjunction that does not
+// hold, for display. It returns the whole condition if all operands hold or it does not parse.
 func FirstFalse(condition string, properties Properties) string {
 	tree, err := parser.Parse(condition)
 	if err != nil {
@@ -21,7 +21,7 @@
 	return condition
 }
 
-// conjuncts returns what a node joins by &&, from left to right.
+// conjuncts returns the operands that a node joins by && or and, from left to right.
 func conjuncts(node ast.Node) []ast.Node {
 	joined, ok := node.(*ast.BinaryNode)
 	if !ok || (joined.Operator != "&&" && joined.Operator != "and") {
@@ -30,7 +30,8 @@
 	return append(conjuncts(joined.Left), conjuncts(joined.Right)...)
 }
 
-// holds tells whether a part of a condition holds; one that fails does not.
+// holds reports whether a part of a condition holds; a part that fails to compile or evaluate
+// does not.
 func holds(part string, properties Properties) bool {
 	program, err := compile(part)
 	if err != nil {
--- a/router/definition.go
+++ b/router/definition.go
@@ -8,22 +8,22 @@
 	"limpetcleat/definer"
 )
 
-// Definition is a whole configuration before it is checked and indexed.
+// Definition is a complete configuration before it is validated and indexed.
 type Definition struct {
-	// Version grows with each accepted change.
+	// Version increases with each accepted change.
 	Version uint64
-	// Rules are in order; the first that matches a request counts.
+	// Rules are in order; the first one that matches a request applies.
 	Rules         []Rule
 	Services      []Service
 	Organisations []Organisation
 	Limits        Limits
 }
 
-// Repetition tells how often a request may run.
+// Repetition tells whether a request may run more than once.
 type Repetition int
 
 const (
-	// AtMostOnce forbids a second run.
+	// AtMostOnce forbids a second run of a request.
 	AtMostOnce Repetition = iota
 	// Idempotent allows any number of runs.
 	Idempotent
@@ -37,37 +37,38 @@
 	Host string
 	// PathPrefix begins and ends with a slash.
 	PathPrefix string
-	// Targets is never empty; one of them is drawn by weight.
+	// Targets is never empty; one of them is picked at random by weight.
 	Targets []Target
 	// Repetition tells whether a second run is allowed.
 	Repetition Repetition
-	// Streamed answers are series of events.
+	// Streamed tells that answers are streams of server-sent events.
 	Streamed bool
-	// Resumable streams may go on at another upstream.
+	// Resumable tells that a broken stream may be resumed at another upstream.
 	Resumable bool
-	// Timeout bounds how long a request may wait for its answer; 0 is none.
+	// Timeout bounds how long a request may wait for its answer; 0 is no timeout.
 	Timeout time.Duration
-	// Objective is the latency, for streams to the first event, that is aimed at.
+	// Objective is the latency objective: the target for the time to the answer, or to the
+	// first event of a stream.
 	Objective time.Duration
-	// GapObjective is the longest pause between two events that is aimed at; 0 is
+	// GapObjective is the target for the longest pause between two events of a stream; 0 is
 	// none.
 	GapObjective time.Duration
-	// Tier is the rank; 0 is the highest.
+	// Tier is the priority tier; 0 is the highest.
 	Tier int
-	// MaxAttempts bounds the upstreams that one request may be sent to; at least 1.
+	// MaxAttempts bounds how often one request may be sent to upstreams; at least 1.
 	MaxAttempts int
-	// Public rules ask for no key.
+	// Public tells that requests need no key.
 	Public bool
-	// SharesPrefixes tells that prompts have parts that upstreams may have cached.
+	// SharesPrefixes tells that prompts have parts in common which upstreams may have cached.
 	SharesPrefixes bool
 }
 
-// Idempotent tells whether a request may run more than once.
+// Idempotent reports whether a request may run more than once.
 func (rule *Rule) Idempotent() bool {
 	return rule.Repetition == Idempotent || rule.Streamed && rule.Resumable
 }
 
-// Target is a service with its share of a rule's requests.
+// Target is a service with the weight of its share of a rule's requests.
 type Target struct {
 	Service definer.PoolName
 	// Weight is above 0.
@@ -77,29 +78,30 @@
 // Service is a group of upstreams that can serve the same requests.
 type Service struct {
 	Name definer.PoolName
-	// Engine is set for model runners.
+	// Engine tells that the upstreams are model runners.
 	Engine bool
-	// CacheTokens is the memory of an engine in tokens.
+	// CacheTokens is the size of an engine's KV cache in tokens.
 	CacheTokens int
-	// Scaling is set if upstreams of the service may be ordered.
+	// Scaling is set if upstreams of the service may be added and removed automatically.
 	Scaling *Scaling
 }
 
-// Scaling is what upstreams of a service may be ordered by.
+// Scaling holds the bounds and prices for adding upstreams to a service.
 type Scaling struct {
-	// Least and Most bound those of each data centre, of both kinds together.
+	// Least and Most bound the number of upstreams in each data centre, spot and ordinary
+	// ones together.
 	Least int
 	Most  int
-	// Boot is how long one takes to start.
+	// Boot is how long an upstream takes to start.
 	Boot time.Duration
-	// SpotPrice is the price of upstreams that may be reclaimed, as a part of that of
-	// others; 0 is when there are none.
+	// SpotPrice is the price of spot upstreams, which may be reclaimed, as a fraction of the
+	// ordinary price; 0 if there are no spot upstreams.
 	SpotPrice float64
-	// Prices are those of one second of an ordinary upstream, by data centre.
+	// Prices are the prices of one second of an ordinary upstream, by data centre.
 	Prices map[definer.DataCentre]float64
 }
 
-// DataCentres returns where upstreams may be ordered, sorted.
+// DataCentres returns the data centres where upstreams may be added, sorted.
 func (scaling *Scaling) DataCentres() []definer.DataCentre {
 	return slices.Sorted(maps.Keys(scaling.Prices))
 }
@@ -108,13 +110,13 @@
 type Organisation struct {
 	Name definer.OrganisationName
 	Keys []string
-	// Tier goes before a rule's when HasTier is set.
+	// Tier overrides the tier of a rule; valid only if HasTier is set.
 	Tier    int
 	HasTier bool
 }
 
-// Limits bound what a caller may send.
+// Limits bounds what a caller may send.
 type Limits struct {
-	// MaxBodyBytes is in bytes; 0 leaves the default.
+	// MaxBodyBytes is the maximum size of a request's body in bytes; 0 means the default.
 	MaxBodyBytes int64
 }
--- a/router/failure.go
+++ b/router/failure.go
@@ -8,13 +8,13 @@
 const (
 	// NoRule marks a request that no rule matches.
 	NoRule Kind = "noRule"
-	// NoKey marks a request without a key that some organisation holds.
+	// NoKey marks a request whose key no organisation holds, or that has none.
 	NoKey Kind = "noKey"
-	// Invalid marks a definition that no table can be built from.
+	// Invalid marks a definition that New rejects.
 	Invalid Kind = "invalid"
 )
 
-// Error is the one error type of this package.
+// Error is the type of all errors that this package returns.
 type Error = failer.Error[Kind]
 
 func fail(operation string, kind Kind, format string, values ...any) *Error {
--- a/router/table.go
+++ b/router/table.go
@@ -1,6 +1,6 @@
-// Package router holds one configuration as a table: the ordered rules, of which
-// the first that matches a request counts, the services they send to, and the
-// organisations with their keys.
+// Package router implements the routing table of one configuration. It matches requests to
+// ordered rules by host and path, of which the first that matches applies, picks the service
+// that they are sent to, and authenticates organisations by their keys.
 package router
 
 import (
@@ -12,24 +12,24 @@
 	"limpetcleat/definer"
 )
 
-// Table is a checked configuration. It never changes once built.
+// Table is a validated and indexed configuration. It is immutable.
 type Table struct {
 	definition Definition
-	// byHost holds each rule once, in the definition's order.
-	byHost map[string][]*Rule
-	// services holds each service once, under its own name.
+	// rulesByHost holds each rule once, in the order of the definition.
+	rulesByHost map[string][]*Rule
+	// services holds each service under its name.
 	services map[definer.PoolName]*Service
-	// byKey maps the SHA-256 sum of each key to the one organisation that has it.
-	byKey map[[sha256.Size]byte]*Organisation
+	// organisationsByKey maps the SHA-256 sum of each key to the organisation that holds it.
+	organisationsByKey map[[sha256.Size]byte]*Organisation
 }
 
-// New checks a definition and returns its table.
+// New validates a definition and returns its table. The error is of kind Invalid.
 func New(definition Definition) (*Table, error) {
 	table := &Table{
-		definition: definition,
-		byHost:     make(map[string][]*Rule),
-		services:   make(map[definer.PoolName]*Service),
-		byKey:      make(map[[sha256.Size]byte]*Organisation),
+		definition:         definition,
+		rulesByHost:        make(map[string][]*Rule),
+		services:           make(map[definer.PoolName]*Service),
+		organisationsByKey: make(map[[sha256.Size]byte]*Organisation),
 	}
 	for index := range definition.Services {
 		service := &table.definition.Services[index]
@@ -37,21 +37,22 @@
 	}
 	for index := range definition.Rules {
 		rule := &table.definition.Rules[index]
-		if err := check(rule); err != nil {
+		if err := validateRule(rule); err != nil {
 			return nil, err
 		}
-		table.byHost[rule.Host] = append(table.byHost[rule.Host], rule)
+		table.rulesByHost[rule.Host] = append(table.rulesByHost[rule.Host], rule)
 	}
 	for index := range definition.Organisations {
 		organisation := &table.definition.Organisations[index]
 		for _, key := range organisation.Keys {
-			table.byKey[sha256.Sum256([]byte(key))] = organisation
+			table.organisationsByKey[sha256.Sum256([]byte(key))] = organisation
 		}
 	}
 	return table, nil
 }
 
-func check(rule *Rule) error {
+// validateRule returns an error of kind Invalid if requests of the rule could not be served.
+func validateRule(rule *Rule) error {
 	if len(rule.Targets) == 0 {
 		return fail("new", Invalid, "rule %q has no target", rule.Name)
 	}
@@ -66,28 +67,28 @@
 	return nil
 }
 
-// Version returns the number of the configuration; higher is newer.
+// Version returns the version of the configuration; a higher one is newer.
 func (table *Table) Version() uint64 { return table.definition.Version }
 
-// Definition returns what the table was made from; it must not be changed.
+// Definition returns the definition of the table, which must not be modified.
 func (table *Table) Definition() Definition { return table.definition }
 
-// Limits returns what callers may send.
+// Limits returns the bounds of what callers may send.
 func (table *Table) Limits() Limits { return table.definition.Limits }
 
-// Rules returns the rules in order.
+// Rules returns the rules in order, which must not be modified.
 func (table *Table) Rules() []Rule { return table.definition.Rules }
 
-// Service returns the service of that name, if there is one.
+// Service returns the service of the name and whether there is one.
 func (table *Table) Service(name definer.PoolName) (*Service, bool) {
 	service, ok := table.services[name]
 	return service, ok
 }
 
-// Match returns the first rule that matches the host and the path. The error is
-// of kind NoRule when none does.
+// Match returns the first rule that matches the host and the path. The error is of kind NoRule
+// if none does.
 func (table *Table) Match(host, path string) (*Rule, error) {
-	for _, rule := range table.byHost[normalise(host)] {
+	for _, rule := range table.rulesByHost[normaliseHost(host)] {
 		if strings.HasPrefix(path, rule.PathPrefix) {
 			return rule, nil
 		}
@@ -95,21 +96,23 @@
 	return nil, fail("match", NoRule, "no rule of version %d matches %q %q", table.Version(), host, path)
 }
 
-// normalise returns a host as rules have it: in lower case, without a port.
-func normalise(host string) string {
+// normaliseHost returns a host in the form that rules have: lower case, without a port or a
+// final dot.
+func normaliseHost(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
 	return strings.ToLower(strings.TrimSuffix(host, "."))
 }
 
-// Authenticate returns the organisation that holds the key, or nil for a public
-// rule and a configuration without organisations. The error is of kind NoKey.
+// Authenticate returns the organisation that holds the key. If none does, it returns nil for
+// a public rule and an error of kind NoKey for any other. In a configuration without
+// organisations it always returns nil.
 func (table *Table) Authenticate(rule *Rule, key string) (*Organisation, error) {
 	if len(table.definition.Organisations) == 0 {
 		return nil, nil
 	}
-	organisation, ok := table.byKey[sha256.Sum256([]byte(key))]
+	organisation, ok := table.organisationsByKey[sha256.Sum256([]byte(key))]
 	if ok && key != "" {
 		return organisation, nil
 	}
@@ -119,8 +122,8 @@
 	return nil, fail("authenticate", NoKey, "no organisation of version %d holds the key", table.Version())
 }
 
-// Tier returns the rank of a request: the organisation's if it has one, else the
-// rule's. The organisation may be nil.
+// Tier returns the tier of a request: that of the organisation if it has one, else that of
+// the rule. The organisation may be nil.
 func (table *Table) Tier(rule *Rule, organisation *Organisation) int {
 	if organisation != nil && organisation.HasTier {
 		return organisation.Tier
@@ -128,16 +131,16 @@
 	return rule.Tier
 }
 
-// Urgency returns what orders the requests at one engine, 0 first: by the rule's
-// tier, and within it by Tier, so that no request is preempted for one of a lower
-// rule, whoever sends it.
+// Urgency returns the scheduling priority of a request at an engine; 0 is the most urgent.
+// Requests are ordered by the tier of their rule first and by Tier second, so that a request
+// is never preempted by one of a rule with a lower tier, whichever organisation sends it.
 func (table *Table) Urgency(rule *Rule, organisation *Organisation) int {
-	return min(rule.Tier, maxTier)*urgenciesOfTier + min(table.Tier(rule, organisation), urgenciesOfTier-1)
+	return min(rule.Tier, lowestTier)*urgenciesPerTier + min(table.Tier(rule, organisation), urgenciesPerTier-1)
 }
 
-// DeferredUrgency returns the urgency of a rule's requests that will be late anyway,
-// so that they take nothing from others, and whether there is one: only requests of the
-// lowest tier at their services may be put behind others.
+// DeferredUrgency returns the urgency for those requests of a rule that will miss their
+// objective anyway, so that they do not delay others, and whether there is one: only requests
+// of the lowest tier at their services may be put behind others.
 func (table *Table) DeferredUrgency(rule *Rule) (urgency int, ok bool) {
 	for index := range table.definition.Rules {
 		other := &table.definition.Rules[index]
@@ -145,10 +148,10 @@
 			return 0, false
 		}
 	}
-	return lowestUrgency, rule.Tier < maxTier
+	return lowestUrgency, rule.Tier < lowestTier
 }
 
-// sharesService tells whether some service gets requests of both rules.
+// sharesService reports whether the rules have a target service in common.
 func (rule *Rule) sharesService(other *Rule) bool {
 	return slices.ContainsFunc(rule.Targets, func(target Target) bool {
 		return slices.ContainsFunc(other.Targets, func(of Target) bool { return of.Service == target.Service })
@@ -156,15 +159,16 @@
 }
 
 const (
-	// lowestUrgency is the last that engines know.
-	lowestUrgency = urgenciesOfTier*(maxTier+1) - 1
-	// urgenciesOfTier is how many urgencies a tier has; engines know 10 in all, and
-	// there are up to 5 tiers, of which maxTier is the lowest.
-	urgenciesOfTier = 2
-	maxTier         = 4
+	// lowestUrgency is the least urgent value that engines accept.
+	lowestUrgency = urgenciesPerTier*(lowestTier+1) - 1
+	// urgenciesPerTier is the number of urgencies of each tier. Engines accept 10 urgencies,
+	// and there are up to 5 tiers, of which lowestTier is the lowest.
+	urgenciesPerTier = 2
+	lowestTier       = 4
 )
 
-// Pick returns the rule's target for a draw between 0 and 1.
+// Pick returns the service of the rule's target that a random number between 0 and 1 selects
+// by weight.
 func (rule *Rule) Pick(draw float64) definer.PoolName {
 	total := 0.0
 	for _, target := range rule.Targets {
--- a/router/table_test.go
+++ b/router/table_test.go
@@ -97,7 +97,7 @@
 	}
 	assert.Assert(t, table.Urgency(high, nil) < table.Urgency(low, nil))
 	lowest := table.Urgency(&router.Rule{Tier: 9}, &router.Organisation{Tier: 9, HasTier: true})
-	assert.Equal(t, lowest, 9, "engines know no more")
+	assert.Equal(t, lowest, 9, "engines accept no higher urgency")
 }
 
 func TestPickFollowsTheWeights(t *testing.T) {
@@ -123,8 +123,8 @@
 	}
 }
 
-// TestOnlyTheLowestTierIsDeferred holds that requests of a rule are put behind others
-// only when no rule has a lower tier, and then behind all.
+// TestOnlyTheLowestTierIsDeferred checks that requests of a rule can be deferred only if no
+// rule has a lower tier, and that they then come after all others.
 func TestOnlyTheLowestTierIsDeferred(t *testing.T) {
 	target := []router.Target{{Service: "s", Weight: 1}}
 	rules := []router.Rule{
@@ -139,7 +139,7 @@
 	assert.Assert(t, ok)
 	lowest := table.Urgency(&rules[1], &router.Organisation{Tier: 9, HasTier: true})
 	assert.Assert(t, urgency > lowest, "%d after %d", urgency, lowest)
-	// Of a tier that has the last urgency itself, nothing can be put behind.
+	// The tier with the last urgency cannot be deferred, as there is none after it.
 	last := []router.Rule{{Name: "last", Tier: 4, MaxAttempts: 1, Targets: target}}
 	table, err = router.New(router.Definition{Rules: last})
 	assert.NilError(t, err)
@@ -147,7 +147,8 @@
 	assert.Assert(t, !ok)
 }
 
-// TestTheLowestTierIsThatOfAService holds that rules of other services do not count.
+// TestTheLowestTierIsThatOfAService checks that a lower tier counts only if its rule shares a
+// service with the rule in question.
 func TestTheLowestTierIsThatOfAService(t *testing.T) {
 	rules := []router.Rule{
 		{Name: "engines", Tier: 1, MaxAttempts: 1, Targets: []router.Target{{Service: "engines", Weight: 1}}},
