--- a/scheduler/ask.go
+++ b/scheduler/ask.go
@@ -7,7 +7,7 @@
 	"limpetcleat/messenger"
 )
 
-// Ask is one request that wants a slot.
+// Ask is one request for a slot.
 type Ask struct {
 	// Request and Attempt together identify the ask.
 	Request definer.RequestID
@@ -16,37 +16,39 @@
 	Entry        definer.Member
 	Class        *definer.Class
 	Organisation definer.OrganisationName
-	// Weight is the organisation's share within its tier; above 0.
+	// Weight is the organisation's relative share within its tier; it is above 0.
 	Weight float64
 	Model  string
-	// PromptTokens and OutputTokens are estimates; OutputTokens 0 is unknown.
+	// PromptTokens and OutputTokens are estimates; an OutputTokens of 0 means unknown.
 	PromptTokens int
 	OutputTokens int
 	// Arrival is when the request reached its entry VM.
 	Arrival time.Time
-	// Deadline is zero when there is none.
+	// Deadline is the zero time for a request without a deadline.
 	Deadline time.Time
-	// Prefix is a hash of the prompt's beginning; 0 is none.
+	// Prefix is a hash of the beginning of the prompt; 0 means none.
 	Prefix uint64
-	// Exclude lists upstreams that failed this request before.
+	// Exclude lists the upstreams that already failed this request.
 	Exclude []definer.UpstreamName
 }
 
-// Decision is what became of one ask: a grant or a refusal.
+// Decision is the result of one ask: a grant or a refusal.
 type Decision struct {
 	Ask Ask
 	// Grant is empty when the ask is refused.
 	Grant    definer.GrantID
 	Upstream definer.UpstreamName
-	// Priority is what the engine is told; 0 is the most urgent. Tiers are two
-	// apart; work that is part of its class's floor stands between them.
+	// Priority is sent to the engine; 0 is the most urgent. The priorities of
+	// adjacent tiers differ by two; the value between them is for work within the
+	// floor of its class.
 	Priority int
-	// Preemptible lets the engine pause the request for a more urgent one.
+	// Preemptible allows the engine to pause the request for a more urgent one.
 	Preemptible bool
 	// Reason is empty when the ask is granted.
-	Reason     messenger.RefusalReason
+	Reason messenger.RefusalReason
+	// RetryAfter is how long a refused caller should wait before it asks again.
 	RetryAfter time.Duration
 }
 
-// Granted tells whether the decision is a grant.
+// Granted reports whether the decision is a grant.
 func (decision Decision) Granted() bool { return decision.Grant != "" }
--- a/scheduler/backoff.go
+++ b/scheduler/backoff.go
@@ -2,43 +2,45 @@
 
 import "time"
 
-// trialFor is how long a request that tries an upstream behind its backoff may take to be turned
-// away; one that takes longer was taken.
-const trialFor = time.Second
+// trialTimeout is how long the trial request after a backoff counts as undecided; an upstream
+// that has not refused the request by then has accepted it.
+const trialTimeout = time.Second
 
-// backOff takes in how long an upstream wants nothing, 0 when it said nothing of the kind, at the
-// end of an attempt that failed or not. What it asked for before still holds if that is longer.
-func (slots *slots) backOff(now time.Time, span time.Duration, failed bool) {
-	slots.trialUntil = time.Time{}
+// backOff records, at the end of an attempt, for how long the upstream asked not to be sent
+// requests (0 if it did not ask) and whether the attempt failed. An earlier backoff that ends
+// later stays in force.
+func (upstream *upstream) backOff(now time.Time, span time.Duration, failed bool) {
+	upstream.trialUntil = time.Time{}
 	if span > 0 {
-		if until := now.Add(span); until.After(slots.backoffUntil) {
-			slots.backoffUntil = until
+		if until := now.Add(span); until.After(upstream.backoffUntil) {
+			upstream.backoffUntil = until
 		}
-		slots.unproven = true
+		upstream.unproven = true
 	}
 	if !failed {
-		slots.unproven = false
+		upstream.unproven = false
 	}
-	slots.wake(now)
+	upstream.updateBackoff(now)
 }
 
-// try notes that a request is sent.
-func (slots *slots) try(now time.Time) {
-	if slots.unproven {
-		slots.trialUntil = now.Add(trialFor)
+// startTrial makes the request that is being sent the trial request if the upstream has not
+// accepted a request since its last backoff.
+func (upstream *upstream) startTrial(now time.Time) {
+	if upstream.unproven {
+		upstream.trialUntil = now.Add(trialTimeout)
 	}
 }
 
-// wake takes up what the time has ended: a backoff, and a trial that was not turned away.
-func (slots *slots) wake(now time.Time) {
-	slots.backingOff = now.Before(slots.backoffUntil)
-	if !slots.trialUntil.IsZero() && !now.Before(slots.trialUntil) {
-		slots.unproven, slots.trialUntil = false, time.Time{}
+// updateBackoff ends a backoff and a trial whose time has passed.
+func (upstream *upstream) updateBackoff(now time.Time) {
+	upstream.backingOff = now.Before(upstream.backoffUntil)
+	if !upstream.trialUntil.IsZero() && !now.Before(upstream.trialUntil) {
+		upstream.unproven, upstream.trialUntil = false, time.Time{}
 	}
 }
 
-// open tells whether the upstream takes requests at all: its limit is not used up, it does not
-// back off, and no request tries it behind its backoff.
-func (slots *slots) open() bool {
-	return !slots.spent && !slots.backingOff && slots.trialUntil.IsZero()
+// acceptsRequests reports whether the upstream may be sent requests: its rate limit is not
+// exhausted, it does not back off, and no trial request is under way.
+func (upstream *upstream) acceptsRequests() bool {
+	return !upstream.rateExhausted && !upstream.backingOff && upstream.trialUntil.IsZero()
 }
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -10,11 +10,12 @@
 )
 
 // BenchmarkAskAndRelease measures one ask and one release with 64 upstreams of
-// 16 slots, 1,900 organisations and five tiers, all slots in use and a queue.
+// 16 slots, 1,900 organisations and five tiers, with all slots in use and asks in the
+// queue.
 func BenchmarkAskAndRelease(b *testing.B) {
 	for _, backlog := range []int{0, 1000, 10_000} {
 		b.Run(fmt.Sprint("backlog ", backlog), func(b *testing.B) {
-			pool, classes := setting{upstreams: 64, slots: 16, share: 0.1}.build(b)
+			pool, classes := poolSetting{upstreams: 64, slots: 16, protectedShare: 0.1}.build(b)
 			scheduler := New(messenger.Shard{Pool: "shared"}, definer.Member{VM: "vm1"}, WithPool(pool))
 			scheduler.Configure(start(), pool.Upstreams(), classes)
 			draw := seeded(1)
--- a/scheduler/breaker.go
+++ b/scheduler/breaker.go
@@ -3,51 +3,53 @@
 import "time"
 
 const (
-	// breakAfter is the number of failures in a row that shut an upstream.
-	breakAfter = 3
-	// firstPause is how long an upstream is shut at first; each failed trial
-	// doubles it up to longestPause.
-	firstPause   = 250 * time.Millisecond
-	longestPause = 5 * time.Second
+	// breakerThreshold is the number of consecutive failures that open the breaker.
+	breakerThreshold = 3
+	// minOpenTime is how long the breaker first stays open; each failed trial doubles
+	// the time up to maxOpenTime.
+	minOpenTime = 250 * time.Millisecond
+	maxOpenTime = 5 * time.Second
 )
 
-// breaker keeps unprotected work from an upstream whose attempts fail one after
-// the other. Such an upstream would else look idle and draw every request to
-// itself. After each pause one trial goes to it; a success ends it. Protected
-// work takes such an upstream last, but is never kept waiting by it.
+// breaker is the circuit breaker of one upstream. While it is open, the upstream gets
+// no unprotected requests: an upstream whose attempts all fail fast looks idle and
+// would attract every request. After each open time one trial request is allowed; a
+// success closes the breaker. Protected requests use the upstream as a last resort and
+// never wait for the breaker.
 type breaker struct {
-	// failures counts those in a row.
+	// failures counts consecutive failures.
 	failures int
-	// pause is the length of the last pause; 0 before the first.
-	pause time.Duration
-	until time.Time
-	// shut is whether until was still to come when wake was called last.
-	shut bool
+	// openTime is the length of the last open time; 0 while there was none.
+	openTime  time.Duration
+	openUntil time.Time
+	// open reports whether openUntil was in the future at the last update.
+	open bool
 }
 
-// observe takes in how an attempt ended.
+// observe records the result of an attempt.
 func (breaker *breaker) observe(now time.Time, failed bool) {
 	if !failed {
-		breaker.failures, breaker.pause, breaker.until, breaker.shut = 0, 0, time.Time{}, false
+		breaker.failures, breaker.openTime, breaker.openUntil, breaker.open = 0, 0, time.Time{}, false
 		return
 	}
 	breaker.failures++
-	if breaker.failures < breakAfter || now.Before(breaker.until) {
+	if breaker.failures < breakerThreshold || now.Before(breaker.openUntil) {
 		return
 	}
-	breaker.pause = min(max(2*breaker.pause, firstPause), longestPause)
-	breaker.until = now.Add(breaker.pause)
-	breaker.shut = true
+	breaker.openTime = min(max(2*breaker.openTime, minOpenTime), maxOpenTime)
+	breaker.openUntil = now.Add(breaker.openTime)
+	breaker.open = true
 }
 
-// wake ends a pause whose time is over.
-func (breaker *breaker) wake(now time.Time) { breaker.shut = now.Before(breaker.until) }
+// update ends an open time that has passed.
+func (breaker *breaker) update(now time.Time) { breaker.open = now.Before(breaker.openUntil) }
 
-// admits tells whether the upstream may get unprotected work with so many
-// grants active: any number when it is well, one for a trial.
+// admits reports whether the upstream may get another unprotected request while it
+// has the given number of active grants: always below the failure threshold, and
+// above it only as the single trial.
 func (breaker *breaker) admits(active int) bool {
-	if breaker.failures < breakAfter {
+	if breaker.failures < breakerThreshold {
 		return true
 	}
-	return !breaker.shut && active == 0
+	return !breaker.open && active == 0
 }
--- a/scheduler/capacity_test.go
+++ b/scheduler/capacity_test.go
@@ -11,11 +11,11 @@
 	"limpetcleat/standin/measurer"
 )
 
-// BenchmarkMemory measures what a held grant and a queued ask take, with 64
+// BenchmarkMemory measures the heap bytes for each grant and each queued ask, with 64
 // upstreams of 16 slots and asks of 1,900 organisations.
 func BenchmarkMemory(b *testing.B) {
 	for b.Loop() {
-		pool, classes := setting{upstreams: 64, slots: 16, share: 0}.build(b)
+		pool, classes := poolSetting{upstreams: 64, slots: 16, protectedShare: 0}.build(b)
 		scheduler := New(messenger.Shard{Pool: "shared"}, definer.Member{VM: "vm1"}, WithPool(pool))
 		scheduler.Configure(start(), pool.Upstreams(), classes)
 		ask := func(from, to int) float64 {
--- a/scheduler/choose.go
+++ b/scheduler/choose.go
@@ -8,86 +8,89 @@
 	"limpetcleat/definer"
 )
 
-// light is the part of its limit that an upstream may fill by affinity whatever
-// the mean is; bounding it tighter parted like prompts on idle upstreams.
-const light = 0.5
+// affinityMinLoad is the part of its limit up to which an upstream always accepts
+// requests by prefix affinity, whatever the mean load is; a tighter bound spread
+// prompts with the same prefix over idle upstreams.
+const affinityMinLoad = 0.5
 
-// choose returns the upstream for the head of a lane: the one its prefix
-// belongs to while that is not much above the mean load, else the least loaded.
-// Some upstream must have room.
-func (scheduler *Scheduler) choose(lane *lane) *slots {
-	protected := scheduler.guards(lane.class)
-	if scheduler.traits.rotation {
-		return scheduler.turn(lane.shape, protected)
+// choose returns the upstream for the first ask of a lane: by prefix affinity while
+// the load of that upstream is not much above the mean, else the least loaded one. At
+// least one upstream of the lane must have room.
+func (scheduler *Scheduler) choose(lane *lane) *upstream {
+	protected := scheduler.isProtected(lane.class)
+	if scheduler.features.rotation {
+		return scheduler.nextInRotation(lane.upstreamSet, protected)
 	}
 	prefix := lane.head().ask.Prefix
 	if scheduler.affinity > 0 && prefix != 0 {
-		if found := scheduler.attracted(lane.shape, protected, prefix); found != nil {
+		if found := scheduler.affinityUpstream(lane.upstreamSet, protected, prefix); found != nil {
 			return found
 		}
 	}
-	var best *slots
-	for _, slots := range lane.shape.table {
-		if slots.room(protected) && (best == nil || slots.lighter(best)) {
-			best = slots
+	var best *upstream
+	for _, upstream := range lane.upstreamSet.upstreams {
+		if upstream.hasRoom(protected) && (best == nil || upstream.preferredTo(best)) {
+			best = upstream
 		}
 	}
 	return best
 }
 
-// lighter tells whether the upstream is the better one: well, where the other
-// is not, or with less work for its limit.
-func (slots *slots) lighter(other *slots) bool {
-	if well := slots.breaker.admits(slots.active); well != other.breaker.admits(other.active) {
+// preferredTo reports whether the upstream is the better choice: its breaker admits
+// requests and that of the other does not, or it has less load for its limit.
+func (upstream *upstream) preferredTo(other *upstream) bool {
+	if well := upstream.breaker.admits(upstream.active); well != other.breaker.admits(other.active) {
 		return well
 	}
-	if slots.load() != other.load() {
-		return slots.load() < other.load()
+	if upstream.load() != other.load() {
+		return upstream.load() < other.load()
 	}
-	return slots.cost/float64(max(slots.limit, 1)) < other.cost/float64(max(other.limit, 1))
+	return upstream.cost/float64(max(upstream.limit, 1)) < other.cost/float64(max(other.limit, 1))
 }
 
-// turn returns the next upstream with room after the one granted last.
-func (scheduler *Scheduler) turn(shape *shape, protected bool) *slots {
-	var first *slots
-	for _, slots := range shape.table {
-		if !slots.room(protected) {
+// nextInRotation returns the next upstream with room after the one that got the last
+// grant.
+func (scheduler *Scheduler) nextInRotation(upstreamSet *upstreamSet, protected bool) *upstream {
+	var first *upstream
+	for _, upstream := range upstreamSet.upstreams {
+		if !upstream.hasRoom(protected) {
 			continue
 		}
-		if slots.position > scheduler.rotation {
-			return slots
+		if upstream.position > scheduler.rotation {
+			return upstream
 		}
 		if first == nil {
-			first = slots
+			first = upstream
 		}
 	}
 	return first
 }
 
-// attracted returns the upstream that ranks highest for the prefix among those
-// with room whose load stays below the bound, or nil.
-func (scheduler *Scheduler) attracted(shape *shape, protected bool, prefix uint64) *slots {
+// affinityUpstream returns the upstream with the highest rendezvous weight for the
+// prefix among those with room whose load stays within the affinity bound, or nil.
+func (scheduler *Scheduler) affinityUpstream(upstreamSet *upstreamSet, protected bool, prefix uint64) *upstream {
 	used := 1
-	for _, slots := range shape.table {
-		used += slots.active + len(slots.paused)
+	for _, upstream := range upstreamSet.upstreams {
+		used += upstream.active + len(upstream.paused)
 	}
-	bound := max(light, scheduler.affinity*float64(used)/float64(max(shape.limit, 1)))
-	var best *slots
+	bound := max(affinityMinLoad, scheduler.affinity*float64(used)/float64(max(upstreamSet.limit, 1)))
+	var best *upstream
 	var highest uint64
-	for _, slots := range shape.table {
-		next := float64(slots.active+len(slots.paused)+1) / float64(max(slots.limit, 1))
-		if !slots.room(protected) || next > max(bound, 1/float64(max(slots.limit, 1))) {
+	for _, upstream := range upstreamSet.upstreams {
+		next := float64(upstream.active+len(upstream.paused)+1) / float64(max(upstream.limit, 1))
+		if !upstream.hasRoom(protected) || next > max(bound, 1/float64(max(upstream.limit, 1))) {
 			continue
 		}
-		if weight := rendezvous(prefix, slots.name); best == nil || weight > highest {
-			best, highest = slots, weight
+		if weight := rendezvousWeight(prefix, upstream.name); best == nil || weight > highest {
+			best, highest = upstream, weight
 		}
 	}
 	return best
 }
 
-// rendezvous returns the upstream's weight for a prefix.
-func rendezvous(prefix uint64, name definer.UpstreamName) uint64 {
+// rendezvousWeight returns the weight of an upstream for a prefix in rendezvous
+// (highest random weight) hashing.
+func rendezvousWeight(prefix uint64, name definer.UpstreamName) uint64 {
 	var key [8]byte
 	binary.LittleEndian.PutUint64(key[:], prefix)
 	var digest xxhash.Digest
--- a/scheduler/class.go
+++ b/scheduler/class.go
@@ -7,56 +7,58 @@
 	"limpetcleat/definer"
 )
 
-// debtShare is the part of a class's longest wait within which a class that
-// used more than its floor is back at it.
+// debtShare bounds the debt of a class that used more than its floor: the debt is
+// repaid within this part of the class's longest wait.
 const debtShare = 0.25
 
-// drainTime is the time constant of the observed rate of a class.
-const drainTime = 10 * time.Second
+// rateTimeConstant is the time constant of the exponentially decayed rate of work
+// granted to a class.
+const rateTimeConstant = 10 * time.Second
 
-// class is what the scheduler counts of one class.
+// class holds the scheduling state of one service class.
 type class struct {
 	// definition is the class as last configured.
 	definition *definer.Class
 	// active counts the grants that run and are not paused.
 	active int
-	// waiting counts the asks in the queue, cost their work in tokens.
+	// waiting counts the asks in the queue; cost is their expected work in tokens.
 	waiting int
 	cost    float64
-	// floor is the class's floor in slots; it need not be whole.
+	// floor is the number of slots reserved for the class; it may be fractional.
 	floor float64
-	// credit is the part of a slot, times seconds, that the class may still use
-	// on top of the whole slots of its floor; it is at most 0.
+	// credit accounts for the fractional part of the floor, in slot-seconds. It is at
+	// most 0; a negative credit is debt from use above the floor.
 	credit float64
-	// counted is the instant up to which credit is worked out.
-	counted time.Time
-	// turn is the number of the last grant; it orders classes below their floor.
-	turn uint64
-	// pausable counts the active grants that may be paused.
-	pausable int
-	// pinned counts the active grants that are part of the floor.
+	// accruedAt is the time up to which credit is computed.
+	accruedAt time.Time
+	// lastGrant is the sequence number of the last grant; it orders classes below
+	// their floor.
+	lastGrant uint64
+	// preemptibleActive counts the active grants that may be paused.
+	preemptibleActive int
+	// pinned counts the active grants that belong to the floor.
 	pinned int
-	// meter observes how fast slots do the class's work.
+	// meter measures the speed at which slots do the work of the class.
 	meter meter
-	// drained is the decayed sum of granted work, in tokens.
-	drained float64
-	// drainedAt is the instant up to which drained is decayed.
-	drainedAt time.Time
+	// recentWork is the exponentially decayed sum of granted work, in tokens.
+	recentWork float64
+	// recentWorkAt is the time up to which recentWork is decayed.
+	recentWorkAt time.Time
 }
 
 func (class *class) tier() int { return class.definition.Tier() }
 
 func (class *class) protected() bool { return class.definition.Protected() }
 
-// accrue brings the floor's credit up to now. It must be called before each
-// change of active or floor.
+// accrue updates the credit to now. It must be called before each change of active or
+// floor.
 func (class *class) accrue(now time.Time) {
-	elapsed := now.Sub(class.counted).Seconds()
-	if class.counted.IsZero() || elapsed <= 0 {
-		class.counted = later(class.counted, now)
+	elapsed := now.Sub(class.accruedAt).Seconds()
+	if class.accruedAt.IsZero() || elapsed <= 0 {
+		class.accruedAt = later(class.accruedAt, now)
 		return
 	}
-	class.counted = now
+	class.accruedAt = now
 	whole, part := math.Modf(class.floor)
 	if part == 0 {
 		class.credit = 0
@@ -65,11 +67,11 @@
 	if class.active > int(whole) {
 		part--
 	}
-	class.credit = min(0, max(class.lowest(), class.credit+part*elapsed))
+	class.credit = min(0, max(class.minCredit(), class.credit+part*elapsed))
 }
 
-// belowFloor tells whether the class may claim the next free slot. It must
-// have been accrued up to now.
+// belowFloor reports whether the floor of the class entitles it to the next free slot.
+// accrue must have been called for the current time.
 func (class *class) belowFloor() bool {
 	if class.floor <= 0 || class.protected() {
 		return false
@@ -80,8 +82,8 @@
 	return float64(class.active) < class.floor && class.credit >= 0
 }
 
-// mayPin tells whether the next grant is part of the floor, and so is not
-// paused for unprotected classes. It must have been accrued up to now.
+// mayPin reports whether the next grant belongs to the floor, so that it is not paused
+// for unprotected classes. accrue must have been called for the current time.
 func (class *class) mayPin() bool {
 	if float64(class.pinned)+1 <= class.floor {
 		return true
@@ -89,36 +91,36 @@
 	return float64(class.pinned) < class.floor && class.credit >= 0
 }
 
-// lowest returns the bound of the credit.
-func (class *class) lowest() float64 {
+// minCredit returns the lower bound of the credit.
+func (class *class) minCredit() float64 {
 	return -class.floor * debtShare * class.definition.LongestWait().Seconds()
 }
 
-// starving tells whether the class has next to nothing: none but one ask waits
-// and less than its floor runs.
+// starving reports whether at most one ask of the class waits and fewer requests run
+// than its floor (or than 1, if the floor is smaller).
 func (class *class) starving() bool {
 	return class.waiting <= 1 && float64(class.active) < max(class.floor, 1)
 }
 
-// drain counts granted work.
-func (class *class) drain(now time.Time, cost float64) {
+// recordWork adds granted work, in tokens.
+func (class *class) recordWork(now time.Time, cost float64) {
 	class.decay(now)
-	class.drained += cost
+	class.recentWork += cost
 }
 
 func (class *class) decay(now time.Time) {
-	elapsed := now.Sub(class.drainedAt)
+	elapsed := now.Sub(class.recentWorkAt)
 	if elapsed <= 0 {
 		return
 	}
-	class.drained *= math.Exp(-elapsed.Seconds() / drainTime.Seconds())
-	class.drainedAt = now
+	class.recentWork *= math.Exp(-elapsed.Seconds() / rateTimeConstant.Seconds())
+	class.recentWorkAt = now
 }
 
-// rate returns the work granted a second of late.
+// rate returns the recently granted work, in tokens per second.
 func (class *class) rate(now time.Time) float64 {
 	class.decay(now)
-	return class.drained / drainTime.Seconds()
+	return class.recentWork / rateTimeConstant.Seconds()
 }
 
 func later(a, b time.Time) time.Time {
--- a/scheduler/configure.go
+++ b/scheduler/configure.go
@@ -11,40 +11,41 @@
 	"limpetcleat/messenger"
 )
 
-// Configure sets the shard's upstreams and classes and returns what can now be
-// decided. Running grants of upstreams that are gone stay until they are
-// released; waiting asks keep their places.
+// Configure sets the shard's upstreams and classes and returns the decisions that are
+// now possible. Grants of removed upstreams stay until they are released; waiting asks
+// keep their places.
 func (scheduler *Scheduler) Configure(now time.Time, upstreams []*definer.Upstream, classes []*definer.Class) []Decision {
-	// What is due is refused under the configuration that it waited for.
-	decisions := scheduler.overdue(now)
-	entries := scheduler.entries()
-	for _, entry := range entries {
-		scheduler.drop(entry)
+	// Refuse expired asks under the configuration under which they waited.
+	decisions := scheduler.refuseOverdue(now)
+	queuedAsks := scheduler.queuedInOrder()
+	for _, queuedAsk := range queuedAsks {
+		scheduler.dequeue(queuedAsk)
 	}
 	scheduler.lanes = nil
 	for _, definition := range classes {
 		scheduler.class(definition).definition = definition
 	}
 	scheduler.sortClasses()
-	scheduler.tabulate(upstreams)
-	scheduler.poll()
-	scheduler.settle(now)
-	for _, entry := range entries {
-		if !scheduler.requeue(entry) {
-			decisions = append(decisions, Decision{Ask: entry.ask, Reason: messenger.NoUpstream, RetryAfter: leastRetry})
+	scheduler.updateUpstreams(upstreams)
+	scheduler.pollLimits()
+	scheduler.redistribute(now)
+	for _, queuedAsk := range queuedAsks {
+		if !scheduler.requeue(queuedAsk) {
+			decisions = append(decisions, Decision{Ask: queuedAsk.ask, Reason: messenger.NoUpstream, RetryAfter: minRetryAfter})
 		}
 	}
 	return append(decisions, scheduler.decide(now)...)
 }
 
-// requeue puts an entry back under the present configuration.
-func (scheduler *Scheduler) requeue(entry *waiting) bool {
-	class := scheduler.class(entry.ask.Class)
-	entry.ask.Class = class.definition
-	return scheduler.insert(entry, class)
+// requeue queues an ask again under the present configuration. It returns false when no
+// upstream fits the ask.
+func (scheduler *Scheduler) requeue(queuedAsk *queuedAsk) bool {
+	class := scheduler.class(queuedAsk.ask.Class)
+	queuedAsk.ask.Class = class.definition
+	return scheduler.insert(queuedAsk, class)
 }
 
-// class returns what is counted of a class and takes it up if it is new.
+// class returns the state of a class and adds the class if it is new.
 func (scheduler *Scheduler) class(definition *definer.Class) *class {
 	found, ok := scheduler.classes[definition.Name()]
 	if !ok {
@@ -57,87 +58,88 @@
 }
 
 func (scheduler *Scheduler) sortClasses() {
-	scheduler.order = slices.SortedFunc(maps.Values(scheduler.classes), func(a, b *class) int {
+	scheduler.classesByTier = slices.SortedFunc(maps.Values(scheduler.classes), func(a, b *class) int {
 		return cmp.Or(cmp.Compare(a.tier(), b.tier()), cmp.Compare(a.definition.Name(), b.definition.Name()))
 	})
 }
 
-// tabulate takes up the upstreams and drops those that are gone and idle.
-func (scheduler *Scheduler) tabulate(upstreams []*definer.Upstream) {
-	for _, slots := range scheduler.table {
-		slots.present = false
+// updateUpstreams sets the configured upstreams and removes those that left the
+// configuration and have no grants.
+func (scheduler *Scheduler) updateUpstreams(upstreams []*definer.Upstream) {
+	for _, upstream := range scheduler.upstreams {
+		upstream.present = false
 	}
-	for _, upstream := range upstreams {
-		slots := scheduler.addGone(upstream.Name())
-		slots.upstream = upstream
-		slots.present = true
+	for _, definition := range upstreams {
+		upstream := scheduler.findOrAddUpstream(definition.Name())
+		upstream.definition = definition
+		upstream.present = true
 	}
-	scheduler.table = slices.DeleteFunc(scheduler.table, func(slots *slots) bool {
-		gone := !slots.present && slots.active == 0 && len(slots.paused) == 0
+	scheduler.upstreams = slices.DeleteFunc(scheduler.upstreams, func(upstream *upstream) bool {
+		gone := !upstream.present && upstream.active == 0 && len(upstream.paused) == 0
 		if gone {
-			delete(scheduler.byName, slots.name)
+			delete(scheduler.byName, upstream.name)
 		}
 		return gone
 	})
-	scheduler.renumber()
+	scheduler.reindex()
 }
 
-// addGone returns the table of an upstream and takes it up if it is unknown.
-// It takes no new work until it is configured.
-func (scheduler *Scheduler) addGone(name definer.UpstreamName) *slots {
+// findOrAddUpstream returns the state of an upstream and adds the upstream if it is
+// unknown. An added upstream gets no new requests until it is configured.
+func (scheduler *Scheduler) findOrAddUpstream(name definer.UpstreamName) *upstream {
 	found, ok := scheduler.byName[name]
 	if ok {
 		return found
 	}
-	found = &slots{name: name}
+	found = &upstream{name: name}
 	scheduler.byName[name] = found
-	scheduler.table = append(scheduler.table, found)
-	slices.SortFunc(scheduler.table, func(a, b *slots) int { return cmp.Compare(a.name, b.name) })
-	scheduler.renumber()
+	scheduler.upstreams = append(scheduler.upstreams, found)
+	slices.SortFunc(scheduler.upstreams, func(a, b *upstream) int { return cmp.Compare(a.name, b.name) })
+	scheduler.reindex()
 	return found
 }
 
-// renumber gives each upstream its bit and works out the shapes anew.
-func (scheduler *Scheduler) renumber() {
-	for position, slots := range scheduler.table {
-		slots.position = position
+// reindex assigns each upstream its bit position and rebuilds the upstream sets.
+func (scheduler *Scheduler) reindex() {
+	for position, upstream := range scheduler.upstreams {
+		upstream.position = position
 	}
-	width := (len(scheduler.table) + wordBits - 1) / wordBits
-	scheduler.ordinaryRoom = make([]uint64, width)
+	width := (len(scheduler.upstreams) + wordBits - 1) / wordBits
+	scheduler.unprotectedRoom = make([]uint64, width)
 	scheduler.protectedRoom = make([]uint64, width)
-	scheduler.whole = scheduler.newShape("", "", nil)
-	clear(scheduler.shapes)
+	scheduler.allUpstreams = scheduler.newUpstreamSet("", "", nil)
+	clear(scheduler.upstreamSets)
 	for _, lane := range scheduler.lanes {
-		lane.shape = scheduler.shape(lane.shape.model, lane.shape.excluded)
-		scheduler.shapes[lane.shape.key] = lane.shape
+		lane.upstreamSet = scheduler.upstreamSet(lane.upstreamSet.model, lane.upstreamSet.excluded)
+		scheduler.upstreamSets[lane.upstreamSet.key] = lane.upstreamSet
 	}
 }
 
-func (scheduler *Scheduler) newShape(key, model string, excluded []definer.UpstreamName) *shape {
-	var table []*slots
-	for _, slots := range scheduler.table {
-		if slots.present && !slots.upstream.Leaving() && slots.upstream.Serves(model) && !slices.Contains(excluded, slots.name) {
-			table = append(table, slots)
+func (scheduler *Scheduler) newUpstreamSet(key, model string, excluded []definer.UpstreamName) *upstreamSet {
+	var table []*upstream
+	for _, upstream := range scheduler.upstreams {
+		if upstream.present && !upstream.definition.Leaving() && upstream.definition.Serves(model) && !slices.Contains(excluded, upstream.name) {
+			table = append(table, upstream)
 		}
 	}
-	made := newShape(key, table, len(scheduler.ordinaryRoom))
+	made := newUpstreamSet(key, table, len(scheduler.unprotectedRoom))
 	made.model = model
 	made.excluded = excluded
 	return made
 }
 
-// shape returns the upstreams that fit a model and a list of exclusions.
-func (scheduler *Scheduler) shape(model string, exclude []definer.UpstreamName) *shape {
+// upstreamSet returns the set of upstreams that serve a model and are not excluded.
+func (scheduler *Scheduler) upstreamSet(model string, exclude []definer.UpstreamName) *upstreamSet {
 	excluded := slices.Compact(slices.Sorted(slices.Values(exclude)))
-	key := shapeKey(model, excluded)
-	found, ok := scheduler.shapes[key]
+	key := upstreamSetKey(model, excluded)
+	found, ok := scheduler.upstreamSets[key]
 	if ok {
 		return found
 	}
-	return scheduler.newShape(key, model, excluded)
+	return scheduler.newUpstreamSet(key, model, excluded)
 }
 
-func shapeKey(model string, excluded []definer.UpstreamName) string {
+func upstreamSetKey(model string, excluded []definer.UpstreamName) string {
 	if len(excluded) == 0 {
 		return model
 	}
@@ -150,35 +152,35 @@
 	return key.String()
 }
 
-// refresh takes up the limits of now and what follows from them.
-func (scheduler *Scheduler) refresh(now time.Time) {
-	if scheduler.poll() {
-		scheduler.settle(now)
+// refreshLimits updates the limits and, if one changed, the values derived from them.
+func (scheduler *Scheduler) refreshLimits(now time.Time) {
+	if scheduler.pollLimits() {
+		scheduler.redistribute(now)
 	}
 }
 
-// poll asks for the limits and tells whether one changed.
-func (scheduler *Scheduler) poll() bool {
+// pollLimits reads the limits from the Limiter and reports whether one changed.
+func (scheduler *Scheduler) pollLimits() bool {
 	changed := false
-	for _, slots := range scheduler.table {
-		if !slots.present {
+	for _, upstream := range scheduler.upstreams {
+		if !upstream.present {
 			continue
 		}
-		limit := min(max(scheduler.limiter.Limit(slots.upstream), 1), slots.upstream.MaxSlots())
-		changed = changed || limit != slots.limit
-		slots.limit = limit
+		limit := min(max(scheduler.limiter.Limit(upstream.definition), 1), upstream.definition.MaxSlots())
+		changed = changed || limit != upstream.limit
+		upstream.limit = limit
 	}
 	return changed
 }
 
-// settle divides the slots anew and works out the floors.
-func (scheduler *Scheduler) settle(now time.Time) {
-	reserve(scheduler.table, scheduler.protectedShare())
-	scheduler.whole.sum()
-	for _, shape := range scheduler.shapes {
-		shape.sum()
+// redistribute recomputes the protected slots, the slot sums and the floors.
+func (scheduler *Scheduler) redistribute(now time.Time) {
+	reserve(scheduler.upstreams, scheduler.protectedShare())
+	scheduler.allUpstreams.recount()
+	for _, upstreamSet := range scheduler.upstreamSets {
+		upstreamSet.recount()
 	}
-	for _, class := range scheduler.order {
+	for _, class := range scheduler.classesByTier {
 		class.accrue(now)
 		class.floor = scheduler.floor(class)
 	}
@@ -186,8 +188,8 @@
 
 // floor returns a class's floor in slots.
 func (scheduler *Scheduler) floor(class *class) float64 {
-	if !scheduler.traits.floors || class.protected() {
+	if !scheduler.features.floors || class.protected() {
 		return 0
 	}
-	return class.definition.FloorShare() * float64(scheduler.whole.ordinary)
+	return class.definition.FloorShare() * float64(scheduler.allUpstreams.unprotectedLimit)
 }
--- a/scheduler/decide.go
+++ b/scheduler/decide.go
@@ -7,36 +7,37 @@
 	"limpetcleat/messenger"
 )
 
-// Bands order what may take a free slot within one tier.
+// Bands order the candidates of one tier for a free slot.
 const (
 	protectedBand = iota
 	floorBand
 	ordinaryBand
 )
 
-// noTier ranks before every tier.
+// noTier sorts before every tier.
 const noTier = -1
 
-// candidate is what may take a free slot next: the head of a lane, or a paused
+// candidate is a candidate for a free slot: the first ask of a lane, or a paused
 // grant.
 type candidate struct {
-	// tier and band come first; in the floor band, turn and use decide next.
+	// Candidates are ordered by tier and band, and within the floor band by floorUse
+	// and lastGrant.
 	tier int
 	band int
-	// use is the part of its floor that the class uses.
-	use float64
-	// turn is the number of the class's last grant.
-	turn uint64
-	// lane is nil for a paused grant, grant for a waiting ask.
+	// floorUse is the part of its floor that the class uses.
+	floorUse float64
+	// lastGrant is the sequence number of the class's last grant.
+	lastGrant uint64
+	// lane is nil for a paused grant; grant is nil for a waiting ask.
 	lane  *lane
 	grant *grant
 }
 
-// before tells whether the candidate gets a slot that both could use.
+// before reports whether the candidate gets a slot that both could use.
 func (candidate candidate) before(other candidate) bool {
 	order := cmp.Or(cmp.Compare(candidate.tier, other.tier), cmp.Compare(candidate.band, other.band))
 	if order == 0 && candidate.band == floorBand {
-		order = cmp.Or(cmp.Compare(candidate.use, other.use), cmp.Compare(candidate.turn, other.turn))
+		order = cmp.Or(cmp.Compare(candidate.floorUse, other.floorUse), cmp.Compare(candidate.lastGrant, other.lastGrant))
 	}
 	if order != 0 {
 		return order < 0
@@ -47,16 +48,17 @@
 	return candidate.lane.flows.first().before(other.lane.flows.first())
 }
 
-// decide fills the free slots, pauses lower work for what still waits, refuses
-// what is then due, and returns the decisions. An ask at its longest wait still
-// gets a slot that is free by now; one past its deadline does not.
+// decide fills the free slots, pauses lower work for the asks that still wait, refuses
+// the asks that have then expired, and returns the decisions. An ask that has reached
+// its longest wait still gets a slot that is free now; an ask past its deadline does
+// not.
 func (scheduler *Scheduler) decide(now time.Time) []Decision {
 	decisions := scheduler.pending
 	scheduler.pending = nil
-	for _, slots := range scheduler.table {
-		slots.breaker.wake(now)
-		slots.refill(now)
-		slots.wake(now)
+	for _, upstream := range scheduler.upstreams {
+		upstream.breaker.update(now)
+		upstream.updateRate(now)
+		upstream.updateBackoff(now)
 	}
 	for {
 		next, ok := scheduler.next(now)
@@ -67,57 +69,58 @@
 			scheduler.resume(now, next.grant)
 			continue
 		}
-		if head := next.lane.head(); head.hopeless(now) {
+		if head := next.lane.head(); head.deadlinePassed(now) {
 			decisions = append(decisions, scheduler.refuse(now, head, messenger.DeadlineMissed))
 			continue
 		}
 		decisions = append(decisions, scheduler.issue(now, next.lane.head(), scheduler.choose(next.lane)))
 	}
 	decisions = append(decisions, scheduler.preempt(now)...)
-	decisions = append(decisions, scheduler.overdue(now)...)
+	decisions = append(decisions, scheduler.refuseOverdue(now)...)
 	return decisions
 }
 
-// overdue refuses the asks whose longest wait or deadline has come.
-func (scheduler *Scheduler) overdue(now time.Time) []Decision {
+// refuseOverdue refuses the asks whose longest wait or deadline has passed.
+func (scheduler *Scheduler) refuseOverdue(now time.Time) []Decision {
 	var decisions []Decision
-	for scheduler.due.len() > 0 && scheduler.due.first().due.Before(now) {
-		entry := scheduler.due.first()
-		decisions = append(decisions, scheduler.refuse(now, entry, entry.reason))
+	for scheduler.byExpiry.len() > 0 && scheduler.byExpiry.first().expiresAt.Before(now) {
+		queuedAsk := scheduler.byExpiry.first()
+		decisions = append(decisions, scheduler.refuse(now, queuedAsk, queuedAsk.reason))
 	}
 	return decisions
 }
 
-// survey finds the upstreams with room.
-func (scheduler *Scheduler) survey() (any bool) {
-	clear(scheduler.ordinaryRoom)
+// findRoom updates the masks of upstreams with room and reports whether there are any.
+func (scheduler *Scheduler) findRoom() (any bool) {
+	clear(scheduler.unprotectedRoom)
 	clear(scheduler.protectedRoom)
-	for _, slots := range scheduler.table {
-		if !slots.room(true) {
+	for _, upstream := range scheduler.upstreams {
+		if !upstream.hasRoom(true) {
 			continue
 		}
 		any = true
-		word, bit := slots.position/wordBits, uint64(1)<<(slots.position%wordBits)
+		word, bit := upstream.position/wordBits, uint64(1)<<(upstream.position%wordBits)
 		scheduler.protectedRoom[word] |= bit
-		if slots.room(false) {
-			scheduler.ordinaryRoom[word] |= bit
+		if upstream.hasRoom(false) {
+			scheduler.unprotectedRoom[word] |= bit
 		}
 	}
 	return any
 }
 
-// roomFor returns the upstreams with room for the class, as of the last survey.
+// roomFor returns the mask of upstreams with room for the class, as of the last call
+// of findRoom.
 func (scheduler *Scheduler) roomFor(class *class) []uint64 {
-	if class.protected() && scheduler.traits.protection {
+	if class.protected() && scheduler.features.protection {
 		return scheduler.protectedRoom
 	}
-	return scheduler.ordinaryRoom
+	return scheduler.unprotectedRoom
 }
 
-// next returns the first candidate that some upstream has room for.
+// next returns the first candidate for which an upstream has room.
 func (scheduler *Scheduler) next(now time.Time) (candidate, bool) {
 	var best candidate
-	if !scheduler.survey() {
+	if !scheduler.findRoom() {
 		return best, false
 	}
 	found := false
@@ -127,13 +130,13 @@
 		}
 	}
 	for _, lane := range scheduler.lanes {
-		if lane.count > 0 && lane.shape.meets(scheduler.roomFor(lane.class)) {
+		if lane.count > 0 && lane.upstreamSet.intersects(scheduler.roomFor(lane.class)) {
 			consider(scheduler.rank(now, lane.class, candidate{lane: lane}))
 		}
 	}
-	for _, slots := range scheduler.table {
-		if slots.resumable() {
-			for _, grant := range slots.paused {
+	for _, upstream := range scheduler.upstreams {
+		if upstream.resumable() {
+			for _, grant := range upstream.paused {
 				consider(scheduler.rank(now, grant.class, candidate{grant: grant}))
 			}
 		}
@@ -141,35 +144,36 @@
 	return best, found
 }
 
-// rank places a candidate: protected classes first in their tier; a class below
-// its floor ahead of all tiers that no protected ask of its own tier or a
-// higher one waits in; the others by tier.
+// rank sets the tier and band of a candidate. Protected classes come first in their
+// tier. A class below its floor comes right after the lowest tier, down to its own, in
+// which a protected ask waits, or before all tiers if there is none. All other classes
+// are ordered by tier.
 func (scheduler *Scheduler) rank(now time.Time, class *class, candidate candidate) candidate {
 	candidate.tier = scheduler.tierOf(class)
 	candidate.band = ordinaryBand
-	if scheduler.traits.protection && class.protected() {
+	if scheduler.features.protection && class.protected() {
 		candidate.band = protectedBand
 		return candidate
 	}
 	class.accrue(now)
-	if !scheduler.traits.floors || !class.belowFloor() {
+	if !scheduler.features.floors || !class.belowFloor() {
 		return candidate
 	}
 	candidate.band = floorBand
-	candidate.use = float64(class.active) / class.floor
-	candidate.turn = class.turn
-	candidate.tier = scheduler.lastProtected(candidate.tier)
+	candidate.floorUse = float64(class.active) / class.floor
+	candidate.lastGrant = class.lastGrant
+	candidate.tier = scheduler.lowestProtectedTier(candidate.tier)
 	return candidate
 }
 
-// lastProtected returns the lowest tier down to the given one in which a
+// lowestProtectedTier returns the lowest tier, down to the given one, in which a
 // protected ask waits, or noTier.
-func (scheduler *Scheduler) lastProtected(tier int) int {
+func (scheduler *Scheduler) lowestProtectedTier(tier int) int {
 	last := noTier
-	if !scheduler.traits.protection {
+	if !scheduler.features.protection {
 		return last
 	}
-	for _, class := range scheduler.order {
+	for _, class := range scheduler.classesByTier {
 		if class.waiting > 0 && class.protected() && class.tier() <= tier {
 			last = class.tier()
 		}
--- a/scheduler/doc.go
+++ b/scheduler/doc.go
@@ -1,4 +1,5 @@
-// Package scheduler decides which waiting request gets which slot of a shard's
-// upstreams. It is free of input, output, clocks and goroutines: asks, releases
-// and times go in, decisions come out.
+// Package scheduler assigns the concurrency slots of a shard's upstreams to queued
+// requests by priority tiers, weighted fair shares and reserved minimum shares. It
+// is a deterministic state machine without input, output, clocks or goroutines: the
+// caller passes in events and the current time, and gets decisions back.
 package scheduler
--- a/scheduler/driver_test.go
+++ b/scheduler/driver_test.go
@@ -10,7 +10,7 @@
 	"limpetcleat/messenger"
 )
 
-// steppedLimiter gives limits that the test changes.
+// steppedLimiter is a Limiter whose limits the test changes.
 type steppedLimiter struct{ limits map[definer.UpstreamName]int }
 
 func (limiter steppedLimiter) Limit(upstream *definer.Upstream) int {
@@ -23,16 +23,16 @@
 func (steppedLimiter) Observe(time.Time, *definer.Upstream, *definer.Class, messenger.Observation) {
 }
 
-// driver makes random steps.
+// driver makes random calls to a scheduler and checks the decisions.
 type driver struct {
-	*ledger
-	t       testing.TB
-	setting setting
-	limiter steppedLimiter
-	classes []*definer.Class
-	now     time.Time
-	asked   int
-	adopted int
+	*checker
+	t           testing.TB
+	poolSetting poolSetting
+	limiter     steppedLimiter
+	classes     []*definer.Class
+	now         time.Time
+	asked       int
+	adopted     int
 }
 
 func newDriver(t testing.TB, change func(*Scheduler)) *driver {
@@ -40,26 +40,26 @@
 	made := New(messenger.Shard{Pool: "shared"}, definer.Member{VM: "vm1", Incarnation: 1}, WithLimiter(limiter))
 	change(made)
 	driver := &driver{
-		ledger: newLedger(made), t: t, limiter: limiter, now: start(),
-		setting: setting{upstreams: 5, slots: 3, share: 0.2, leaving: make(map[int]bool), gone: make(map[int]bool), classes: impatient()},
+		checker: newChecker(made), t: t, limiter: limiter, now: start(),
+		poolSetting: poolSetting{upstreams: 5, slots: 3, protectedShare: 0.2, leaving: make(map[int]bool), gone: make(map[int]bool), classes: shortWaitClasses()},
 	}
 	driver.configure()
 	return driver
 }
 
 func (driver *driver) configure() {
-	pool, classes := driver.setting.build(driver.t)
+	pool, classes := driver.poolSetting.build(driver.t)
 	driver.classes = classes
-	driver.take(driver.now, driver.scheduler.Expire(driver.now))
+	driver.check(driver.now, driver.scheduler.Expire(driver.now))
 	driver.scheduler.Adjust(pool)
-	driver.take(driver.now, driver.scheduler.Configure(driver.now, pool.Upstreams(), classes))
+	driver.check(driver.now, driver.scheduler.Configure(driver.now, pool.Upstreams(), classes))
 }
 
-// step does one thing chosen by draw, which returns a number below its bound.
+// step makes one random call; draw returns a number from 0 up to below its argument.
 func (driver *driver) step(draw func(int) int) {
 	clear(driver.paused)
-	for _, slots := range driver.scheduler.table {
-		for _, grant := range slots.paused {
+	for _, upstream := range driver.scheduler.upstreams {
+		for _, grant := range upstream.paused {
 			driver.paused[grant.id] = true
 		}
 	}
@@ -70,7 +70,7 @@
 	case choice < 880:
 		driver.release(draw)
 	case choice < 930:
-		driver.take(driver.now, driver.scheduler.Expire(driver.now))
+		driver.check(driver.now, driver.scheduler.Expire(driver.now))
 	case choice < 960:
 		driver.withdraw(draw)
 	case choice < 985:
@@ -84,18 +84,18 @@
 	}
 }
 
-// reconfigure lets at most one upstream leave and one be gone, and changes a
-// class and the protected share.
+// reconfigure marks at most one upstream as leaving, removes at most one, and changes
+// classes and the protected share.
 func (driver *driver) reconfigure(draw func(int) int) {
-	clear(driver.setting.leaving)
-	clear(driver.setting.gone)
-	driver.setting.leaving[draw(7)] = true
-	driver.setting.gone[draw(7)] = true
-	driver.setting.share = float64(draw(4)) / 10
-	driver.setting.classes = impatient()
-	driver.setting.classes[2].Preemptible = draw(2) == 0
-	driver.setting.classes[4].FloorShare = float64(draw(4)) / 10
-	driver.setting.classes[3].Tier = 2 + draw(3)
+	clear(driver.poolSetting.leaving)
+	clear(driver.poolSetting.gone)
+	driver.poolSetting.leaving[draw(7)] = true
+	driver.poolSetting.gone[draw(7)] = true
+	driver.poolSetting.protectedShare = float64(draw(4)) / 10
+	driver.poolSetting.classes = shortWaitClasses()
+	driver.poolSetting.classes[2].Preemptible = draw(2) == 0
+	driver.poolSetting.classes[4].FloorShare = float64(draw(4)) / 10
+	driver.poolSetting.classes[3].Tier = 2 + draw(3)
 	driver.configure()
 }
 
@@ -113,7 +113,7 @@
 		ask.Exclude = []definer.UpstreamName{definer.UpstreamName(fmt.Sprintf("runner%02d", draw(5)))}
 	}
 	driver.open[ask.Request] = &record{ask: ask}
-	driver.take(driver.now, driver.scheduler.Ask(driver.now, ask))
+	driver.check(driver.now, driver.scheduler.Ask(driver.now, ask))
 }
 
 // pick returns a random running grant without walking a map.
@@ -131,7 +131,7 @@
 }
 
 func (driver *driver) release(draw func(int) int) {
-	// Now and then all upstreams hang, so that the expected waits are wrong.
+	// For 12 of every 100 s all upstreams hang, so that the expected waits are wrong.
 	if driver.now.Unix()%100 < 12 {
 		return
 	}
@@ -141,9 +141,9 @@
 	}
 	delete(driver.running, id)
 	observation := messenger.Observation{Tokens: 1 + draw(600), Total: time.Second, Failed: draw(20) == 0}
-	driver.take(driver.now, driver.scheduler.Release(driver.now, id, observation))
+	driver.check(driver.now, driver.scheduler.Release(driver.now, id, observation))
 	if again := driver.scheduler.Release(driver.now, id, observation); len(again) != 0 {
-		driver.fault("a second release of %s did something", id)
+		driver.fault("the second release of %s returned decisions", id)
 	}
 }
 
@@ -155,12 +155,12 @@
 			delete(driver.running, id)
 		}
 	}
-	driver.take(driver.now, driver.scheduler.Withdraw(driver.now, request))
+	driver.check(driver.now, driver.scheduler.Withdraw(driver.now, request))
 }
 
 func (driver *driver) adopt(draw func(int) int) {
-	// What is due by now is decided before the change, so check it before.
-	driver.take(driver.now, driver.scheduler.Expire(driver.now))
+	// Adopt refuses expired asks first, so check those refusals before the change.
+	driver.check(driver.now, driver.scheduler.Expire(driver.now))
 	driver.adopted++
 	id := definer.GrantID(fmt.Sprint("old", driver.adopted))
 	class, member := driver.classes[draw(5)], definer.Member{VM: definer.VM(fmt.Sprint("vm", draw(3)))}
@@ -173,7 +173,7 @@
 			Upstream: upstream, Age: time.Second,
 		})
 	}
-	driver.take(driver.now, driver.scheduler.Expire(driver.now))
+	driver.check(driver.now, driver.scheduler.Expire(driver.now))
 }
 
 func (driver *driver) forget(draw func(int) int) {
@@ -188,7 +188,7 @@
 			delete(driver.running, id)
 		}
 	}
-	driver.take(driver.now, driver.scheduler.Forget(driver.now, member))
+	driver.check(driver.now, driver.scheduler.Forget(driver.now, member))
 }
 
 func seeded(seed uint64) func(int) int {
--- a/scheduler/estimator.go
+++ b/scheduler/estimator.go
@@ -6,33 +6,34 @@
 	"limpetcleat/definer"
 )
 
-// Estimator foretells how many tokens a request will produce.
+// Estimator predicts how many tokens a request will produce.
 type Estimator interface {
 	// Output returns the expected number of output tokens.
 	Output(class definer.ClassName, model string) float64
-	// Remainder returns how many more tokens to expect after those produced.
+	// Remainder returns the expected number of further output tokens of a request
+	// that has produced the given number.
 	Remainder(class definer.ClassName, model string, produced int) float64
-	// Learn takes in the length of one finished answer.
+	// Learn records the length of one finished answer, in tokens.
 	Learn(now time.Time, class definer.ClassName, model string, tokens int)
 }
 
-// usualOutput is what the fixed estimator expects of every request, in tokens.
-const usualOutput = 256
+// defaultOutput is the output that fixedEstimator expects of every request, in tokens.
+const defaultOutput = 256
 
-// fixedEstimator expects the same of every request.
+// fixedEstimator expects the same output of every request.
 type fixedEstimator struct{}
 
-// Output returns the usual output.
-func (fixedEstimator) Output(definer.ClassName, string) float64 { return usualOutput }
+// Output returns defaultOutput.
+func (fixedEstimator) Output(definer.ClassName, string) float64 { return defaultOutput }
 
-// Remainder returns what is missing to the usual output, or as much again as
-// was produced when that is passed.
+// Remainder returns the difference to defaultOutput, or the number of tokens produced
+// once defaultOutput is reached.
 func (fixedEstimator) Remainder(_ definer.ClassName, _ string, produced int) float64 {
-	if produced < usualOutput {
-		return float64(usualOutput - produced)
+	if produced < defaultOutput {
+		return float64(defaultOutput - produced)
 	}
 	return float64(produced)
 }
 
-// Learn learns nothing.
+// Learn does nothing.
 func (fixedEstimator) Learn(time.Time, definer.ClassName, string, int) {}
--- a/scheduler/grant.go
+++ b/scheduler/grant.go
@@ -10,45 +10,46 @@
 
 // grant is one slot in use.
 type grant struct {
-	id      definer.GrantID
-	ask     Ask
-	class   *class
-	tier    *tier
-	account *account
-	slots   *slots
-	since   time.Time
-	// cost is the expected work that was charged for it, in tokens.
+	id        definer.GrantID
+	ask       Ask
+	class     *class
+	tier      *tier
+	account   *account
+	upstream  *upstream
+	startedAt time.Time
+	// cost is the expected work charged for the grant, in tokens.
 	cost float64
-	// sequence orders grants of one instant.
+	// sequence orders grants that started at the same time.
 	sequence uint64
-	// priority is what the engine was told; it never changes.
+	// priority is the priority sent to the engine; it never changes.
 	priority int
-	// pinned says that it is part of its class's floor; it is settled whenever
-	// the grant starts or goes on. The engine knows it by the priority if it was
-	// so from the start.
+	// pinned reports whether the grant belongs to the floor of its class; it is set
+	// each time the grant starts or resumes. The priority shows it to the engine only
+	// if the grant was pinned when it started.
 	pinned bool
-	// preemptible says that the engine may pause it; it never changes.
+	// preemptible reports whether the engine may pause the grant; it never changes.
 	preemptible bool
-	// protected says which slots it counts against; it never changes.
+	// protected reports whether the grant may use protected slots; it never changes.
 	protected bool
-	// adopted says that another owner made it.
+	// adopted reports whether another owner made the grant.
 	adopted bool
-	// paused says that a higher grant has its slot.
+	// paused reports whether a more urgent grant has taken the slot.
 	paused bool
-	// pausedAt is when it was paused last; pausedFor how long in all before.
+	// pausedAt is the start of the last pause; pausedFor is the total time of the
+	// pauses that have ended.
 	pausedAt  time.Time
 	pausedFor time.Duration
 }
 
-// pin makes a grant that is about to run part of its class's floor, if that is
-// not full.
+// pin sets pinned for a grant that is about to run, if the floor of its class has
+// room.
 func (grant *grant) pin(now time.Time) {
 	grant.class.accrue(now)
 	grant.pinned = grant.preemptible && grant.class.mayPin()
 }
 
 func compareGrants(a, b *grant) int {
-	return cmp.Or(a.since.Compare(b.since), cmp.Compare(a.sequence, b.sequence))
+	return cmp.Or(a.startedAt.Compare(b.startedAt), cmp.Compare(a.sequence, b.sequence))
 }
 
 func insertGrant(grants []*grant, grant *grant) []*grant {
@@ -63,13 +64,13 @@
 	return grants
 }
 
-// isGrant returns a test for the grant.
+// isGrant returns a predicate that matches only the wanted grant.
 func isGrant(wanted *grant) func(*grant) bool {
 	return func(other *grant) bool { return other == wanted }
 }
 
-// compareUrgency puts what an engine pauses first last: of the least urgent
-// priority, the youngest.
+// compareUrgency orders grants so that the one an engine pauses first, the youngest of
+// the least urgent priority, comes last.
 func compareUrgency(a, b *grant) int {
 	return cmp.Or(cmp.Compare(a.priority, b.priority), compareGrants(a, b))
 }
--- a/scheduler/heap.go
+++ b/scheduler/heap.go
@@ -1,18 +1,18 @@
 package scheduler
 
-// ordered is an element of a heap. An element stands in at most one heap.
-type ordered[T any] interface {
+// heapElement is an element of a heap. An element is in at most one heap.
+type heapElement[T any] interface {
 	comparable
-	// before tells whether the element leaves the heap first; it must be a
-	// strict total order.
+	// before reports whether the element leaves the heap before the other; it must be
+	// a strict total order.
 	before(other T) bool
-	// place is where the heap keeps the element's index.
-	place() *int
+	// indexPointer returns the variable in which the heap stores the element's index.
+	indexPointer() *int
 }
 
 // heap is a binary heap that can remove and move any of its elements.
-type heap[T ordered[T]] struct {
-	// elements satisfies the heap order; each element's place is its index.
+type heap[T heapElement[T]] struct {
+	// elements satisfies the heap order; each element stores its index in the slice.
 	elements []T
 }
 
@@ -22,13 +22,13 @@
 func (heap *heap[T]) first() T { return heap.elements[0] }
 
 func (heap *heap[T]) push(element T) {
-	*element.place() = len(heap.elements)
+	*element.indexPointer() = len(heap.elements)
 	heap.elements = append(heap.elements, element)
 	heap.up(len(heap.elements) - 1)
 }
 
 func (heap *heap[T]) remove(element T) {
-	index := *element.place()
+	index := *element.indexPointer()
 	last := len(heap.elements) - 1
 	heap.swap(index, last)
 	var none T
@@ -39,9 +39,9 @@
 	}
 }
 
-// fix restores the order after the element's key changed.
+// fix restores the heap order after the key of an element changed.
 func (heap *heap[T]) fix(element T) {
-	index := *element.place()
+	index := *element.indexPointer()
 	if !heap.down(index) {
 		heap.up(index)
 	}
@@ -49,8 +49,8 @@
 
 func (heap *heap[T]) swap(a, b int) {
 	heap.elements[a], heap.elements[b] = heap.elements[b], heap.elements[a]
-	*heap.elements[a].place() = a
-	*heap.elements[b].place() = b
+	*heap.elements[a].indexPointer() = a
+	*heap.elements[b].indexPointer() = b
 }
 
 func (heap *heap[T]) up(index int) {
--- a/scheduler/lane.go
+++ b/scheduler/lane.go
@@ -9,101 +9,101 @@
 	"limpetcleat/messenger"
 )
 
-// waiting is one ask in the queue.
-type waiting struct {
+// queuedAsk is one ask in the queue.
+type queuedAsk struct {
 	ask Ask
 	// cost is the expected work, in tokens.
 	cost float64
-	// came is when this scheduler took the ask in.
-	came time.Time
-	// due is the instant after which the ask is refused.
-	due time.Time
-	// reason is why it is refused once it is due.
+	// enqueuedAt is when this scheduler queued the ask.
+	enqueuedAt time.Time
+	// expiresAt is the time after which the ask is refused.
+	expiresAt time.Time
+	// reason is the reason of the refusal after expiresAt.
 	reason messenger.RefusalReason
-	// rank orders the asks of one organisation: the earliest goes first.
-	rank time.Time
-	// sequence is the order in which asks came to this scheduler.
+	// sortTime orders the asks of one organisation: the earliest goes first.
+	sortTime time.Time
+	// sequence numbers the asks in the order in which this scheduler queued them.
 	sequence uint64
 	flow     *flow
-	// index is the place in the scheduler's heap of due times.
+	// index is the position in Scheduler.byExpiry.
 	index int
 }
 
-func (waiting *waiting) place() *int { return &waiting.index }
+func (queuedAsk *queuedAsk) indexPointer() *int { return &queuedAsk.index }
 
-func (waiting *waiting) before(other *waiting) bool {
-	return cmp.Or(waiting.due.Compare(other.due), cmp.Compare(waiting.sequence, other.sequence)) < 0
+func (queuedAsk *queuedAsk) before(other *queuedAsk) bool {
+	return cmp.Or(queuedAsk.expiresAt.Compare(other.expiresAt), cmp.Compare(queuedAsk.sequence, other.sequence)) < 0
 }
 
-// hopeless tells whether the deadline has passed.
-func (waiting *waiting) hopeless(now time.Time) bool {
-	return !waiting.ask.Deadline.IsZero() && waiting.ask.Deadline.Before(now)
+// deadlinePassed reports whether the ask has a deadline that has passed.
+func (queuedAsk *queuedAsk) deadlinePassed(now time.Time) bool {
+	return !queuedAsk.ask.Deadline.IsZero() && queuedAsk.ask.Deadline.Before(now)
 }
 
 // flow holds the asks of one organisation in one lane.
 type flow struct {
 	account *account
 	lane    *lane
-	// asks are sorted: the earliest rank first, then by arrival.
-	asks  []*waiting
+	// asks is sorted by sortTime, then by arrival.
+	asks  []*queuedAsk
 	cost  float64
 	index int
 }
 
-func (flow *flow) place() *int { return &flow.index }
+func (flow *flow) indexPointer() *int { return &flow.index }
 
 func (flow *flow) before(other *flow) bool {
 	if flow.account.counter != other.account.counter {
 		return flow.account.counter < other.account.counter
 	}
-	return compareWaiting(flow.asks[0], other.asks[0]) < 0
+	return compareQueued(flow.asks[0], other.asks[0]) < 0
 }
 
 // lane holds the waiting asks of one class that fit the same upstreams.
 type lane struct {
-	class *class
-	shape *shape
-	tier  *tier
+	class       *class
+	upstreamSet *upstreamSet
+	tier        *tier
 	// flows holds exactly the organisations with an ask in this lane.
 	flows heap[*flow]
-	// byOrganisation holds the same flows.
+	// byOrganisation indexes flows by organisation.
 	byOrganisation map[definer.OrganisationName]*flow
-	// cost is the waiting work, in tokens.
+	// cost is the expected work of the waiting asks, in tokens.
 	cost float64
 	// count is the number of waiting asks.
 	count int
 }
 
-func (lane *lane) head() *waiting { return lane.flows.first().asks[0] }
+func (lane *lane) head() *queuedAsk { return lane.flows.first().asks[0] }
 
-func (lane *lane) add(entry *waiting, account *account) {
+func (lane *lane) add(queuedAsk *queuedAsk, account *account) {
 	found, ok := lane.byOrganisation[account.organisation]
 	if !ok {
 		found = &flow{account: account, lane: lane}
 		lane.byOrganisation[account.organisation] = found
 	}
-	entry.flow = found
-	at, _ := slices.BinarySearchFunc(found.asks, entry, compareWaiting)
-	found.asks = slices.Insert(found.asks, at, entry)
-	lane.adjust(found, entry.cost, 1)
+	queuedAsk.flow = found
+	at, _ := slices.BinarySearchFunc(found.asks, queuedAsk, compareQueued)
+	found.asks = slices.Insert(found.asks, at, queuedAsk)
+	lane.adjust(found, queuedAsk.cost, 1)
 	if ok {
 		lane.flows.fix(found)
 		return
 	}
 	if len(account.flows) == 0 {
-		lane.tier.start(account)
+		lane.tier.activate(account)
 	}
 	account.flows = append(account.flows, found)
 	lane.flows.push(found)
 }
 
-func (lane *lane) remove(entry *waiting) {
-	held := entry.flow
-	at, found := slices.BinarySearchFunc(held.asks, entry, compareWaiting)
+func (lane *lane) remove(queuedAsk *queuedAsk) {
+	held := queuedAsk.flow
+	at, found := slices.BinarySearchFunc(held.asks, queuedAsk, compareQueued)
 	if !found {
 		return
 	}
-	lane.adjust(held, -entry.cost, -1)
+	lane.adjust(held, -queuedAsk.cost, -1)
 	if len(held.asks) > 1 {
 		held.asks = slices.Delete(held.asks, at, at+1)
 		lane.flows.fix(held)
@@ -115,7 +115,7 @@
 	delete(lane.byOrganisation, account.organisation)
 	account.flows = slices.DeleteFunc(account.flows, func(other *flow) bool { return other == held })
 	if len(account.flows) == 0 {
-		lane.tier.stop(account)
+		lane.tier.deactivate(account)
 	}
 }
 
@@ -129,7 +129,7 @@
 }
 
 // last returns the ask that would be served last.
-func (lane *lane) last() *waiting {
+func (lane *lane) last() *queuedAsk {
 	worst := lane.flows.first()
 	for _, flow := range lane.flows.elements {
 		if worst.before(flow) {
@@ -139,6 +139,6 @@
 	return worst.asks[len(worst.asks)-1]
 }
 
-func compareWaiting(a, b *waiting) int {
-	return cmp.Or(a.rank.Compare(b.rank), a.ask.Arrival.Compare(b.ask.Arrival), cmp.Compare(a.sequence, b.sequence))
+func compareQueued(a, b *queuedAsk) int {
+	return cmp.Or(a.sortTime.Compare(b.sortTime), a.ask.Arrival.Compare(b.ask.Arrival), cmp.Compare(a.sequence, b.sequence))
 }
--- a/scheduler/limit.go
+++ b/scheduler/limit.go
@@ -10,50 +10,50 @@
 )
 
 const (
-	// permitBurst is the time for which requests that an upstream with a limit did not get
-	// are kept, and leastBurst how many are at least.
-	permitBurst = 250 * time.Millisecond
-	leastBurst  = 2
-	// leastPerSecond is the least rate at which an upstream is asked: one that takes nothing
-	// would otherwise never be heard to take something again.
-	leastPerSecond = 0.2
-	// mostPerSecond bounds limits to what can be counted.
-	mostPerSecond = 1e6
+	// burstWindow is the time over which the unused requests of a rate limit accumulate into
+	// the burst size; minBurst is the smallest burst size.
+	burstWindow = 250 * time.Millisecond
+	minBurst    = 2
+	// minPerSecond is the lowest rate at which an upstream gets requests: an upstream with a
+	// limit of 0 could otherwise never announce a higher limit.
+	minPerSecond = 0.2
+	// maxPerSecond bounds limits to values that the rate limiter can count.
+	maxPerSecond = 1e6
 )
 
-// SetLimit bounds how many requests a second an upstream gets, and returns what can now be
-// decided. Those of a limit that is new are counted from now on: another scheduler may have
-// granted all before.
+// SetLimit sets the rate limit of an upstream, in requests per second, and returns the
+// decisions that are now possible. It ignores an unknown upstream. A new limit starts with no
+// accumulated requests: another scheduler may have granted all of them already.
 func (scheduler *Scheduler) SetLimit(now time.Time, name definer.UpstreamName, limit definer.RateLimit) []Decision {
-	slots, known := scheduler.byName[name]
+	upstream, known := scheduler.byName[name]
 	if !known {
 		return nil
 	}
 	perSecond, limited := limit.PerSecond()
 	if !limited {
-		slots.permits = nil
+		upstream.rateLimiter = nil
 		return scheduler.decide(now)
 	}
-	bounded := min(max(perSecond, leastPerSecond), mostPerSecond)
-	burst := max(leastBurst, int(math.Ceil(bounded*permitBurst.Seconds())))
-	if slots.permits == nil {
-		slots.permits = rate.NewLimiter(rate.Limit(bounded), burst)
-		slots.permits.AllowN(now, burst)
+	bounded := min(max(perSecond, minPerSecond), maxPerSecond)
+	burst := max(minBurst, int(math.Ceil(bounded*burstWindow.Seconds())))
+	if upstream.rateLimiter == nil {
+		upstream.rateLimiter = rate.NewLimiter(rate.Limit(bounded), burst)
+		upstream.rateLimiter.AllowN(now, burst)
 	}
-	slots.permits.SetLimitAt(now, rate.Limit(bounded))
-	slots.permits.SetBurstAt(now, burst)
+	upstream.rateLimiter.SetLimitAt(now, rate.Limit(bounded))
+	upstream.rateLimiter.SetBurstAt(now, burst)
 	return scheduler.decide(now)
 }
 
-// refill takes up what the limit allows by now.
-func (slots *slots) refill(now time.Time) {
-	slots.spent = slots.permits != nil && slots.permits.TokensAt(now) < 1
+// updateRate sets rateExhausted to whether the limit allows no request now.
+func (upstream *upstream) updateRate(now time.Time) {
+	upstream.rateExhausted = upstream.rateLimiter != nil && upstream.rateLimiter.TokensAt(now) < 1
 }
 
-// spend counts a request.
-func (slots *slots) spend(now time.Time) {
-	if slots.permits != nil {
-		slots.permits.AllowN(now, 1)
-		slots.refill(now)
+// consumePermit counts one request against the rate limit.
+func (upstream *upstream) consumePermit(now time.Time) {
+	if upstream.rateLimiter != nil {
+		upstream.rateLimiter.AllowN(now, 1)
+		upstream.updateRate(now)
 	}
 }
--- a/scheduler/limit_test.go
+++ b/scheduler/limit_test.go
@@ -12,77 +12,77 @@
 	"limpetcleat/standin/measurer"
 )
 
-// TestGrantsKeepToAnUpstreamsLimit holds that an upstream gets no more grants a second than it
-// takes, protected ones and those that would pause others among them, and that most of what it
-// takes is granted.
+// TestGrantsKeepToAnUpstreamsLimit checks that an upstream gets no more grants per second than
+// its rate limit allows, protected and preempting ones included, and that most of the rate is
+// used.
 func TestGrantsKeepToAnUpstreamsLimit(t *testing.T) {
 	const span, step = 40 * time.Second, 10 * time.Millisecond
 	for _, perSecond := range []float64{0.5, 3, 20} {
 		t.Run(fmt.Sprint(perSecond), func(t *testing.T) {
-			bench := newBench(t, setting{upstreams: 1, slots: 50})
-			name := bench.table[0].name
-			bench.SetLimit(bench.now, name, definer.LimitTo(perSecond))
+			harness := newHarness(t, poolSetting{upstreams: 1, slots: 50})
+			name := harness.upstreams[0].name
+			harness.SetLimit(harness.now, name, definer.LimitTo(perSecond))
 			var granted []time.Time
 			take := func(decisions []Decision) {
 				for _, decision := range decisions {
 					if decision.Granted() {
-						granted = append(granted, bench.now)
-						bench.Release(bench.now, decision.Grant, messenger.Observation{Tokens: 100, Total: time.Second})
+						granted = append(granted, harness.now)
+						harness.Release(harness.now, decision.Grant, messenger.Observation{Tokens: 100, Total: time.Second})
 					}
 				}
 			}
 			classes := []definer.ClassName{"confirm", "counter", "draft", "proposal", "digest"}
-			for count := 0; bench.now.Before(start().Add(span)); count++ {
-				bench.now = bench.now.Add(step)
-				take(bench.ask(classes[count%len(classes)], nil))
-				take(bench.Expire(bench.now))
+			for count := 0; harness.now.Before(start().Add(span)); count++ {
+				harness.now = harness.now.Add(step)
+				take(harness.ask(classes[count%len(classes)], nil))
+				take(harness.Expire(harness.now))
 			}
 			most := measurer.Busiest(granted, 4*time.Second)
-			assert.Assert(t, float64(most) <= perSecond*4+max(leastBurst, perSecond/4+1)+1, "%d in 4 s", most)
+			assert.Assert(t, float64(most) <= perSecond*4+max(minBurst, perSecond/4+1)+1, "%d in 4 s", most)
 			assert.Assert(t, float64(len(granted)) >= 0.8*perSecond*span.Seconds()-1, "%d granted", len(granted))
 		})
 	}
 }
 
-// TestALimitIsLiftedAndLowered holds that a change counts at once.
+// TestALimitIsLiftedAndLowered checks that a change of a rate limit takes effect at once.
 func TestALimitIsLiftedAndLowered(t *testing.T) {
-	bench := newBench(t, setting{upstreams: 2, slots: 3})
-	limited := bench.table[0].name
-	bench.SetLimit(bench.now, limited, definer.LimitTo(0))
+	harness := newHarness(t, poolSetting{upstreams: 2, slots: 3})
+	limited := harness.upstreams[0].name
+	harness.SetLimit(harness.now, limited, definer.LimitTo(0))
 	for range 3 {
-		decisions := bench.ask("draft", nil)
+		decisions := harness.ask("draft", nil)
 		assert.Equal(t, len(decisions), 1)
-		assert.Assert(t, decisions[0].Upstream != limited, "it takes nothing")
+		assert.Assert(t, decisions[0].Upstream != limited, "granted a slot of an upstream whose rate limit is 0")
 	}
-	assert.Equal(t, len(bench.ask("draft", nil)), 0)
-	decisions := bench.SetLimit(bench.now, limited, definer.RateLimit{})
-	assert.Equal(t, len(decisions), 1, "the one that waits is granted as the limit is lifted")
+	assert.Equal(t, len(harness.ask("draft", nil)), 0)
+	decisions := harness.SetLimit(harness.now, limited, definer.RateLimit{})
+	assert.Equal(t, len(decisions), 1, "the waiting ask is granted when the limit is removed")
 	assert.Equal(t, decisions[0].Upstream, limited)
-	assert.Equal(t, len(bench.SetLimit(bench.now, "unknown", definer.LimitTo(1))), 0)
+	assert.Equal(t, len(harness.SetLimit(harness.now, "unknown", definer.LimitTo(1))), 0)
 }
 
-// TestRetryAfterIsKeptByAllWork holds that an upstream which asked for a backoff is granted to nobody,
-// protected asks and those that would pause others among them, and that one request tries it
-// first behind the backoff.
+// TestRetryAfterIsKeptByAllWork checks that no ask is granted a slot of an upstream that asked
+// for a backoff, protected and preempting asks included, and that after the backoff one
+// trial request goes first.
 func TestRetryAfterIsKeptByAllWork(t *testing.T) {
-	bench := newBench(t, setting{upstreams: 1, slots: 3})
-	running := bench.fill(t, "proposal", 2)
-	turnedAway := bench.fill(t, "draft", 1)[0]
-	bench.Release(bench.now, turnedAway, messenger.Observation{Failed: true, Backoff: 3 * time.Second})
-	assert.Equal(t, len(bench.ask("confirm", nil)), 0)
-	assert.Equal(t, len(bench.ask("confirm", nil)), 0)
-	bench.now = bench.now.Add(2900 * time.Millisecond)
-	assert.Equal(t, len(bench.Expire(bench.now)), 0)
-	bench.now = bench.now.Add(100 * time.Millisecond)
-	trial := bench.Expire(bench.now)
-	assert.Equal(t, len(trial), 1, "one of the two")
-	bench.now = bench.now.Add(time.Millisecond)
-	assert.Equal(t, len(bench.Release(bench.now, trial[0].Grant, messenger.Observation{Failed: true, Backoff: time.Second})), 0)
-	bench.now = bench.now.Add(time.Second)
-	trial = bench.Expire(bench.now)
+	harness := newHarness(t, poolSetting{upstreams: 1, slots: 3})
+	running := harness.fill(t, "proposal", 2)
+	turnedAway := harness.fill(t, "draft", 1)[0]
+	harness.Release(harness.now, turnedAway, messenger.Observation{Failed: true, Backoff: 3 * time.Second})
+	assert.Equal(t, len(harness.ask("confirm", nil)), 0)
+	assert.Equal(t, len(harness.ask("confirm", nil)), 0)
+	harness.now = harness.now.Add(2900 * time.Millisecond)
+	assert.Equal(t, len(harness.Expire(harness.now)), 0)
+	harness.now = harness.now.Add(100 * time.Millisecond)
+	trial := harness.Expire(harness.now)
+	assert.Equal(t, len(trial), 1, "one trial for two waiting asks")
+	harness.now = harness.now.Add(time.Millisecond)
+	assert.Equal(t, len(harness.Release(harness.now, trial[0].Grant, messenger.Observation{Failed: true, Backoff: time.Second})), 0)
+	harness.now = harness.now.Add(time.Second)
+	trial = harness.Expire(harness.now)
 	assert.Equal(t, len(trial), 1)
-	bench.Release(bench.now, running[0], messenger.Observation{Tokens: 100, Total: time.Second})
-	bench.now = bench.now.Add(trialFor)
-	bench.ask("confirm", nil)
-	assert.Equal(t, bench.Waiting(), 0, "the trial was taken")
+	harness.Release(harness.now, running[0], messenger.Observation{Tokens: 100, Total: time.Second})
+	harness.now = harness.now.Add(trialTimeout)
+	harness.ask("confirm", nil)
+	assert.Equal(t, harness.Waiting(), 0, "the upstream accepted the trial")
 }
--- a/scheduler/limiter.go
+++ b/scheduler/limiter.go
@@ -7,20 +7,21 @@
 	"limpetcleat/messenger"
 )
 
-// Limiter gives the number of slots of an upstream and learns from what is
-// observed of it.
+// Limiter determines the concurrency limit of each upstream and may adapt it to the
+// observed attempts.
 type Limiter interface {
 	// Limit returns how many requests the upstream may run at once.
 	Limit(upstream *definer.Upstream) int
-	// Observe takes in what one attempt showed.
+	// Observe records the observation of one finished attempt.
 	Observe(now time.Time, upstream *definer.Upstream, class *definer.Class, observation messenger.Observation)
 }
 
-// UseLimiter is a Limiter that also learns how many requests ran on an upstream
-// when one of them ended.
+// UseLimiter is a Limiter that is also told how many requests ran on an upstream when
+// one of them ended.
 type UseLimiter interface {
 	Limiter
-	// Use takes in the number of running requests; it is called before Observe.
+	// Use records the number of running requests, the one that ended included; it is
+	// called before Observe.
 	Use(upstream *definer.Upstream, running int)
 }
 
@@ -30,5 +31,5 @@
 // Limit returns the configured slots.
 func (fixedLimiter) Limit(upstream *definer.Upstream) int { return upstream.Slots() }
 
-// Observe learns nothing.
+// Observe does nothing.
 func (fixedLimiter) Observe(time.Time, *definer.Upstream, *definer.Class, messenger.Observation) {}
--- a/scheduler/longrun_race_test.go
+++ b/scheduler/longrun_race_test.go
@@ -4,8 +4,8 @@
 
 // The race detector is slow, so the runs are shorter.
 const (
-	// longRun is the number of steps of each long run.
+	// longRunSteps is the number of steps of each long run.
 	longRun = 20_000
-	// runScale lengthens the simulations.
+	// runScale multiplies the simulated time.
 	runScale = 1
 )
--- a/scheduler/longrun_test.go
+++ b/scheduler/longrun_test.go
@@ -3,8 +3,8 @@
 package scheduler
 
 const (
-	// longRun is the number of steps of each long run.
-	longRun = 550_000
-	// runScale lengthens the simulations.
+	// longRunSteps is the number of steps of each long run.
+	longRunSteps = 550_000
+	// runScale multiplies the simulated time.
 	runScale = 5
 )
--- a/scheduler/option.go
+++ b/scheduler/option.go
@@ -5,24 +5,25 @@
 // Option changes one setting of a Scheduler.
 type Option func(*Scheduler)
 
-// defaultAffinity is the load, relative to the mean, up to which an upstream
-// attracts its prefixes.
+// defaultAffinity is the highest load, relative to the mean, at which an upstream
+// still gets its prefixes.
 const defaultAffinity = 1.25
 
-// WithLimiter sets where the number of slots comes from.
+// WithLimiter sets the source of the concurrency limits; the default is the number of
+// slots in the configuration.
 func WithLimiter(limiter Limiter) Option {
 	return func(scheduler *Scheduler) { scheduler.limiter = limiter }
 }
 
-// WithEstimator sets where the expected lengths of answers come from.
+// WithEstimator sets the source of the expected lengths of answers; the default expects
+// the same length of all.
 func WithEstimator(estimator Estimator) Option {
 	return func(scheduler *Scheduler) { scheduler.estimator = estimator }
 }
 
-// WithPolicy sets how the queue is ordered and bounded; the default is
-// ServiceLevels.
+// WithPolicy sets the scheduling policy; the default is ServiceLevels.
 func WithPolicy(policy Policy) Option {
-	return func(scheduler *Scheduler) { scheduler.traits = policy.traits() }
+	return func(scheduler *Scheduler) { scheduler.features = policy.features() }
 }
 
 // WithPool sets the pool whose shares and kind apply; see Adjust.
@@ -30,9 +31,9 @@
 	return func(scheduler *Scheduler) { scheduler.Adjust(pool) }
 }
 
-// WithPrefixAffinity turns prefix affinity on, whatever the pool says. An
-// upstream attracts its prefixes while its load is at most the factor times the
-// mean; a factor of 0 turns affinity off.
+// WithPrefixAffinity overrides the prefix affinity of the pool. An upstream gets
+// its prefixes while its load is at most the factor times the mean; a factor of 0
+// disables affinity.
 func WithPrefixAffinity(factor float64) Option {
 	return func(scheduler *Scheduler) {
 		scheduler.affinity = factor
@@ -40,13 +41,13 @@
 	}
 }
 
-// WithLongestQueue bounds the number of waiting asks.
-func WithLongestQueue(count int) Option {
-	return func(scheduler *Scheduler) { scheduler.longest = count }
+// WithMaxQueueLength bounds the number of waiting asks.
+func WithMaxQueueLength(count int) Option {
+	return func(scheduler *Scheduler) { scheduler.maxQueue = count }
 }
 
-// Adjust sets the pool whose protected share, kind and prefix affinity apply
-// from the next Configure on.
+// Adjust sets the pool that determines the protected share, the kind of upstreams and
+// the prefix affinity. Call Configure afterwards to apply the protected share.
 func (scheduler *Scheduler) Adjust(pool *definer.Pool) {
 	scheduler.pool = pool
 	if scheduler.affinityForced {
@@ -58,20 +59,21 @@
 	}
 }
 
-// protectedShare returns the share of slots that only protected classes use.
+// protectedShare returns the share of slots that is reserved for protected classes.
 func (scheduler *Scheduler) protectedShare() float64 {
-	if scheduler.pool == nil || !scheduler.traits.protection {
+	if scheduler.pool == nil || !scheduler.features.protection {
 		return 0
 	}
 	return scheduler.pool.ProtectedShare()
 }
 
-// pauses tells whether the shard's upstreams can pause a request.
-func (scheduler *Scheduler) pauses() bool {
-	return scheduler.traits.preemption && !scheduler.plain()
+// canPreempt reports whether the shard's upstreams may be told to pause requests.
+func (scheduler *Scheduler) canPreempt() bool {
+	return scheduler.features.preemption && !scheduler.servesServices()
 }
 
-// plain tells whether the shard's upstreams are services, which have no tokens.
-func (scheduler *Scheduler) plain() bool {
+// servesServices reports whether the shard's upstreams are services, which produce no
+// tokens.
+func (scheduler *Scheduler) servesServices() bool {
 	return scheduler.pool != nil && scheduler.pool.Kind() == definer.Service
 }
--- a/scheduler/policy.go
+++ b/scheduler/policy.go
@@ -1,45 +1,46 @@
 package scheduler
 
-// Policy names a way to order and bound the queue.
+// Policy names a scheduling policy: how the queue is ordered and bounded.
 type Policy string
 
 const (
 	// ServiceLevels is the full policy: strict tiers, fair shares, floors,
 	// protected classes, preemption and refusal by expected wait.
 	ServiceLevels Policy = "serviceLevels"
-	// FirstCome serves in order of arrival, upstreams in turn. It is a baseline
-	// for measurements.
+	// FirstCome serves asks in order of arrival and uses upstreams in rotation. It is
+	// a baseline for measurements.
 	FirstCome Policy = "firstCome"
-	// StrictTiers serves higher tiers first and knows nothing else. It is a
-	// baseline for measurements.
+	// StrictTiers serves higher tiers first and has no other rule. It is a baseline
+	// for measurements.
 	StrictTiers Policy = "strictTiers"
 )
 
-// traits are the parts of the full policy, each of which can be off.
-type traits struct {
-	// tiers puts higher tiers first.
+// features are the parts of a policy that can be enabled independently.
+type features struct {
+	// tiers serves higher tiers first.
 	tiers bool
-	// fairness shares a tier between organisations.
+	// fairness divides the slots of a tier between organisations by weight.
 	fairness bool
-	// protection keeps protected classes ahead of lower work.
+	// protection reserves slots for protected classes and serves them first in their
+	// tier.
 	protection bool
-	// floors gives every class its floor.
+	// floors guarantees each unprotected class its floor share.
 	floors bool
 	// preemption pauses lower work for higher tiers.
 	preemption bool
-	// admission refuses what would wait too long.
+	// admission refuses asks whose expected wait is too long.
 	admission bool
-	// rotation takes upstreams in turn instead of by load.
+	// rotation chooses upstreams in rotation instead of by load.
 	rotation bool
 }
 
-func (policy Policy) traits() traits {
+func (policy Policy) features() features {
 	switch policy {
 	case FirstCome:
-		return traits{rotation: true}
+		return features{rotation: true}
 	case StrictTiers:
-		return traits{tiers: true}
+		return features{tiers: true}
 	default:
-		return traits{tiers: true, fairness: true, protection: true, floors: true, preemption: true, admission: true}
+		return features{tiers: true, fairness: true, protection: true, floors: true, preemption: true, admission: true}
 	}
 }
--- a/scheduler/policy_test.go
+++ b/scheduler/policy_test.go
@@ -17,24 +17,24 @@
 )
 
 func simulate(t testing.TB, policy Policy, load float64) *simulation {
-	simulation := newSimulation(t, setting{upstreams: policyUpstreams, slots: policySlots, share: 0.15}, WithPolicy(policy))
+	simulation := newSimulation(t, poolSetting{upstreams: policyUpstreams, slots: policySlots, protectedShare: 0.15}, WithPolicy(policy))
 	for _, demand := range usualDemands() {
 		simulation.arrive(demand, load, policyUpstreams*policySlots, policyRun)
 	}
 	simulation.run(policyRun)
-	simulation.ledger.audit()
+	simulation.checker.audit()
 	return simulation
 }
 
 func (simulation *simulation) attainment(class definer.ClassName) float64 {
 	tally := simulation.tallies[class]
-	// What still runs at the end has not missed its target yet.
+	// Requests still open at the end have not missed their target yet.
 	open := tally.arrived - tally.finished - tally.refused
 	return float64(tally.met) / float64(max(tally.arrived-open, 1))
 }
 
-// batch returns the finished tokens a second of the two batch classes.
-func (simulation *simulation) batch() float64 {
+// batchTokensPerSecond returns the finished tokens per second of the two batch classes.
+func (simulation *simulation) batchTokensPerSecond() float64 {
 	return float64(simulation.tallies["proposal"].tokens+simulation.tallies["digest"].tokens) / policyRun.Seconds()
 }
 
@@ -45,14 +45,14 @@
 			simulation := simulate(t, policy, load)
 			results[policy] = simulation
 			line := fmt.Sprintf("load %.1f %-13s", load, policy)
-			for _, class := range simulation.scheduler.order {
+			for _, class := range simulation.scheduler.classesByTier {
 				tally := simulation.tallies[class.definition.Name()]
-				line += fmt.Sprintf(" %s %.1f%% (%d/%d, wait %.0fs, %v, late %d)", class.definition.Name(), 100*simulation.attainment(class.definition.Name()), tally.finished, tally.arrived, tally.longest.Seconds(), tally.reasons, tally.late)
+				line += fmt.Sprintf(" %s %.1f%% (%d/%d, wait %.0fs, %v, late %d)", class.definition.Name(), 100*simulation.attainment(class.definition.Name()), tally.finished, tally.arrived, tally.longest.Seconds(), tally.reasons, tally.lateRefusals)
 			}
-			t.Logf("%s batch %.0f tokens/s", line, simulation.batch())
+			t.Logf("%s batch %.0f tokens/s", line, simulation.batchTokensPerSecond())
 		}
 		ours := results[ServiceLevels]
-		assert.Assert(t, len(ours.ledger.faults) == 0, "%v", ours.ledger.faults)
+		assert.Assert(t, len(ours.checker.faults) == 0, "%v", ours.checker.faults)
 		assert.Assert(t, ours.attainment("confirm") >= 0.99, "load %v: %v", load, ours.attainment("confirm"))
 		for name, tally := range ours.tallies {
 			assert.Assert(t, tally.finished > 0, "load %v: %s made no progress", load, name)
--- a/scheduler/preempt.go
+++ b/scheduler/preempt.go
@@ -6,47 +6,48 @@
 	"limpetcleat/messenger"
 )
 
-// preempt pauses lower work for the asks that no slot is free for.
+// preempt pauses lower work for asks that find no free slot, and returns the
+// decisions.
 func (scheduler *Scheduler) preempt(now time.Time) []Decision {
-	if !scheduler.pauses() {
+	if !scheduler.canPreempt() {
 		return nil
 	}
 	var decisions []Decision
-	for _, class := range scheduler.order {
+	for _, class := range scheduler.classesByTier {
 		for class.waiting > 0 && scheduler.pausableBelow(class) {
 			lane, victim := scheduler.victim(class)
 			if victim == nil {
 				break
 			}
-			if head := lane.head(); head.hopeless(now) {
+			if head := lane.head(); head.deadlinePassed(now) {
 				decisions = append(decisions, scheduler.refuse(now, head, messenger.DeadlineMissed))
 				continue
 			}
 			scheduler.pause(now, victim)
-			decisions = append(decisions, scheduler.issue(now, lane.head(), victim.slots))
+			decisions = append(decisions, scheduler.issue(now, lane.head(), victim.upstream))
 		}
 	}
 	return decisions
 }
 
-// pausableBelow tells whether any lower work may be paused for the class. It
-// may err on the side of true.
+// pausableBelow reports whether any lower work may be paused for the class. It may
+// return true although there is none, but not the reverse.
 func (scheduler *Scheduler) pausableBelow(asking *class) bool {
-	for _, class := range scheduler.order {
-		if class.pausable > 0 && class.tier() > asking.tier() {
+	for _, class := range scheduler.classesByTier {
+		if class.preemptibleActive > 0 && class.tier() > asking.tier() {
 			return true
 		}
 	}
 	return false
 }
 
-// guards tells whether the class has the rights of a protected one.
-func (scheduler *Scheduler) guards(class *class) bool {
-	return scheduler.traits.protection && class.protected()
+// isProtected reports whether the class is protected and the policy has protection.
+func (scheduler *Scheduler) isProtected(class *class) bool {
+	return scheduler.features.protection && class.protected()
 }
 
-// victim returns the lane of the class that goes first of those that have lower
-// work to pause, and that work.
+// victim returns the first lane of the class for which lower work can be paused, and
+// the grant to pause; both are nil if there is none.
 func (scheduler *Scheduler) victim(class *class) (*lane, *grant) {
 	var best *lane
 	var chosen *grant
@@ -64,17 +65,17 @@
 	return best, chosen
 }
 
-// victimFor returns the work to pause for the head of a lane: of the least
-// urgent, the youngest. Unprotected classes keep to the bound on paused
-// requests, and take nothing that is part of a floor.
+// victimFor returns the grant to pause for the first ask of a lane: the youngest of the
+// least urgent priority, or nil. Unprotected classes respect the bound on paused
+// grants and cause no grant within a floor to be paused.
 func (scheduler *Scheduler) victimFor(lane *lane) *grant {
 	var chosen *grant
-	for _, slots := range lane.shape.table {
-		victim := slots.victim(priorityOf(lane.class.tier()))
-		if victim == nil || !slots.open() || chosen != nil && compareUrgency(victim, chosen) <= 0 {
+	for _, upstream := range lane.upstreamSet.upstreams {
+		victim := upstream.victim(tierPriority(lane.class.tier()))
+		if victim == nil || !upstream.acceptsRequests() || chosen != nil && compareUrgency(victim, chosen) <= 0 {
 			continue
 		}
-		if scheduler.guards(lane.class) || !victim.pinned && slots.stretches() {
+		if scheduler.isProtected(lane.class) || !victim.pinned && upstream.allowsPreemption() {
 			chosen = victim
 		}
 	}
--- a/scheduler/property_test.go
+++ b/scheduler/property_test.go
@@ -11,7 +11,7 @@
 func unchanged(*Scheduler) {}
 
 func TestRandomStepsKeepTheInvariants(t *testing.T) {
-	// The verdict is the same every time.
+	// A fixed seed makes the result reproducible.
 	assert.NilError(t, flag.Set("rapid.seed", "20261202"))
 	rapid.Check(t, func(check *rapid.T) {
 		driver := newDriver(t, unchanged)
@@ -27,7 +27,7 @@
 func TestLongSeededRunsKeepTheInvariants(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3, 4} {
 		driver, draw := newDriver(t, unchanged), seeded(seed)
-		for step := range longRun {
+		for step := range longRunSteps {
 			driver.step(draw)
 			if step%64 == 0 {
 				driver.audit()
@@ -41,15 +41,16 @@
 	}
 }
 
-// Without each of these parts the checks must fail, else they check nothing.
+// TestChecksCanFail disables parts of the policy one by one; the checks must then find
+// faults, else they prove nothing.
 func TestChecksCanFail(t *testing.T) {
 	cases := []struct {
 		name   string
 		change func(*Scheduler)
 	}{
-		{"no protection", func(scheduler *Scheduler) { scheduler.traits.protection = false }},
-		{"no preemption", func(scheduler *Scheduler) { scheduler.traits.preemption = false }},
-		{"first come first served", func(scheduler *Scheduler) { scheduler.traits = FirstCome.traits() }},
+		{"no protection", func(scheduler *Scheduler) { scheduler.features.protection = false }},
+		{"no preemption", func(scheduler *Scheduler) { scheduler.features.preemption = false }},
+		{"first come first served", func(scheduler *Scheduler) { scheduler.features = FirstCome.features() }},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -10,59 +10,61 @@
 	"limpetcleat/messenger"
 )
 
-// enqueue puts a new ask into the queue; it returns false when no upstream
-// fits it.
-func (scheduler *Scheduler) enqueue(now time.Time, ask Ask) (*waiting, bool) {
+// enqueue adds a new ask to the queue; it returns false when no upstream fits the
+// ask.
+func (scheduler *Scheduler) enqueue(now time.Time, ask Ask) (*queuedAsk, bool) {
 	class := scheduler.class(ask.Class)
-	scheduler.arrived++
-	entry := &waiting{ask: ask, came: now, sequence: scheduler.arrived, cost: scheduler.cost(ask)}
-	return entry, scheduler.insert(entry, class)
+	scheduler.lastSequence++
+	queuedAsk := &queuedAsk{ask: ask, enqueuedAt: now, sequence: scheduler.lastSequence, cost: scheduler.cost(ask)}
+	return queuedAsk, scheduler.insert(queuedAsk, class)
 }
 
-// insert puts an entry into its lane; it returns false when no upstream fits.
-func (scheduler *Scheduler) insert(entry *waiting, class *class) bool {
-	shape := scheduler.shape(entry.ask.Model, entry.ask.Exclude)
-	if len(shape.table) == 0 {
+// insert adds a queued ask to its lane; it returns false when no upstream fits the
+// ask.
+func (scheduler *Scheduler) insert(queuedAsk *queuedAsk, class *class) bool {
+	upstreamSet := scheduler.upstreamSet(queuedAsk.ask.Model, queuedAsk.ask.Exclude)
+	if len(upstreamSet.upstreams) == 0 {
 		return false
 	}
-	scheduler.date(entry, class)
-	lane := scheduler.lane(class, shape)
-	account := lane.tier.account(scheduler.customer(entry.ask), entry.ask.Weight)
-	lane.add(entry, account)
-	scheduler.waiting[entry.ask.Request] = entry
-	scheduler.due.push(entry)
+	scheduler.setExpiry(queuedAsk, class)
+	lane := scheduler.lane(class, upstreamSet)
+	account := lane.tier.account(scheduler.accountName(queuedAsk.ask), queuedAsk.ask.Weight)
+	lane.add(queuedAsk, account)
+	scheduler.queued[queuedAsk.ask.Request] = queuedAsk
+	scheduler.byExpiry.push(queuedAsk)
 	return true
 }
 
-// date works out when the entry is refused and how it ranks.
-func (scheduler *Scheduler) date(entry *waiting, class *class) {
-	entry.due = entry.ask.Arrival.Add(class.definition.LongestWait())
-	patient := entry.came.Add(scheduler.patience(class))
+// setExpiry sets when and why a queued ask will be refused, and its sort time.
+func (scheduler *Scheduler) setExpiry(queuedAsk *queuedAsk, class *class) {
+	queuedAsk.expiresAt = queuedAsk.ask.Arrival.Add(class.definition.LongestWait())
+	patient := queuedAsk.enqueuedAt.Add(scheduler.maxQueueTime(class))
 	first := class.waiting == 0 && class.starving()
-	if patient.Before(entry.due) && !first {
-		entry.due = patient
+	if patient.Before(queuedAsk.expiresAt) && !first {
+		queuedAsk.expiresAt = patient
 	}
-	entry.reason = messenger.WaitExceeded
-	if deadline := entry.ask.Deadline; !deadline.IsZero() && deadline.Before(entry.due) {
-		entry.due = deadline
-		entry.reason = messenger.DeadlineMissed
+	queuedAsk.reason = messenger.WaitExceeded
+	if deadline := queuedAsk.ask.Deadline; !deadline.IsZero() && deadline.Before(queuedAsk.expiresAt) {
+		queuedAsk.expiresAt = deadline
+		queuedAsk.reason = messenger.DeadlineMissed
 	}
-	entry.rank = entry.due
-	if !scheduler.traits.fairness {
-		entry.rank = entry.ask.Arrival
+	queuedAsk.sortTime = queuedAsk.expiresAt
+	if !scheduler.features.fairness {
+		queuedAsk.sortTime = queuedAsk.ask.Arrival
 	}
 }
 
-// customer returns whose account an ask is charged to.
-func (scheduler *Scheduler) customer(ask Ask) definer.OrganisationName {
-	if !scheduler.traits.fairness {
+// accountName returns the organisation whose account an ask is charged to. Without
+// fairness, all asks share one account.
+func (scheduler *Scheduler) accountName(ask Ask) definer.OrganisationName {
+	if !scheduler.features.fairness {
 		return ""
 	}
 	return ask.Organisation
 }
 
 func (scheduler *Scheduler) tierOf(class *class) int {
-	if !scheduler.traits.tiers {
+	if !scheduler.features.tiers {
 		return 0
 	}
 	return class.tier()
@@ -77,48 +79,48 @@
 	return found
 }
 
-func (scheduler *Scheduler) lane(class *class, shape *shape) *lane {
+func (scheduler *Scheduler) lane(class *class, upstreamSet *upstreamSet) *lane {
 	tier := scheduler.tier(scheduler.tierOf(class))
 	for _, lane := range scheduler.lanes {
-		if lane.class == class && lane.shape == shape && lane.tier == tier {
+		if lane.class == class && lane.upstreamSet == upstreamSet && lane.tier == tier {
 			return lane
 		}
 	}
-	made := &lane{class: class, shape: shape, tier: tier, byOrganisation: make(map[definer.OrganisationName]*flow)}
+	made := &lane{class: class, upstreamSet: upstreamSet, tier: tier, byOrganisation: make(map[definer.OrganisationName]*flow)}
 	scheduler.lanes = append(scheduler.lanes, made)
-	scheduler.shapes[shape.key] = shape
+	scheduler.upstreamSets[upstreamSet.key] = upstreamSet
 	return made
 }
 
-// drop takes an entry out of the queue.
-func (scheduler *Scheduler) drop(entry *waiting) {
-	lane := entry.flow.lane
-	lane.remove(entry)
-	delete(scheduler.waiting, entry.ask.Request)
-	scheduler.due.remove(entry)
-	if lane.count == 0 && len(lane.shape.excluded) > 0 {
-		scheduler.close(lane)
+// dequeue removes an ask from the queue.
+func (scheduler *Scheduler) dequeue(queuedAsk *queuedAsk) {
+	lane := queuedAsk.flow.lane
+	lane.remove(queuedAsk)
+	delete(scheduler.queued, queuedAsk.ask.Request)
+	scheduler.byExpiry.remove(queuedAsk)
+	if lane.count == 0 && len(lane.upstreamSet.excluded) > 0 {
+		scheduler.removeLane(lane)
 	}
 }
 
-// close drops an empty lane, and its shape when no other lane waits for it.
-func (scheduler *Scheduler) close(empty *lane) {
+// removeLane removes an empty lane, and its upstream set if no other lane uses it.
+func (scheduler *Scheduler) removeLane(empty *lane) {
 	scheduler.lanes = slices.DeleteFunc(scheduler.lanes, func(lane *lane) bool { return lane == empty })
-	used := slices.ContainsFunc(scheduler.lanes, func(lane *lane) bool { return lane.shape == empty.shape })
+	used := slices.ContainsFunc(scheduler.lanes, func(lane *lane) bool { return lane.upstreamSet == empty.upstreamSet })
 	if !used {
-		delete(scheduler.shapes, empty.shape.key)
+		delete(scheduler.upstreamSets, empty.upstreamSet.key)
 	}
 }
 
-// entries returns the queue in the order in which the asks came.
-func (scheduler *Scheduler) entries() []*waiting {
-	return slices.SortedFunc(maps.Values(scheduler.waiting), func(a, b *waiting) int {
+// queuedInOrder returns the waiting asks in the order in which they were queued.
+func (scheduler *Scheduler) queuedInOrder() []*queuedAsk {
+	return slices.SortedFunc(maps.Values(scheduler.queued), func(a, b *queuedAsk) int {
 		return cmp.Compare(a.sequence, b.sequence)
 	})
 }
 
-// heldBy returns a member's grants in the order in which they were made.
-func (scheduler *Scheduler) heldBy(member definer.Member) []*grant {
+// grantsOf returns a member's grants in the order in which they were made.
+func (scheduler *Scheduler) grantsOf(member definer.Member) []*grant {
 	var held []*grant
 	for _, grant := range scheduler.grants {
 		if grant.ask.Entry == member {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -8,87 +8,95 @@
 )
 
 const (
-	// longestQueue bounds the asks that wait in one shard.
-	longestQueue = 20_000
-	// sweepEvery is the number of expiries between two looks for idle accounts.
-	sweepEvery = 256
+	// defaultMaxQueue bounds the asks that wait in one shard.
+	defaultMaxQueue = 20_000
+	// sweepInterval is the number of Expire calls between two removals of idle
+	// accounts.
+	sweepInterval = 256
 )
 
-// Scheduler keeps the queue and the slot table of one shard.
+// Scheduler holds the queue and the granted slots of one shard. It is not safe for
+// concurrent use.
 type Scheduler struct {
 	// shard is the shard that this scheduler serves.
 	shard messenger.Shard
-	// owner is the member that runs this scheduler; it makes grant ids unique.
+	// owner is the member that runs this scheduler; grant ids contain it to be
+	// unique.
 	owner     definer.Member
 	limiter   Limiter
 	estimator Estimator
-	traits    traits
-	// pool holds the shard's shares; nil means none is set.
+	features  features
+	// pool holds the protected share, the kind and the prefix affinity of the shard;
+	// nil means that no pool is set.
 	pool *definer.Pool
-	// affinity is the load that an upstream may have, relative to the mean,
-	// and still attract its prefixes; 0 turns prefix affinity off.
+	// affinity is the highest load, relative to the mean, at which an upstream still
+	// gets its prefixes; 0 disables prefix affinity.
 	affinity float64
-	// affinityForced keeps affinity on whatever the pool says.
+	// affinityForced makes affinity override the setting of the pool.
 	affinityForced bool
-	// longest bounds the number of waiting asks.
-	longest int
-
-	// table holds the upstreams in order of name, gone ones while they have
-	// grants.
-	table []*slots
-	// byName holds the same upstreams.
-	byName map[definer.UpstreamName]*slots
-	// classes holds each class that was configured or seen.
+	// maxQueue bounds the number of waiting asks.
+	maxQueue int
+
+	// upstreams is sorted by name. An upstream that left the configuration stays in
+	// it until its grants have ended.
+	upstreams []*upstream
+	// byName indexes upstreams by name.
+	byName map[definer.UpstreamName]*upstream
+	// classes holds each class that was configured or asked for.
 	classes map[definer.ClassName]*class
-	// order holds the same classes by tier, then by name.
-	order []*class
-	tiers map[int]*tier
-	// lanes holds each pair of class and shape at most once.
+	// classesByTier holds the values of classes, sorted by tier and then by name.
+	classesByTier []*class
+	tiers         map[int]*tier
+	// lanes holds at most one lane for each pair of class and upstream set.
 	lanes []*lane
-	// shapes holds each set of upstreams that some lane waits for.
-	shapes map[string]*shape
-	// whole is the shape of all present upstreams.
-	whole *shape
-	// waiting holds each request at most once.
-	waiting map[definer.RequestID]*waiting
-	// due holds the same asks by the instant of their refusal.
-	due heap[*waiting]
-	// grants holds every slot in use; a slot is in it exactly once.
+	// upstreamSets holds the upstream set of each lane by its key.
+	upstreamSets map[string]*upstreamSet
+	// allUpstreams is the set of the configured upstreams that are not leaving.
+	allUpstreams *upstreamSet
+	// queued holds the waiting asks, at most one for each request.
+	queued map[definer.RequestID]*queuedAsk
+	// byExpiry orders the asks in queued by the time at which they are refused.
+	byExpiry heap[*queuedAsk]
+	// grants holds every slot in use exactly once.
 	grants map[definer.GrantID]*grant
-	// held holds the same grants by request.
-	held map[definer.RequestID][]*grant
-	// pending are decisions made by calls that return none.
+	// grantsByRequest indexes grants by request.
+	grantsByRequest map[definer.RequestID][]*grant
+	// pending holds decisions made in calls that return no decisions; the next call
+	// that does returns them.
 	pending []Decision
 
-	// issued counts the grants ever made, arrived the asks.
-	issued  uint64
-	arrived uint64
-	// rotation is the position of the upstream that was granted last.
-	rotation int
-	expiries int
-	meter    meter
-	// ordinaryRoom and protectedRoom are work space: the upstreams with room.
-	ordinaryRoom  []uint64
-	protectedRoom []uint64
+	// issued counts the grants made for waiting asks and numbers their ids.
+	// lastSequence is the last sequence number given to an ask, a grant or a resumed
+	// grant.
+	issued       uint64
+	lastSequence uint64
+	// rotation is the position of the upstream that got the last grant.
+	rotation    int
+	expireCalls int
+	meter       meter
+	// unprotectedRoom and protectedRoom are bit masks, filled by findRoom, of the
+	// upstreams that have room for unprotected and for protected classes.
+	unprotectedRoom []uint64
+	protectedRoom   []uint64
 }
 
 // New returns an empty scheduler for one shard.
 func New(shard messenger.Shard, owner definer.Member, options ...Option) *Scheduler {
 	scheduler := &Scheduler{
-		shard:     shard,
-		owner:     owner,
-		limiter:   fixedLimiter{},
-		estimator: fixedEstimator{},
-		traits:    ServiceLevels.traits(),
-		longest:   longestQueue,
-		byName:    make(map[definer.UpstreamName]*slots),
-		classes:   make(map[definer.ClassName]*class),
-		tiers:     make(map[int]*tier),
-		shapes:    make(map[string]*shape),
-		whole:     newShape("", nil, 0),
-		waiting:   make(map[definer.RequestID]*waiting),
-		grants:    make(map[definer.GrantID]*grant),
-		held:      make(map[definer.RequestID][]*grant),
+		shard:           shard,
+		owner:           owner,
+		limiter:         fixedLimiter{},
+		estimator:       fixedEstimator{},
+		features:        ServiceLevels.features(),
+		maxQueue:        defaultMaxQueue,
+		byName:          make(map[definer.UpstreamName]*upstream),
+		classes:         make(map[definer.ClassName]*class),
+		tiers:           make(map[int]*tier),
+		upstreamSets:    make(map[string]*upstreamSet),
+		allUpstreams:    newUpstreamSet("", nil, 0),
+		queued:          make(map[definer.RequestID]*queuedAsk),
+		grants:          make(map[definer.GrantID]*grant),
+		grantsByRequest: make(map[definer.RequestID][]*grant),
 	}
 	for _, option := range options {
 		option(scheduler)
@@ -96,38 +104,39 @@
 	return scheduler
 }
 
-// Ask takes in an ask and returns what can now be decided. The same ask again
-// changes nothing while it waits, and gets the same grant while it holds one.
+// Ask queues an ask and returns the decisions that are now possible. A repeated ask,
+// with the request and attempt of an earlier one, keeps its place while it waits and
+// returns its grant while it holds one.
 func (scheduler *Scheduler) Ask(now time.Time, ask Ask) []Decision {
-	for _, held := range scheduler.held[ask.Request] {
+	for _, held := range scheduler.grantsByRequest[ask.Request] {
 		if held.ask.Attempt == ask.Attempt {
-			return []Decision{granted(held)}
+			return []Decision{grantDecision(held)}
 		}
 	}
-	if entry, ok := scheduler.waiting[ask.Request]; ok {
-		if entry.ask.Attempt == ask.Attempt && entry.ask.Entry == ask.Entry {
+	if queuedAsk, ok := scheduler.queued[ask.Request]; ok {
+		if queuedAsk.ask.Attempt == ask.Attempt && queuedAsk.ask.Entry == ask.Entry {
 			return scheduler.decide(now)
 		}
-		scheduler.drop(entry)
+		scheduler.dequeue(queuedAsk)
 	}
-	entry, ok := scheduler.enqueue(now, ask)
+	queuedAsk, ok := scheduler.enqueue(now, ask)
 	if !ok {
-		return []Decision{{Ask: ask, Reason: messenger.NoUpstream, RetryAfter: leastRetry}}
+		return []Decision{{Ask: ask, Reason: messenger.NoUpstream, RetryAfter: minRetryAfter}}
 	}
 	decisions := scheduler.decide(now)
-	return append(decisions, scheduler.admit(now, entry)...)
+	return append(decisions, scheduler.admit(now, queuedAsk)...)
 }
 
-// Release gives a slot back, takes in what was observed, and returns what can
-// now be decided. An unknown grant changes nothing.
+// Release frees the slot of a grant, records what was observed of the attempt, and
+// returns the decisions that are now possible. It ignores an unknown grant.
 func (scheduler *Scheduler) Release(now time.Time, id definer.GrantID, observation messenger.Observation) []Decision {
 	held, ok := scheduler.grants[id]
 	if !ok {
 		return nil
 	}
-	running := held.slots.active
+	running := held.upstream.active
 	scheduler.free(now, held, observation)
-	if held.slots.present && observation != (messenger.Observation{}) {
+	if held.upstream.present && observation != (messenger.Observation{}) {
 		scheduler.observe(now, held, running, observation)
 	}
 	return scheduler.decide(now)
@@ -135,27 +144,27 @@
 
 func (scheduler *Scheduler) observe(now time.Time, ended *grant, running int, observation messenger.Observation) {
 	if limiter, ok := scheduler.limiter.(UseLimiter); ok {
-		limiter.Use(ended.slots.upstream, running)
+		limiter.Use(ended.upstream.definition, running)
 	}
-	ended.slots.breaker.observe(now, observation.Failed)
-	ended.slots.backOff(now, observation.Backoff, observation.Failed)
-	scheduler.limiter.Observe(now, ended.slots.upstream, ended.class.definition, observation)
-	scheduler.refresh(now)
+	ended.upstream.breaker.observe(now, observation.Failed)
+	ended.upstream.backOff(now, observation.Backoff, observation.Failed)
+	scheduler.limiter.Observe(now, ended.upstream.definition, ended.class.definition, observation)
+	scheduler.refreshLimits(now)
 }
 
-// Withdraw takes an ask back, waiting or granted, and returns what can now be
-// decided.
+// Withdraw removes a request's waiting ask and frees its grants, and returns the
+// decisions that are now possible.
 func (scheduler *Scheduler) Withdraw(now time.Time, request definer.RequestID) []Decision {
-	if entry, ok := scheduler.waiting[request]; ok {
-		scheduler.drop(entry)
+	if queuedAsk, ok := scheduler.queued[request]; ok {
+		scheduler.dequeue(queuedAsk)
 	}
-	scheduler.freeAll(now, scheduler.held[request])
+	scheduler.freeAll(now, scheduler.grantsByRequest[request])
 	return scheduler.decide(now)
 }
 
-// Adopt takes in the grants that an entry VM says it holds, after a change of
-// owner. It may exceed an upstream's limit; what it lets be decided is returned
-// by the next call that returns decisions.
+// Adopt records a grant that an entry VM reports to hold after a change of owner. The
+// upstream's limit may be exceeded by it. The decisions that become possible are
+// returned by the next call that returns decisions.
 func (scheduler *Scheduler) Adopt(now time.Time, entry definer.Member, class *definer.Class, held messenger.HeldGrant) {
 	if _, known := scheduler.grants[held.Grant]; known {
 		return
@@ -171,69 +180,69 @@
 		Weight:       1,
 		Arrival:      now.Add(-held.Age),
 	}
-	slots, ok := scheduler.byName[held.Upstream]
+	upstream, ok := scheduler.byName[held.Upstream]
 	if !ok {
-		slots = scheduler.addGone(held.Upstream)
+		upstream = scheduler.findOrAddUpstream(held.Upstream)
 	}
-	// What is due is refused before the grant is known, so that no protected ask
-	// seems refused in its favour.
-	scheduler.pending = append(scheduler.pending, scheduler.overdue(now)...)
+	// Refuse expired asks before the grant is recorded, so that no protected ask
+	// appears to be refused in favour of the grant.
+	scheduler.pending = append(scheduler.pending, scheduler.refuseOverdue(now)...)
 	cost := scheduler.remainder(ask, held.Tokens)
-	scheduler.take(now, now.Add(-held.Age), held.Grant, ask, scheduler.class(class), slots, cost).adopted = true
+	scheduler.addGrant(now, now.Add(-held.Age), held.Grant, ask, scheduler.class(class), upstream, cost).adopted = true
 	scheduler.pending = scheduler.decide(now)
 }
 
-// Forget drops all asks and grants of a member that is gone and returns what
-// can now be decided.
+// Forget removes all asks and grants of a member that has left or failed, and returns
+// the decisions that are now possible.
 func (scheduler *Scheduler) Forget(now time.Time, member definer.Member) []Decision {
-	for _, entry := range scheduler.entries() {
-		if entry.ask.Entry == member {
-			scheduler.drop(entry)
+	for _, queuedAsk := range scheduler.queuedInOrder() {
+		if queuedAsk.ask.Entry == member {
+			scheduler.dequeue(queuedAsk)
 		}
 	}
-	scheduler.freeAll(now, scheduler.heldBy(member))
+	scheduler.freeAll(now, scheduler.grantsOf(member))
 	return scheduler.decide(now)
 }
 
-// Expire refuses what has waited too long and what would, and returns what can
-// now be decided. It is to be called several times a second.
+// Expire refuses the asks that have waited too long or are expected to, and returns
+// all decisions that are now possible. It must be called several times a second.
 func (scheduler *Scheduler) Expire(now time.Time) []Decision {
-	scheduler.expiries++
-	if scheduler.expiries%sweepEvery == 0 {
+	scheduler.expireCalls++
+	if scheduler.expireCalls%sweepInterval == 0 {
 		for _, tier := range scheduler.tiers {
 			tier.sweep()
 		}
 	}
-	scheduler.refresh(now)
+	scheduler.refreshLimits(now)
 	decisions := scheduler.decide(now)
 	return append(decisions, scheduler.shed(now)...)
 }
 
 // Waiting returns the number of asks in the queue.
-func (scheduler *Scheduler) Waiting() int { return len(scheduler.waiting) }
+func (scheduler *Scheduler) Waiting() int { return len(scheduler.queued) }
 
 // Running returns the number of slots in use, paused requests included.
 func (scheduler *Scheduler) Running() int { return len(scheduler.grants) }
 
-// Paused returns the number of grants that stand above an upstream's slots
-// because a higher tier took theirs.
+// Paused returns the number of grants that are paused because a request of a higher
+// tier took their slot.
 func (scheduler *Scheduler) Paused() int {
 	paused := 0
-	for _, slots := range scheduler.table {
-		paused += len(slots.paused)
+	for _, upstream := range scheduler.upstreams {
+		paused += len(upstream.paused)
 	}
 	return paused
 }
 
-// ExpectedWait returns how long a new ask of the class would wait at least: the
-// wait of an organisation that has nothing else in the queue.
+// ExpectedWait estimates how long a new ask of the class would wait. It is a lower
+// bound: the wait of an organisation that has no other ask in the queue.
 func (scheduler *Scheduler) ExpectedWait(now time.Time, definition *definer.Class) time.Duration {
-	if !scheduler.traits.admission {
+	if !scheduler.features.admission {
 		return 0
 	}
 	class := scheduler.class(definition)
-	if scheduler.startable(class) {
+	if scheduler.canStart(class) {
 		return 0
 	}
-	return scheduler.expected(now, class, scheduler.whole, nil)
+	return scheduler.estimateWait(now, class, scheduler.allUpstreams, nil)
 }
--- a/scheduler/shape.go
+++ b/scheduler/shape.go
@@ -9,47 +9,47 @@
 // wordBits is the number of bits in a word of a mask.
 const wordBits = 64
 
-// shape is the set of upstreams that fit a model and a list of exclusions.
-type shape struct {
+// upstreamSet is the set of upstreams that serve a model and are not excluded.
+type upstreamSet struct {
 	key string
-	// model and excluded are what key was made of.
+	// model and excluded determine key.
 	model    string
 	excluded []definer.UpstreamName
-	// table holds the upstreams in order of name.
-	table []*slots
-	// mask has the bit of each upstream in table.
+	// upstreams is sorted by name.
+	upstreams []*upstream
+	// mask has the bits of the upstreams in the set.
 	mask []uint64
-	// limit and ordinary add up the slots of the upstreams in table.
-	limit    int
-	ordinary int
+	// limit and unprotectedLimit are the sums over the upstreams in the set.
+	limit            int
+	unprotectedLimit int
 }
 
-func newShape(key string, table []*slots, width int) *shape {
-	shape := &shape{key: key, table: table, mask: make([]uint64, width)}
-	for _, slots := range table {
-		shape.mask[slots.position/wordBits] |= 1 << (slots.position % wordBits)
+func newUpstreamSet(key string, table []*upstream, width int) *upstreamSet {
+	upstreamSet := &upstreamSet{key: key, upstreams: table, mask: make([]uint64, width)}
+	for _, upstream := range table {
+		upstreamSet.mask[upstream.position/wordBits] |= 1 << (upstream.position % wordBits)
 	}
-	shape.sum()
-	return shape
+	upstreamSet.recount()
+	return upstreamSet
 }
 
-// sum adds up the slots anew after a limit changed.
-func (shape *shape) sum() {
-	shape.limit, shape.ordinary = 0, 0
-	for _, slots := range shape.table {
-		shape.limit += slots.limit
-		shape.ordinary += slots.ordinary
+// recount recomputes the sums after a limit changed.
+func (upstreamSet *upstreamSet) recount() {
+	upstreamSet.limit, upstreamSet.unprotectedLimit = 0, 0
+	for _, upstream := range upstreamSet.upstreams {
+		upstreamSet.limit += upstream.limit
+		upstreamSet.unprotectedLimit += upstream.unprotectedLimit
 	}
 }
 
-// part returns the part of the other shape's slots that this one has.
-func (shape *shape) part(other *shape) float64 {
-	return float64(shape.limit) / float64(max(other.limit, 1))
+// shareOf returns the ratio of the slots of this set to those of the other.
+func (upstreamSet *upstreamSet) shareOf(other *upstreamSet) float64 {
+	return float64(upstreamSet.limit) / float64(max(other.limit, 1))
 }
 
-// meets tells whether some upstream of the shape is in the mask.
-func (shape *shape) meets(mask []uint64) bool {
-	for index, word := range shape.mask {
+// intersects reports whether an upstream of the set is in the mask.
+func (upstreamSet *upstreamSet) intersects(mask []uint64) bool {
+	for index, word := range upstreamSet.mask {
 		if word&mask[index] != 0 {
 			return true
 		}
@@ -57,17 +57,17 @@
 	return false
 }
 
-// overlap returns the part of the shape's upstreams that other has too.
-func (shape *shape) overlap(other *shape) float64 {
-	if shape == other {
+// overlap returns the part of this set's upstreams that are also in the other.
+func (upstreamSet *upstreamSet) overlap(other *upstreamSet) float64 {
+	if upstreamSet == other {
 		return 1
 	}
-	if len(shape.table) == 0 {
+	if len(upstreamSet.upstreams) == 0 {
 		return 0
 	}
 	common := 0
-	for index, word := range shape.mask {
+	for index, word := range upstreamSet.mask {
 		common += bits.OnesCount64(word & other.mask[index])
 	}
-	return float64(common) / float64(len(shape.table))
+	return float64(common) / float64(len(upstreamSet.upstreams))
 }
--- a/scheduler/simulation_test.go
+++ b/scheduler/simulation_test.go
@@ -16,33 +16,33 @@
 
 // job is one request of the simulation.
 type job struct {
-	ask      Ask
-	tokens   int
-	grant    definer.GrantID
-	priority int
-	pausable bool
-	left     time.Duration
-	began    time.Time
-	granted  time.Time
-	first    time.Duration
-	// generation tells a finish apart from one that a pause made void.
+	ask         Ask
+	tokens      int
+	grant       definer.GrantID
+	priority    int
+	preemptible bool
+	left        time.Duration
+	began       time.Time
+	granted     time.Time
+	first       time.Duration
+	// generation identifies the last start; a pause invalidates earlier end events.
 	generation int
 }
 
-// runner is an engine that runs a fixed number of requests, each at its own
-// speed, and pauses the youngest of the least urgent for a more urgent one.
+// runner simulates an engine that runs a fixed number of requests concurrently and
+// pauses the youngest of the least urgent ones for a more urgent one.
 type runner struct {
 	slots   int
 	running []*job
 	waiting []*job
 }
 
-func urgency(a, b *job) int {
+func compareJobs(a, b *job) int {
 	return cmp.Or(cmp.Compare(a.priority, b.priority), a.granted.Compare(b.granted), cmp.Compare(a.grant, b.grant))
 }
 
 func (runner *runner) begin(now time.Time, simulation *simulation) {
-	slices.SortFunc(runner.waiting, urgency)
+	slices.SortFunc(runner.waiting, compareJobs)
 	for len(runner.waiting) > 0 {
 		next := runner.waiting[0]
 		if len(runner.running) >= runner.slots && !runner.pause(now, next) {
@@ -53,14 +53,14 @@
 		next.began = now
 		next.generation++
 		simulation.push(event{at: now.Add(next.left), job: next, generation: next.generation})
-		slices.SortFunc(runner.waiting, urgency)
+		slices.SortFunc(runner.waiting, compareJobs)
 	}
 }
 
 func (runner *runner) pause(now time.Time, next *job) bool {
 	var victim *job
 	for _, running := range runner.running {
-		if running.pausable && running.priority > next.priority && (victim == nil || urgency(running, victim) > 0) {
+		if running.preemptible && running.priority > next.priority && (victim == nil || compareJobs(running, victim) > 0) {
 			victim = running
 		}
 	}
@@ -74,7 +74,7 @@
 	return true
 }
 
-// event is an arrival (no generation), or the end of a job.
+// event is the arrival (generation 0) or the end of a job.
 type event struct {
 	at         time.Time
 	job        *job
@@ -83,7 +83,7 @@
 	index      int
 }
 
-func (event *event) place() *int { return &event.index }
+func (event *event) indexPointer() *int { return &event.index }
 
 func (event *event) before(other *event) bool {
 	return cmp.Or(event.at.Compare(other.at), cmp.Compare(event.order, other.order)) < 0
@@ -95,14 +95,15 @@
 	expiryStep = 100 * time.Millisecond
 )
 
-// demand is the traffic of one class.
+// demand is the traffic of one class and organisation.
 type demand struct {
 	class string
 	// share is the part of all slots that the class fills at load 1.
 	share float64
 	// tokens is the mean length of an answer; lengths are exponential.
 	tokens float64
-	// organisation names who asks; empty is one of twenty of unlike size.
+	// organisation is who asks; if empty, each request draws one of twenty organisations of
+	// different size.
 	organisation string
 	weight       float64
 	model        string
@@ -118,35 +119,35 @@
 	}
 }
 
-// tally is what became of one class.
+// tally counts the results of one class.
 type tally struct {
 	arrived, met, finished, refused, tokens int
 	longest                                 time.Duration
 	// gap is the longest time without a grant while asks waited.
 	gap  time.Duration
 	last time.Time
-	// reasons counts the refusals, late those that came after the half of the
-	// longest wait.
-	reasons map[messenger.RefusalReason]int
-	late    int
+	// reasons counts the refusals by reason; lateRefusals counts those after half of
+	// the longest wait.
+	reasons      map[messenger.RefusalReason]int
+	lateRefusals int
 }
 
 type simulation struct {
 	t         testing.TB
 	scheduler *Scheduler
-	ledger    *ledger
+	checker   *checker
 	source    *rand.Rand
 	events    heap[*event]
 	order     int
 	now       time.Time
-	// nextExpiry is when the queue is looked through next.
+	// nextExpiry is the time of the next call of Expire.
 	nextExpiry time.Time
 	runners    map[definer.UpstreamName]*runner
 	jobs       map[definer.RequestID]*job
 	tallies    map[definer.ClassName]*tally
 	// organisations counts the finished tokens of each.
 	organisations map[definer.OrganisationName]int
-	// longest caps the length of an answer; 0 is no cap.
+	// longest bounds the length of an answer in tokens; 0 means no bound.
 	longest int
 }
 
@@ -156,11 +157,11 @@
 	simulation.events.push(&event)
 }
 
-func newSimulation(t testing.TB, setting setting, options ...Option) *simulation {
-	pool, classes := setting.build(t)
+func newSimulation(t testing.TB, poolSetting poolSetting, options ...Option) *simulation {
+	pool, classes := poolSetting.build(t)
 	made := New(messenger.Shard{Pool: "shared"}, definer.Member{VM: "vm1", Incarnation: 1}, append(options, WithPool(pool), WithEstimator(estimator.New()))...)
 	simulation := &simulation{
-		t: t, scheduler: made, ledger: newLedger(made), source: rand.New(rand.NewPCG(7, 7)), now: start(), nextExpiry: start().Add(expiryStep),
+		t: t, scheduler: made, checker: newChecker(made), source: rand.New(rand.NewPCG(7, 7)), now: start(), nextExpiry: start().Add(expiryStep),
 		runners: make(map[definer.UpstreamName]*runner), jobs: make(map[definer.RequestID]*job),
 		tallies: make(map[definer.ClassName]*tally), organisations: make(map[definer.OrganisationName]int),
 	}
@@ -174,7 +175,7 @@
 	return simulation
 }
 
-// arrive draws the arrivals of a class for the whole run.
+// arrive schedules random (Poisson) arrivals of a demand for the whole run.
 func (simulation *simulation) arrive(demand demand, load float64, slots int, length time.Duration) {
 	service := prefill + time.Duration(demand.tokens*float64(tokenTime))
 	rate := load * demand.share * float64(slots) / service.Seconds()
@@ -208,7 +209,7 @@
 		if simulation.nextExpiry.Before(next.at) {
 			simulation.now = simulation.nextExpiry
 			simulation.nextExpiry = simulation.nextExpiry.Add(expiryStep)
-			simulation.take(simulation.scheduler.Expire(simulation.now))
+			simulation.apply(simulation.scheduler.Expire(simulation.now))
 			continue
 		}
 		if next.at.Sub(start()) > length {
@@ -227,8 +228,8 @@
 
 func (simulation *simulation) ask(job *job) {
 	simulation.tallies[job.ask.Class.Name()].arrived++
-	simulation.ledger.open[job.ask.Request] = &record{ask: job.ask}
-	simulation.take(simulation.scheduler.Ask(simulation.now, job.ask))
+	simulation.checker.open[job.ask.Request] = &record{ask: job.ask}
+	simulation.apply(simulation.scheduler.Ask(simulation.now, job.ask))
 }
 
 func (simulation *simulation) finish(job *job) {
@@ -240,19 +241,19 @@
 	if target == 0 || job.first <= target {
 		tally.met++
 	}
-	upstream := simulation.ledger.running[job.grant].upstream
+	upstream := simulation.checker.running[job.grant].upstream
 	runner := simulation.runners[upstream]
 	runner.running = slices.DeleteFunc(runner.running, isJob(job))
-	delete(simulation.ledger.running, job.grant)
+	delete(simulation.checker.running, job.grant)
 	observation := messenger.Observation{Tokens: job.tokens, FirstToken: prefill, BetweenTokens: tokenTime, Total: simulation.now.Sub(job.granted)}
-	simulation.take(simulation.scheduler.Release(simulation.now, job.grant, observation))
+	simulation.apply(simulation.scheduler.Release(simulation.now, job.grant, observation))
 	runner.begin(simulation.now, simulation)
 }
 
 func isJob(wanted *job) func(*job) bool { return func(other *job) bool { return other == wanted } }
 
-func (simulation *simulation) take(decisions []Decision) {
-	simulation.ledger.take(simulation.now, decisions)
+func (simulation *simulation) apply(decisions []Decision) {
+	simulation.checker.check(simulation.now, decisions)
 	for _, decision := range decisions {
 		job := simulation.jobs[decision.Ask.Request]
 		tally := simulation.tallies[decision.Ask.Class.Name()]
@@ -262,13 +263,13 @@
 			tally.refused++
 			tally.reasons[decision.Reason]++
 			if waited > decision.Ask.Class.LongestWait()/2 {
-				tally.late++
+				tally.lateRefusals++
 			}
 			continue
 		}
 		tally.gap = max(tally.gap, min(waited, simulation.now.Sub(tally.last)))
 		tally.last = simulation.now
-		job.grant, job.priority, job.pausable = decision.Grant, decision.Priority, decision.Preemptible
+		job.grant, job.priority, job.preemptible = decision.Grant, decision.Priority, decision.Preemptible
 		job.granted, job.first = simulation.now, waited+prefill
 		runner := simulation.runners[decision.Upstream]
 		runner.waiting = append(runner.waiting, job)
--- a/scheduler/slots.go
+++ b/scheduler/slots.go
@@ -9,104 +9,107 @@
 	"limpetcleat/definer"
 )
 
-// slots is the slot table of one upstream.
-type slots struct {
+// upstream holds the scheduling state of one upstream.
+type upstream struct {
 	name definer.UpstreamName
-	// upstream is nil until the upstream is configured.
-	upstream *definer.Upstream
+	// definition is nil until the upstream is configured.
+	definition *definer.Upstream
 	// present is false once the upstream has left the configuration.
 	present bool
-	// position is the upstream's bit in a shape.
+	// position is the index of the upstream's bit in the mask of an upstream set.
 	position int
 	// limit is the number of requests that may run at once.
 	limit int
-	// ordinary is the part of limit that unprotected classes may use.
-	ordinary int
-	// active counts the grants that run and are not paused; ordinaryActive
-	// those of them that are unprotected.
-	active         int
-	ordinaryActive int
-	breaker        breaker
-	// permits bounds the requests a second that the upstream takes; nil is no bound.
-	permits *rate.Limiter
-	// spent says that the bound allows none now.
-	spent bool
-	// backoffUntil is until when the upstream wants nothing, backingOff whether that was still to
-	// come when wake was called last; unproven says that it has taken nothing since.
+	// unprotectedLimit is the part of limit that unprotected classes may use.
+	unprotectedLimit int
+	// active counts the grants that run and are not paused; unprotectedActive counts
+	// the unprotected ones among them.
+	active            int
+	unprotectedActive int
+	breaker           breaker
+	// rateLimiter bounds the requests per second; nil means that there is no bound.
+	rateLimiter *rate.Limiter
+	// rateExhausted reports whether rateLimiter allows no request now.
+	rateExhausted bool
+	// backoffUntil is the time until which the upstream asked not to be sent requests;
+	// backingOff reports whether it was in the future at the last updateBackoff; unproven reports
+	// whether the upstream has accepted no request since.
 	backoffUntil time.Time
 	backingOff   bool
 	unproven     bool
-	// trialUntil is until when the request that tries it behind a backoff may be turned away;
-	// zero while none does.
+	// trialUntil is when the trial request after a backoff counts as accepted; zero while no
+	// trial is under way.
 	trialUntil time.Time
-	// cost is the expected work of all its grants, in tokens.
+	// cost is the expected work of all grants of the upstream, in tokens.
 	cost float64
 	// preemptible holds the active grants that may be paused, oldest first.
 	preemptible []*grant
-	// paused holds the paused grants, oldest first. With the unprotected active
-	// ones they number at most ordinary plus the allowance at the last grant.
+	// paused holds the paused grants, oldest first. At each unprotected grant, the
+	// paused and the unprotected active grants together are bounded by unprotectedLimit
+	// plus pausedAllowance.
 	paused []*grant
 }
 
-// room tells whether a request of the kind may start now.
-func (slots *slots) room(protected bool) bool {
-	if slots.active >= slots.limit || !slots.present || !slots.open() {
+// hasRoom reports whether a protected or an unprotected request may start now.
+func (upstream *upstream) hasRoom(protected bool) bool {
+	if upstream.active >= upstream.limit || !upstream.present || !upstream.acceptsRequests() {
 		return false
 	}
 	if protected {
 		return true
 	}
-	return slots.ordinaryActive < slots.ordinary && slots.unstretched() && slots.breaker.admits(slots.active)
+	return upstream.unprotectedActive < upstream.unprotectedLimit && upstream.withinPausedBound() && upstream.breaker.admits(upstream.active)
 }
 
-// unstretched tells whether another unprotected grant keeps the bound on
-// paused ones.
-func (slots *slots) unstretched() bool {
-	if len(slots.paused) == 0 {
+// withinPausedBound reports whether one more unprotected grant respects the bound on
+// paused grants.
+func (upstream *upstream) withinPausedBound() bool {
+	if len(upstream.paused) == 0 {
 		return true
 	}
-	return slots.ordinaryActive+len(slots.paused) < slots.ordinary+slots.allowance()
+	return upstream.unprotectedActive+len(upstream.paused) < upstream.unprotectedLimit+upstream.pausedAllowance()
 }
 
-// resumable tells whether a paused grant may run again.
-func (slots *slots) resumable() bool {
-	if len(slots.paused) == 0 || slots.active >= slots.limit {
+// resumable reports whether a paused grant may run again.
+func (upstream *upstream) resumable() bool {
+	if len(upstream.paused) == 0 || upstream.active >= upstream.limit {
 		return false
 	}
-	return slots.ordinaryActive < slots.ordinary
+	return upstream.unprotectedActive < upstream.unprotectedLimit
 }
 
-// load returns the slots in use, paused ones included, relative to the limit.
-func (slots *slots) load() float64 {
-	return float64(slots.active+len(slots.paused)) / float64(max(slots.limit, 1))
+// load returns the number of grants, paused ones included, relative to the limit.
+func (upstream *upstream) load() float64 {
+	return float64(upstream.active+len(upstream.paused)) / float64(max(upstream.limit, 1))
 }
 
 // reserve divides each upstream's limit between protected and unprotected
 // classes. The protected slots add up to the share of all slots, rounded up;
 // at least one slot of each upstream stays unprotected unless the share is 1.
-func reserve(table []*slots, share float64) {
+func reserve(table []*upstream, share float64) {
 	wanted, given := 0.0, 0
-	for _, slots := range table {
+	for _, upstream := range table {
 		if share >= 1 {
-			slots.ordinary = 0
+			upstream.unprotectedLimit = 0
 			continue
 		}
-		wanted += share * float64(slots.limit)
+		wanted += share * float64(upstream.limit)
 		part := int(math.Ceil(wanted - rounding - float64(given)))
-		part = max(0, min(part, slots.limit-1))
+		part = max(0, min(part, upstream.limit-1))
 		given += part
-		slots.ordinary = slots.limit - part
+		upstream.unprotectedLimit = upstream.limit - part
 	}
 }
 
-// rounding keeps errors of floating point from reserving one slot too many.
+// rounding is a tolerance that keeps floating-point errors from reserving one slot too
+// many.
 const rounding = 1e-9
 
-// victim returns the grant that the engine would pause for work of the
+// victim returns the grant that the engine would pause for a request of the given
 // priority, or nil.
-func (slots *slots) victim(priority int) *grant {
+func (upstream *upstream) victim(priority int) *grant {
 	var victim *grant
-	for _, candidate := range slots.preemptible {
+	for _, candidate := range upstream.preemptible {
 		if candidate.priority <= priority {
 			continue
 		}
@@ -117,15 +120,15 @@
 	return victim
 }
 
-// stretches tells whether one more unprotected grant may stand above the
-// slots.
-func (slots *slots) stretches() bool {
-	if slots.active > slots.limit || slots.ordinaryActive > slots.ordinary {
+// allowsPreemption reports whether one more unprotected request may start by pausing
+// another grant.
+func (upstream *upstream) allowsPreemption() bool {
+	if upstream.active > upstream.limit || upstream.unprotectedActive > upstream.unprotectedLimit {
 		return false
 	}
-	return slots.ordinaryActive+len(slots.paused) < slots.ordinary+slots.allowance()
+	return upstream.unprotectedActive+len(upstream.paused) < upstream.unprotectedLimit+upstream.pausedAllowance()
 }
 
-// allowance is the number of paused grants up to which unprotected work may
-// have others paused.
-func (slots *slots) allowance() int { return slots.limit }
+// pausedAllowance is the number of paused grants up to which unprotected requests may
+// cause grants to be paused.
+func (upstream *upstream) pausedAllowance() int { return upstream.limit }
--- a/scheduler/tier.go
+++ b/scheduler/tier.go
@@ -2,22 +2,23 @@
 
 import "limpetcleat/definer"
 
-// account is what one organisation has used in one tier.
+// account tracks the work granted to one organisation in one tier, for weighted fair
+// queueing.
 type account struct {
 	organisation definer.OrganisationName
 	weight       float64
 	// counter is the work granted so far, divided by the weight.
 	counter float64
-	// flows are the account's queues; none of them is empty.
+	// flows holds the organisation's queues in all lanes of the tier; none is empty.
 	flows []*flow
-	// grants counts the organisation's slots in use in this tier.
+	// grants counts the organisation's grants in this tier.
 	grants int
-	// cost is the waiting work of all flows, in tokens.
+	// cost is the expected work of the waiting asks of all flows, in tokens.
 	cost  float64
 	index int
 }
 
-func (account *account) place() *int { return &account.index }
+func (account *account) indexPointer() *int { return &account.index }
 
 func (account *account) before(other *account) bool {
 	if account.counter != other.counter {
@@ -34,8 +35,8 @@
 	active heap[*account]
 	// weight is the sum of the weights of the active accounts.
 	weight float64
-	// least is the counter that an organisation starts from when none waits.
-	least float64
+	// startCounter is the counter of a new account while no organisation waits.
+	startCounter float64
 }
 
 func newTier() *tier {
@@ -45,7 +46,7 @@
 func (tier *tier) account(name definer.OrganisationName, weight float64) *account {
 	found, ok := tier.accounts[name]
 	if !ok {
-		found = &account{organisation: name, counter: tier.least}
+		found = &account{organisation: name, counter: tier.startCounter}
 		tier.accounts[name] = found
 	}
 	if len(found.flows) == 0 {
@@ -57,16 +58,16 @@
 	return found
 }
 
-// start makes an account active. An organisation that was idle gets no credit
-// for it: its counter is lifted to the least of those that wait.
-func (tier *tier) start(account *account) {
-	account.counter = max(account.counter, tier.floor())
+// activate adds an account that got its first waiting ask. An organisation gets no
+// credit for idle time: its counter is raised to the lowest one of those that wait.
+func (tier *tier) activate(account *account) {
+	account.counter = max(account.counter, tier.minCounter())
 	tier.weight += account.weight
 	tier.active.push(account)
 }
 
-func (tier *tier) stop(account *account) {
-	tier.least = max(tier.least, tier.floor())
+func (tier *tier) deactivate(account *account) {
+	tier.startCounter = max(tier.startCounter, tier.minCounter())
 	tier.active.remove(account)
 	tier.weight -= account.weight
 	if tier.active.len() == 0 {
@@ -74,14 +75,14 @@
 	}
 }
 
-func (tier *tier) floor() float64 {
+func (tier *tier) minCounter() float64 {
 	if tier.active.len() == 0 {
-		return tier.least
+		return tier.startCounter
 	}
 	return tier.active.first().counter
 }
 
-// charge adds work to an account; a negative amount corrects an estimate.
+// charge adds work, in tokens, to an account; a negative cost corrects an estimate.
 func (tier *tier) charge(account *account, cost float64) {
 	account.counter += cost / account.weight
 	if len(account.flows) == 0 {
@@ -93,9 +94,9 @@
 	}
 }
 
-// sweep drops the accounts that stand no worse than a new one would.
+// sweep removes the idle accounts whose counter is not above that of a new account.
 func (tier *tier) sweep() {
-	floor := tier.floor()
+	floor := tier.minCounter()
 	for name, account := range tier.accounts {
 		if len(account.flows) == 0 && account.grants == 0 && account.counter <= floor {
 			delete(tier.accounts, name)
--- a/scheduler/wait.go
+++ b/scheduler/wait.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// longestWait stands for a wait without end.
-const longestWait = time.Hour
+// maxExpectedWait stands for an unbounded wait.
+const maxExpectedWait = time.Hour
 
-// startable tells whether a new ask of the class would start at once.
-func (scheduler *Scheduler) startable(class *class) bool {
-	scheduler.survey()
-	if scheduler.whole.meets(scheduler.roomFor(class)) {
+// canStart reports whether a new ask of the class would start at once.
+func (scheduler *Scheduler) canStart(class *class) bool {
+	scheduler.findRoom()
+	if scheduler.allUpstreams.intersects(scheduler.roomFor(class)) {
 		return true
 	}
-	if !scheduler.pauses() || !scheduler.pausableBelow(class) {
+	if !scheduler.canPreempt() || !scheduler.pausableBelow(class) {
 		return false
 	}
-	return scheduler.victimFor(&lane{class: class, shape: scheduler.whole}) != nil
+	return scheduler.victimFor(&lane{class: class, upstreamSet: scheduler.allUpstreams}) != nil
 }
 
-// expected returns how long an ask that finds no slot free waits: the slot time
-// of the work ahead over the slots that are left to its class. The account is
-// that of its organisation and has the ask's own work in it; it is nil for a
-// new ask of an organisation that has nothing waiting.
-func (scheduler *Scheduler) expected(now time.Time, class *class, shape *shape, account *account) time.Duration {
+// estimateWait returns the expected wait of an ask that finds no free slot: the slot
+// time of the work ahead divided by the slots that are left to its class. The account
+// is that of the ask's organisation and includes the ask's own work; it is nil for a
+// new ask of an organisation that has no ask waiting.
+func (scheduler *Scheduler) estimateWait(now time.Time, class *class, upstreamSet *upstreamSet, account *account) time.Duration {
 	pace := scheduler.pace(class)
 	if pace <= 0 {
 		return 0
 	}
-	mean := scheduler.typical(class) / pace
-	higher, same := scheduler.ahead(class, shape)
+	mean := scheduler.meanCost(class) / pace
+	higher, same := scheduler.workAhead(class, upstreamSet)
 	tier := scheduler.tier(scheduler.tierOf(class))
 	if account == nil {
 		same = min(same, mean*tier.weight)
@@ -42,15 +42,16 @@
 		same += mean
 		own += mean
 	}
-	seconds := (higher + same) / scheduler.available(now, class, shape)
+	seconds := (higher + same) / scheduler.availableSlots(now, class, upstreamSet)
 	if class.floor > 0 {
 		seconds = min(seconds, own/class.floor)
 	}
-	return bounded(seconds, 0, longestWait)
+	return clampSeconds(seconds, 0, maxExpectedWait)
 }
 
-// pace returns the expected work of a class that one slot does in a second; 0
-// is unknown. A class of which nothing has finished goes by all others.
+// pace returns the speed at which one slot does the expected work of a class, in
+// tokens per second; 0 means unknown. While no grant of the class has finished, it
+// returns the speed over all classes.
 func (scheduler *Scheduler) pace(class *class) float64 {
 	if speed := class.meter.speed(); speed > 0 {
 		return speed
@@ -58,21 +59,21 @@
 	return scheduler.meter.speed()
 }
 
-// typical returns the expected work of one ask of the class; a class of which
-// nothing has finished goes by all others.
-func (scheduler *Scheduler) typical(class *class) float64 {
+// meanCost returns the mean expected work of one ask of the class, in tokens. While no
+// grant of the class has finished, it returns the mean over all classes.
+func (scheduler *Scheduler) meanCost(class *class) float64 {
 	if class.meter.count > 0 {
 		return class.meter.mean()
 	}
 	return scheduler.meter.mean()
 }
 
-// available returns the slots that are left to the class: its own, less what
-// higher tiers were granted of late, and less the floors of the lower classes
-// that wait.
-func (scheduler *Scheduler) available(now time.Time, class *class, shape *shape) float64 {
+// availableSlots returns the slots that are left to the class: those that it may use,
+// less the slots that recent grants of higher tiers take, and, for an unprotected
+// class, less the floors of the lower classes that wait.
+func (scheduler *Scheduler) availableSlots(now time.Time, class *class, upstreamSet *upstreamSet) float64 {
 	taken, floors := 0.0, 0.0
-	for _, other := range scheduler.order {
+	for _, other := range scheduler.classesByTier {
 		switch tier := scheduler.tierOf(other); {
 		case tier < scheduler.tierOf(class):
 			taken += other.rate(now) / max(scheduler.pace(other), 1)
@@ -80,23 +81,23 @@
 			floors += other.floor
 		}
 	}
-	part := shape.part(scheduler.whole)
-	whole := float64(shape.limit) - taken*part
-	if scheduler.guards(class) {
+	part := upstreamSet.shareOf(scheduler.allUpstreams)
+	whole := float64(upstreamSet.limit) - taken*part
+	if scheduler.isProtected(class) {
 		return max(0, whole)
 	}
-	return max(0, min(whole, float64(shape.ordinary))-floors*part)
+	return max(0, min(whole, float64(upstreamSet.unprotectedLimit))-floors*part)
 }
 
-// ahead returns the slot time in seconds that the asks of higher tiers and of
-// the class's own wait for, as far as they can use the same upstreams.
-func (scheduler *Scheduler) ahead(class *class, shape *shape) (higher, same float64) {
+// workAhead returns the slot time, in seconds, of the waiting asks of higher tiers and
+// of the class's own tier, weighted by the overlap of their upstreams with the set.
+func (scheduler *Scheduler) workAhead(class *class, upstreamSet *upstreamSet) (higher, same float64) {
 	tier := scheduler.tierOf(class)
 	for _, lane := range scheduler.lanes {
 		if lane.count == 0 {
 			continue
 		}
-		seconds := lane.cost / scheduler.pace(lane.class) * lane.shape.overlap(shape)
+		seconds := lane.cost / scheduler.pace(lane.class) * lane.upstreamSet.overlap(upstreamSet)
 		switch other := scheduler.tierOf(lane.class); {
 		case other < tier:
 			higher += seconds
@@ -107,8 +108,9 @@
 	return higher, same
 }
 
-// bounded returns the seconds as a duration between least and most.
-func bounded(seconds float64, least, most time.Duration) time.Duration {
+// clampSeconds returns the seconds as a duration between least and most; NaN becomes
+// most.
+func clampSeconds(seconds float64, least, most time.Duration) time.Duration {
 	if math.IsNaN(seconds) || seconds >= most.Seconds() {
 		return most
 	}
--- a/scheduler/world_test.go
+++ b/scheduler/world_test.go
@@ -12,7 +12,8 @@
 	"limpetcleat/messenger"
 )
 
-// classDocuments are five tiers like those of the button co-operative.
+// classDocuments returns five classes, one in each tier, like those of the button
+// co-operative.
 func classDocuments() []definer.ClassDocument {
 	return []definer.ClassDocument{
 		{Name: "confirm", Tier: 0, Protected: true, FirstTokenMs: 1000, Attainment: 0.99, LongestWaitMs: 5_000},
@@ -23,28 +24,28 @@
 	}
 }
 
-// impatient are the same classes with a digest that waits 8 s at most.
-func impatient() []definer.ClassDocument {
+// shortWaitClasses returns classDocuments with a longest wait of 8 s for digest.
+func shortWaitClasses() []definer.ClassDocument {
 	documents := classDocuments()
 	documents[4].LongestWaitMs = 8000
 	return documents
 }
 
-type setting struct {
-	upstreams int
-	slots     int
-	share     float64
-	affinity  bool
-	// leaving and gone are upstreams that leave or have left.
+type poolSetting struct {
+	upstreams      int
+	slots          int
+	protectedShare float64
+	affinity       bool
+	// leaving and gone hold the indexes of upstreams that are leaving or have left.
 	leaving map[int]bool
 	gone    map[int]bool
 	classes []definer.ClassDocument
 }
 
-func (setting setting) build(t testing.TB) (*definer.Pool, []*definer.Class) {
-	pool := definer.PoolDocument{Name: "shared", Kind: "engine", ProtectedShare: setting.share, PrefixAffinity: setting.affinity}
-	for index := range setting.upstreams {
-		if setting.gone[index] {
+func (poolSetting poolSetting) build(t testing.TB) (*definer.Pool, []*definer.Class) {
+	pool := definer.PoolDocument{Name: "shared", Kind: "engine", ProtectedShare: poolSetting.protectedShare, PrefixAffinity: poolSetting.affinity}
+	for index := range poolSetting.upstreams {
+		if poolSetting.gone[index] {
 			continue
 		}
 		models := []string{"small"}
@@ -53,28 +54,29 @@
 		}
 		pool.Upstreams = append(pool.Upstreams, definer.UpstreamDocument{
 			Name: fmt.Sprintf("runner%02d", index), DataCentre: "skopje", Address: fmt.Sprintf("127.0.0.1:%d", 9000+index),
-			Models: models, Slots: setting.slots, MaxSlots: 2 * setting.slots, Leaving: setting.leaving[index],
+			Models: models, Slots: poolSetting.slots, MaxSlots: 2 * poolSetting.slots, Leaving: poolSetting.leaving[index],
 		})
 	}
-	if setting.classes == nil {
-		setting.classes = classDocuments()
+	if poolSetting.classes == nil {
+		poolSetting.classes = classDocuments()
 	}
-	configuration, err := definer.Build(1, definer.Document{Classes: setting.classes, Pools: []definer.PoolDocument{pool}})
+	configuration, err := definer.Build(1, definer.Document{Classes: poolSetting.classes, Pools: []definer.PoolDocument{pool}})
 	assert.NilError(t, err)
 	return configuration.Pools()[0], configuration.Classes()
 }
 
 func start() time.Time { return time.Unix(1_700_000_000, 0) }
 
-// ledger follows every ask from outside and keeps what the checks need.
-type ledger struct {
+// checker tracks every ask independently of the scheduler and records violated
+// invariants.
+type checker struct {
 	scheduler *Scheduler
-	// open holds the asks without a final decision, running those granted.
+	// open holds the asks without a decision; running holds the granted ones.
 	open    map[definer.RequestID]*record
 	running map[definer.GrantID]*record
-	// ids holds the keys of running, and some that are gone.
+	// ids holds the keys of running and some that were released.
 	ids []definer.GrantID
-	// paused are the grants that were paused before the step.
+	// paused holds the grants that were paused before the step.
 	paused map[definer.GrantID]bool
 	faults []string
 	counts map[string]int
@@ -82,148 +84,150 @@
 
 type record struct {
 	ask Ask
-	// overtaken says that lower work got a slot of an upstream that fits the
-	// ask after it came.
+	// overtaken reports whether, while the ask waited, a lower tier got a slot of an
+	// upstream that fits the ask.
 	overtaken bool
 	upstream  definer.UpstreamName
 }
 
-func newLedger(scheduler *Scheduler) *ledger {
-	return &ledger{
+func newChecker(scheduler *Scheduler) *checker {
+	return &checker{
 		scheduler: scheduler, counts: make(map[string]int), paused: make(map[definer.GrantID]bool),
 		open: make(map[definer.RequestID]*record), running: make(map[definer.GrantID]*record),
 	}
 }
 
-func (ledger *ledger) fault(format string, values ...any) {
-	ledger.faults = append(ledger.faults, fmt.Sprintf(format, values...))
+func (checker *checker) fault(format string, values ...any) {
+	checker.faults = append(checker.faults, fmt.Sprintf(format, values...))
 }
 
-func (ledger *ledger) fits(ask Ask, slots *slots) bool {
-	return slots.present && !slots.upstream.Leaving() && slots.upstream.Serves(ask.Model) && !slices.Contains(ask.Exclude, slots.name)
+func (checker *checker) fits(ask Ask, upstream *upstream) bool {
+	return upstream.present && !upstream.definition.Leaving() && upstream.definition.Serves(ask.Model) && !slices.Contains(ask.Exclude, upstream.name)
 }
 
-// take checks each decision as it is made.
-func (ledger *ledger) take(now time.Time, decisions []Decision) {
+// check checks new decisions and updates the tracked asks.
+func (checker *checker) check(now time.Time, decisions []Decision) {
 	for _, decision := range decisions {
 		request := decision.Ask.Request
-		waiter, ok := ledger.open[request]
+		waiter, ok := checker.open[request]
 		if !ok {
-			ledger.fault("%s got a decision more", request)
+			checker.fault("%s got a second decision", request)
 			continue
 		}
-		delete(ledger.open, request)
+		delete(checker.open, request)
 		if decision.Granted() {
-			ledger.granted(decision, waiter)
+			checker.checkGrant(decision, waiter)
 			continue
 		}
-		ledger.counts[string(decision.Reason)]++
-		ledger.refused(now, decision, waiter)
+		checker.counts[string(decision.Reason)]++
+		checker.checkRefusal(now, decision, waiter)
 	}
 }
 
-func (ledger *ledger) granted(decision Decision, waiter *record) {
-	if _, twice := ledger.running[decision.Grant]; twice {
-		ledger.fault("grant %s was made twice", decision.Grant)
+func (checker *checker) checkGrant(decision Decision, waiter *record) {
+	if _, twice := checker.running[decision.Grant]; twice {
+		checker.fault("grant %s was made twice", decision.Grant)
 	}
-	ledger.running[decision.Grant] = waiter
-	ledger.ids = append(ledger.ids, decision.Grant)
+	checker.running[decision.Grant] = waiter
+	checker.ids = append(checker.ids, decision.Grant)
 	waiter.ask, waiter.upstream = decision.Ask, decision.Upstream
-	slots := ledger.scheduler.byName[decision.Upstream]
-	if !ledger.fits(decision.Ask, slots) {
-		ledger.fault("%s was sent to %s, which does not fit", decision.Ask.Request, decision.Upstream)
+	upstream := checker.scheduler.byName[decision.Upstream]
+	if !checker.fits(decision.Ask, upstream) {
+		checker.fault("%s was sent to %s, which does not fit", decision.Ask.Request, decision.Upstream)
 	}
-	for _, other := range ledger.open {
+	for _, other := range checker.open {
 		lower := other.ask.Class.Tier() < decision.Ask.Class.Tier()
-		if lower && other.ask.Class.Protected() && ledger.fits(other.ask, slots) {
+		if lower && other.ask.Class.Protected() && checker.fits(other.ask, upstream) {
 			other.overtaken = true
 		}
 	}
 }
 
-// refused checks the invariant of protected classes and the bound on the wait.
-func (ledger *ledger) refused(now time.Time, decision Decision, waiter *record) {
-	if decision.Reason != messenger.NoUpstream && decision.RetryAfter < leastRetry {
-		ledger.fault("%s: Retry-After is %s", decision.Ask.Request, decision.RetryAfter)
+// checkRefusal checks the invariants of protected classes, the bound on the wait and
+// Retry-After.
+func (checker *checker) checkRefusal(now time.Time, decision Decision, waiter *record) {
+	if decision.Reason != messenger.NoUpstream && decision.RetryAfter < minRetryAfter {
+		checker.fault("%s: Retry-After is %s", decision.Ask.Request, decision.RetryAfter)
 	}
 	class := decision.Ask.Class
 	if waited := now.Sub(decision.Ask.Arrival); waited > class.LongestWait()+time.Second {
-		ledger.fault("%s of %s waited %s", decision.Ask.Request, class.Name(), waited)
+		checker.fault("%s of %s waited %s", decision.Ask.Request, class.Name(), waited)
 	}
 	if !class.Protected() || decision.Reason == messenger.NoUpstream {
 		return
 	}
-	ledger.counts["protected refused"]++
+	checker.counts["protected refused"]++
 	if decision.Reason == messenger.Shed {
-		ledger.fault("%s is protected and was shed", decision.Ask.Request)
+		checker.fault("%s is protected and was shed", decision.Ask.Request)
 	}
 	if waiter.overtaken {
-		ledger.fault("%s is protected and was refused (%s) after lower work got its slot", decision.Ask.Request, decision.Reason)
+		checker.fault("%s is protected and was refused (%s) after a lower tier got a slot that fits", decision.Ask.Request, decision.Reason)
 	}
 	late := !decision.Ask.Deadline.IsZero() && decision.Ask.Deadline.Before(now)
-	for id, lower := range ledger.running {
-		if late && ledger.paused[id] {
-			// The slot was freed after the deadline; it could not help any more.
+	for id, lower := range checker.running {
+		if late && checker.paused[id] {
+			// The slot was freed after the deadline, too late for this ask.
 			continue
 		}
-		preemptible := lower.ask.Class.Preemptible() && lower.ask.Class.Tier() > class.Tier() && !ledger.scheduler.grants[id].paused
-		if preemptible && ledger.fits(decision.Ask, ledger.scheduler.byName[lower.upstream]) {
-			ledger.fault("%s is protected and was refused (%s) while %s ran on %s", decision.Ask.Request, decision.Reason, id, lower.upstream)
+		preemptible := lower.ask.Class.Preemptible() && lower.ask.Class.Tier() > class.Tier() && !checker.scheduler.grants[id].paused
+		if preemptible && checker.fits(decision.Ask, checker.scheduler.byName[lower.upstream]) {
+			checker.fault("%s is protected and was refused (%s) while %s ran on %s", decision.Ask.Request, decision.Reason, id, lower.upstream)
 		}
 	}
 }
 
-// audit counts the whole state anew and compares.
-func (ledger *ledger) audit() {
-	scheduler := ledger.scheduler
-	if len(ledger.open) != scheduler.Waiting() || scheduler.due.len() != scheduler.Waiting() {
-		ledger.fault("%d asks are open, %d wait, %d are due", len(ledger.open), scheduler.Waiting(), scheduler.due.len())
+// audit recomputes the counters of the scheduler from its grants and lanes and compares
+// them.
+func (checker *checker) audit() {
+	scheduler := checker.scheduler
+	if len(checker.open) != scheduler.Waiting() || scheduler.byExpiry.len() != scheduler.Waiting() {
+		checker.fault("%d asks are open, %d wait, %d have an expiry", len(checker.open), scheduler.Waiting(), scheduler.byExpiry.len())
 	}
-	if len(ledger.running) != scheduler.Running() {
-		ledger.fault("%d grants run, the table has %d", len(ledger.running), scheduler.Running())
+	if len(checker.running) != scheduler.Running() {
+		checker.fault("%d grants run, the scheduler has %d", len(checker.running), scheduler.Running())
 	}
-	active, ordinary, paused := make(map[*slots]int), make(map[*slots]int), make(map[*slots]int)
+	active, ordinary, paused := make(map[*upstream]int), make(map[*upstream]int), make(map[*upstream]int)
 	classActive, pausable := make(map[*class]int), make(map[*class]int)
 	for id, grant := range scheduler.grants {
-		if ledger.running[id] == nil {
-			ledger.fault("grant %s is in the table alone", id)
+		if checker.running[id] == nil {
+			checker.fault("grant %s is known to the scheduler only", id)
 		}
 		if grant.paused {
-			paused[grant.slots]++
+			paused[grant.upstream]++
 			continue
 		}
-		active[grant.slots]++
+		active[grant.upstream]++
 		classActive[grant.class]++
 		if !grant.protected {
-			ordinary[grant.slots]++
+			ordinary[grant.upstream]++
 		}
 		if grant.preemptible {
 			pausable[grant.class]++
 		}
 	}
-	for _, slots := range scheduler.table {
-		if slots.active != active[slots] || slots.ordinaryActive != ordinary[slots] || len(slots.paused) != paused[slots] {
-			ledger.fault("%s counts %d, %d, %d; it has %d, %d, %d", slots.name, slots.active, slots.ordinaryActive, len(slots.paused), active[slots], ordinary[slots], paused[slots])
+	for _, upstream := range scheduler.upstreams {
+		if upstream.active != active[upstream] || upstream.unprotectedActive != ordinary[upstream] || len(upstream.paused) != paused[upstream] {
+			checker.fault("%s counts %d, %d, %d; it has %d, %d, %d", upstream.name, upstream.active, upstream.unprotectedActive, len(upstream.paused), active[upstream], ordinary[upstream], paused[upstream])
 		}
-		if slots.present && len(slots.paused) > 2*slots.upstream.MaxSlots() {
-			ledger.fault("%s has %d paused", slots.name, len(slots.paused))
+		if upstream.present && len(upstream.paused) > 2*upstream.definition.MaxSlots() {
+			checker.fault("%s has %d paused", upstream.name, len(upstream.paused))
 		}
 	}
 	waiting := make(map[*class]int)
 	for _, lane := range scheduler.lanes {
 		waiting[lane.class] += lane.count
-		if lane.count > 0 && lane.shape.meets(scheduler.roomNow(lane.class)) {
-			ledger.fault("an ask of %s waits beside a free slot", lane.class.definition.Name())
+		if lane.count > 0 && lane.upstreamSet.intersects(scheduler.roomNow(lane.class)) {
+			checker.fault("an ask of %s waits although a slot is free", lane.class.definition.Name())
 		}
 	}
-	for _, class := range scheduler.order {
-		if class.active != classActive[class] || class.pausable != pausable[class] || class.waiting != waiting[class] {
-			ledger.fault("%s counts %d, %d, %d; it has %d, %d, %d", class.definition.Name(), class.active, class.pausable, class.waiting, classActive[class], pausable[class], waiting[class])
+	for _, class := range scheduler.classesByTier {
+		if class.active != classActive[class] || class.preemptibleActive != pausable[class] || class.waiting != waiting[class] {
+			checker.fault("%s counts %d, %d, %d; it has %d, %d, %d", class.definition.Name(), class.active, class.preemptibleActive, class.waiting, classActive[class], pausable[class], waiting[class])
 		}
 	}
 }
 
 func (scheduler *Scheduler) roomNow(class *class) []uint64 {
-	scheduler.survey()
+	scheduler.findRoom()
 	return scheduler.roomFor(class)
 }
