--- a/dispatcher/attempt.go
+++ b/dispatcher/attempt.go
@@ -21,7 +21,7 @@
 	"limpetcleat/quarantiner"
 )
 
-// attempt is one attempt under way.
+// attempt is the state of one attempt in progress.
 type attempt struct {
 	dispatcher *Dispatcher
 	start      decider.StartAttempt
@@ -30,41 +30,43 @@
 	progress   Progress
 	began      time.Time
 	cancel     context.CancelFunc
-	// mutex guards conn and closed; a connection's mutex is taken under it.
+	// mutex guards connection and closed. The mutex of a connection may be locked while
+	// it is held.
 	mutex sync.Mutex
-	// conn is the one connection that the request goes out on.
-	conn *connection
-	// closed says that no connection may be taken any more.
+	// connection is the only connection on which the request is sent.
+	connection *connection
+	// closed reports whether no connection may be used any more.
 	closed bool
-	// delivered counts the tokens of the whole request the caller has got.
+	// delivered counts the tokens that the caller has received over all attempts.
 	delivered int
-	// indexed says that the upstream numbers its tokens, so that an answer can
-	// go on at an offset.
-	indexed bool
-	// finished says that the finish reason has been passed on.
+	// resumable reports whether the upstream numbers its tokens, so that a stream can be
+	// resumed at an offset.
+	resumable bool
+	// finished reports whether a finish reason has arrived.
 	finished    bool
 	observation messenger.Observation
-	// lastToken is when the last token came; pausedSince when the engine said
-	// that it paused the request.
+	// lastToken is the time of the last token; pausedSince is when the engine reported
+	// that it paused the request, or zero.
 	lastToken   time.Time
 	pausedSince time.Time
-	retryAfter  time.Duration
-	// backoff is how long the upstream wants nothing.
+	// retryAfter is the backoff that the upstream asked for.
+	retryAfter time.Duration
+	// backoff is retryAfter, bounded by Dispatcher.longestBackoff.
 	backoff time.Duration
-	// upstreamEnded says that the upstream has ended with the attempt on it, which had only
-	// just begun.
+	// upstreamEnded reports whether the process of the upstream has ended while it ran the
+	// attempt, shortly after the attempt began.
 	upstreamEnded bool
-	// leaving says that the upstream refused since it is leaving.
+	// leaving reports whether the upstream refused because it is leaving.
 	leaving bool
-	// limited says that the upstream takes a limited number of requests.
+	// limited reports whether the upstream announced a rate limit.
 	limited bool
-	// kept holds what was streamed, while it may be kept for repeats.
-	kept   bytes.Buffer
-	answer *decider.StoredAnswer
+	// keptStream holds the bytes sent to the caller, to answer repeats of the request.
+	keptStream bytes.Buffer
+	answer     *decider.StoredAnswer
 }
 
-// ended returns the event that tells how the attempt ended.
-func (attempt *attempt) ended(result decider.AttemptResult) decider.AttemptEnded {
+// endedEvent returns the event that reports the end of the attempt.
+func (attempt *attempt) endedEvent(result decider.AttemptResult) decider.AttemptEnded {
 	observation := attempt.observation
 	observation.Backoff = attempt.backoff
 	observation.Failed = result != decider.Complete && result != decider.Abandoned
@@ -79,7 +81,7 @@
 		Result:        result,
 		Delivered:     attempt.delivered,
 		Begun:         attempt.sink.Begun(),
-		Resumable:     attempt.indexed,
+		Resumable:     attempt.resumable,
 		Observation:   observation,
 		RetryAfter:    attempt.retryAfter,
 		Leaving:       attempt.leaving,
@@ -88,17 +90,17 @@
 	}
 }
 
-// run sends the request and passes the answer on. A stream that was cut is
-// taken up again on its own engine, which has kept what it computed; that is no
-// new attempt, and only done for what may run again if the engine has lost it.
+// run sends the request and forwards the answer. A stream that was cut is resumed on the
+// same engine, which has kept the tokens it computed. Resuming is not a new attempt; it is
+// done only for requests that may run again, in case the engine has lost them.
 func (attempt *attempt) run(ctx context.Context) decider.AttemptResult {
 	result := attempt.send(ctx)
 	for range maxReconnects {
-		// Where requests are limited, each needs a grant of its own.
-		if result != decider.Cut || !attempt.indexed || !attempt.start.Repeatable || attempt.limited || ctx.Err() != nil {
+		// An upstream with a rate limit needs a grant for each request.
+		if result != decider.Cut || !attempt.resumable || !attempt.start.Repeatable || attempt.limited || ctx.Err() != nil {
 			break
 		}
-		if resumed := attempt.send(ctx); mayRun(resumed) {
+		if resumed := attempt.send(ctx); mayHaveRun(resumed) {
 			result = resumed
 		}
 	}
@@ -108,26 +110,26 @@
 	return result
 }
 
-// send sends the request once and passes the answer on.
+// send sends the request once and forwards the answer.
 func (attempt *attempt) send(ctx context.Context) decider.AttemptResult {
 	request, err := attempt.request(ctx)
 	if err != nil {
 		return decider.Unsent
 	}
-	// The upstream must answer in time; after that the answer's own
-	// reader watches over it.
-	watch := time.AfterFunc(attempt.patience(), attempt.cancel)
+	// The timer bounds the time to the response headers; the function that reads the body
+	// has its own timeouts.
+	timer := time.AfterFunc(attempt.answerTimeout(), attempt.cancel)
 	response, err := attempt.transport().RoundTrip(request)
-	watch.Stop()
+	timer.Stop()
 	if err != nil {
-		return attempt.unanswered()
+		return attempt.resultWithoutAnswer()
 	}
 	defer func() { _ = response.Body.Close() }()
 	return attempt.receive(response)
 }
 
-// hasEndedUpstream tells, of an attempt that broke off, whether its upstream has ended and
-// the attempt had only just begun there.
+// hasEndedUpstream reports, for an attempt whose answer was cut, whether the process of the
+// upstream has ended within quarantiner.FreshRun of the first token, or before it.
 func (attempt *attempt) hasEndedUpstream() bool {
 	now := time.Now()
 	first := attempt.observation.FirstToken
@@ -138,64 +140,66 @@
 	return attempt.dispatcher.examiner.Examine(now, start, attempt.start.Upstream.Address(), nil).Ended()
 }
 
-// patience returns how long the upstream may take for its first byte.
-func (attempt *attempt) patience() time.Duration {
+// answerTimeout returns the timeout for the first byte of the answer.
+func (attempt *attempt) answerTimeout() time.Duration {
 	if attempt.start.Kind == definer.Engine && !attempt.exchange.Streamed {
 		return attempt.dispatcher.wholeTimeout
 	}
 	return attempt.dispatcher.firstByteTimeout
 }
 
-// unanswered tells what became of a request that got no answer. Only one of
-// which no byte was written, and none can be any more, is known to be unsent.
-func (attempt *attempt) unanswered() decider.AttemptResult {
+// resultWithoutAnswer returns the result of a request that got no answer. It stops the
+// connection first: only if no byte was written, and none can be written later, the request
+// is known to be unsent.
+func (attempt *attempt) resultWithoutAnswer() decider.AttemptResult {
 	attempt.mutex.Lock()
-	conn := attempt.conn
+	connection := attempt.connection
 	attempt.closed = true
 	attempt.mutex.Unlock()
-	if conn == nil || !conn.stop() {
+	if connection == nil || !connection.stop() {
 		return decider.Unsent
 	}
 	return decider.Cut
 }
 
-// connected takes in the connection that the request goes out on.
-func (attempt *attempt) connected(info httptrace.GotConnInfo) {
-	conn, ok := info.Conn.(*connection)
+// gotConnection records the connection on which the request is sent. It stops any further
+// one.
+func (attempt *attempt) gotConnection(info httptrace.GotConnInfo) {
+	connection, ok := info.Conn.(*connection)
 	if !ok {
 		return
 	}
 	attempt.mutex.Lock()
 	defer attempt.mutex.Unlock()
-	conn.begin(attempt.start.StartBy)
-	if attempt.closed || attempt.conn != nil {
-		// The library sends again by itself, which must not happen.
-		conn.stop()
+	connection.startRequest(attempt.start.StartBy)
+	if attempt.closed || attempt.connection != nil {
+		// net/http is about to retry the request by itself, which must not happen.
+		connection.stop()
 		return
 	}
-	attempt.conn = conn
+	attempt.connection = connection
 }
 
 func (attempt *attempt) transport() *http.Transport {
 	if attempt.start.Repeatable {
-		return attempt.dispatcher.shared
+		return attempt.dispatcher.pooled
 	}
-	return attempt.dispatcher.single
+	return attempt.dispatcher.oneShot
 }
 
 func (attempt *attempt) request(ctx context.Context) (*http.Request, error) {
 	attempt.mutex.Lock()
-	attempt.conn, attempt.closed = nil, false
+	attempt.connection, attempt.closed = nil, false
 	attempt.mutex.Unlock()
-	trace := &httptrace.ClientTrace{GotConn: attempt.connected}
+	trace := &httptrace.ClientTrace{GotConn: attempt.gotConnection}
 	target := "http://" + attempt.start.Upstream.Address() + attempt.exchange.Path
 	request, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), attempt.exchange.Method, target, bytes.NewReader(attempt.exchange.Body))
 	if err != nil {
 		return nil, err
 	}
-	// Without GetBody the library does not send a body again.
+	// Without GetBody, net/http cannot send the body again.
 	request.GetBody = nil
-	request.Header = passOn(attempt.exchange.Header)
+	request.Header = forwardedHeader(attempt.exchange.Header)
 	request.Header.Set(headerAttempt, string(attempt.start.Attempt))
 	request.Header.Set(headerPriority, strconv.Itoa(attempt.start.Priority))
 	if attempt.start.Preemptible {
@@ -207,36 +211,37 @@
 	return request, nil
 }
 
-// receive judges the answer's head and reads its body.
+// receive checks the status and headers of the answer and reads its body accordingly.
 func (attempt *attempt) receive(response *http.Response) decider.AttemptResult {
 	echoed := response.Header.Get(headerAttempt)
 	refused := response.Header.Get(headerNotRun) != "" && response.StatusCode >= http.StatusBadRequest
 	own := echoed == string(attempt.start.Attempt) || refused && echoed == ""
 	if own {
-		attempt.heed(response, refused)
+		attempt.readStatement(response, refused)
 	}
 	switch {
 	case !own:
 		return attempt.mismatch(echoed)
-	case attempt.callersFault(response.StatusCode):
-		return attempt.whole(response, refused)
+	case attempt.isCallerError(response.StatusCode):
+		return attempt.receiveWhole(response, refused)
 	case refused:
-		attempt.leaving = saysLeaving(response)
+		attempt.leaving = refusedAsLeaving(response)
 		return decider.RefusedUnrun
 	case attempt.start.Kind != definer.Engine:
-		return attempt.whole(response, false)
+		return attempt.receiveWhole(response, false)
 	case response.StatusCode != http.StatusOK:
 		return decider.Broken
 	case attempt.exchange.Streamed:
-		return attempt.stream(response)
+		return attempt.receiveStream(response)
 	default:
-		return attempt.whole(response, false)
+		return attempt.receiveWhole(response, false)
 	}
 }
 
-// heed tells how the upstream wants to be asked. A refusal that names no limit may come from
-// before there was one.
-func (attempt *attempt) heed(response *http.Response, refused bool) {
+// readStatement reads from the headers how the upstream wants to be sent requests, and
+// announces a changed limit or that the upstream is leaving. A refusal without a limit does not
+// lift one: the upstream may have sent the refusal before it had the limit.
+func (attempt *attempt) readStatement(response *http.Response, refused bool) {
 	said := interpreter.Interpret(response.StatusCode, response.Header)
 	if said.Unreadable != "" {
 		attempt.dispatcher.log(logger.EventStatementUnreadable, "upstream", attempt.start.Upstream.Name(), "headers", said.Unreadable)
@@ -244,14 +249,14 @@
 	attempt.backoff, attempt.retryAfter = min(said.RetryAfter, attempt.dispatcher.longestBackoff), said.RetryAfter
 	_, attempt.limited = said.Limit.PerSecond()
 	name := attempt.start.Upstream.Name()
-	limitIsNews := (!refused || attempt.limited) && attempt.dispatcher.latest.replace(time.Now(), name, said.Limit)
+	limitIsNews := (!refused || attempt.limited) && attempt.dispatcher.limitCache.replace(time.Now(), name, said.Limit)
 	if limitIsNews || said.Leaving {
 		attempt.dispatcher.announce(decider.UpstreamAnnounced{Upstream: name, SentAt: attempt.began, Limit: said.Limit, Leaving: said.Leaving})
 	}
 }
 
-// mismatch ends an attempt whose answer does not carry its id. An answer that
-// carries another one is logged.
+// mismatch returns the result of an answer that does not carry the id of the attempt. It
+// logs the answer if it carries another id.
 func (attempt *attempt) mismatch(echoed string) decider.AttemptResult {
 	if echoed != "" {
 		attempt.dispatcher.log(logger.EventUpstreamMismatch, "request", attempt.start.Request, "attempt", attempt.start.Attempt, "upstream", attempt.start.Upstream.Name())
@@ -259,23 +264,22 @@
 	return decider.Broken
 }
 
-// callersFault tells whether an engine's status says that no engine would take
-// the request, so that the caller has to see it.
-func (attempt *attempt) callersFault(status int) bool {
+// isCallerError reports whether an engine's status means that every engine would reject
+// the request, so that the answer is forwarded to the caller.
+func (attempt *attempt) isCallerError(status int) bool {
 	faults := []int{http.StatusBadRequest, http.StatusRequestEntityTooLarge, http.StatusUnprocessableEntity}
 	return attempt.start.Kind == definer.Engine && !attempt.start.KeepAnswer && !attempt.sink.Begun() && slices.Contains(faults, status)
 }
 
 const (
-	// leavingType is the error type with which an upstream refuses while it is
-	// leaving.
-	leavingType = "leaving"
-	// maxRefusal bounds how much of a refusal is read.
-	maxRefusal = 64 << 10
+	// leavingErrorType is the error type in the refusals of an upstream that is leaving.
+	leavingErrorType = "leaving"
+	// maxRefusalBody bounds how many bytes of a refusal are read.
+	maxRefusalBody = 64 << 10
 )
 
-// saysLeaving tells whether an upstream refused since it is leaving.
-func saysLeaving(response *http.Response) bool {
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxRefusal))
-	return err == nil && gjson.GetBytes(body, "error.type").String() == leavingType
+// refusedAsLeaving reports whether an upstream refused because it is leaving.
+func refusedAsLeaving(response *http.Response) bool {
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxRefusalBody))
+	return err == nil && gjson.GetBytes(body, "error.type").String() == leavingErrorType
 }
--- a/dispatcher/canceller.go
+++ b/dispatcher/canceller.go
@@ -13,37 +13,38 @@
 	"limpetcleat/logger"
 )
 
-// errTooMany is the cause of an order that found no room in the queue.
-var errTooMany = errors.New("too many orders to cancel wait")
+// errQueueFull is the cause logged for a cancellation that is dropped because the queue is
+// full.
+var errQueueFull = errors.New("the queue of cancellations is full")
 
 const (
 	cancelWorkers = 8
-	// maxCancels bounds the orders to cancel that wait for a worker.
-	maxCancels = 1024
+	// maxQueuedCancels bounds the cancellations that wait for a worker.
+	maxQueuedCancels = 1024
 )
 
-// cancelOrder names the attempt that an engine is to stop.
+// cancelOrder is a request to an engine to stop an attempt.
 type cancelOrder struct {
 	address string
 	attempt definer.AttemptID
 }
 
-// canceller tells engines to stop attempts, beside the requests that go on. It
-// does its best: an order is lost when too many wait.
+// canceller tells engines to stop attempts, in worker goroutines of its own. Delivery is
+// best effort: an order is dropped when the queue is full.
 type canceller struct {
 	transport *http.Transport
 	log       Log
 	orders    chan cancelOrder
 	workers   conc.WaitGroup
-	// mutex guards closed and the closing of orders.
+	// mutex guards closed, and orders against a send after its closing.
 	mutex  sync.Mutex
 	closed bool
 }
 
 func newCanceller(transport *http.Transport, log Log) *canceller {
-	canceller := &canceller{transport: transport, log: log, orders: make(chan cancelOrder, maxCancels)}
+	canceller := &canceller{transport: transport, log: log, orders: make(chan cancelOrder, maxQueuedCancels)}
 	for range cancelWorkers {
-		canceller.workers.Go(canceller.work)
+		canceller.workers.Go(canceller.runWorker)
 	}
 	return canceller
 }
@@ -58,16 +59,16 @@
 	select {
 	case canceller.orders <- order:
 	default:
-		canceller.failed(order, errTooMany)
+		canceller.logFailure(order, errQueueFull)
 	}
 }
 
-// failed logs that an engine was not told.
-func (canceller *canceller) failed(order cancelOrder, cause error) {
+// logFailure logs that an engine could not be told to stop an attempt.
+func (canceller *canceller) logFailure(order cancelOrder, cause error) {
 	canceller.log(logger.EventCancelFailed, "attempt", order.attempt, "address", order.address, "cause", cause)
 }
 
-// close carries out what is queued and ends the workers.
+// close sends the queued orders and stops the workers.
 func (canceller *canceller) close() {
 	canceller.mutex.Lock()
 	if !canceller.closed {
@@ -78,7 +79,7 @@
 	canceller.workers.Wait()
 }
 
-func (canceller *canceller) work() {
+func (canceller *canceller) runWorker() {
 	for order := range canceller.orders {
 		canceller.send(order)
 	}
@@ -94,9 +95,9 @@
 	request.Header.Set("Content-Type", "application/json")
 	response, err := canceller.transport.RoundTrip(request)
 	if err != nil {
-		canceller.failed(order, err)
+		canceller.logFailure(order, err)
 		return
 	}
-	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxLeftOver))
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxDrain))
 	_ = response.Body.Close()
 }
--- a/dispatcher/connection.go
+++ b/dispatcher/connection.go
@@ -7,31 +7,32 @@
 	"time"
 )
 
-// errStopped is returned for a write that must not happen any more.
-var errStopped = errors.New("the connection may not be written to any more")
+// errStopped is returned by Write after the connection was stopped.
+var errStopped = errors.New("the connection is stopped and accepts no more writes")
 
-// connection knows whether a byte of the request in hand may have gone out. It
-// serves one request at a time.
+// connection is a network connection that records whether a byte of the current request
+// may have been sent. It serves one request at a time.
 type connection struct {
 	net.Conn
-	// mutex guards the rest; no other lock is taken under it.
+	// mutex guards the fields below; no other lock is acquired while it is held.
 	mutex sync.Mutex
-	// startBy, when not zero, is when it is too late for a first byte.
+	// startBy, if not zero, is the time from which the first byte may not be sent.
 	startBy time.Time
-	wrote   bool
-	// stopped is never taken back.
+	written bool
+	// stopped is never reset.
 	stopped bool
 }
 
-// begin hands the connection to a next request.
-func (connection *connection) begin(startBy time.Time) {
+// startRequest prepares the connection for the next request.
+func (connection *connection) startRequest(startBy time.Time) {
 	connection.mutex.Lock()
 	defer connection.mutex.Unlock()
 	connection.startBy = startBy
-	connection.wrote = false
+	connection.written = false
 }
 
-// Write writes, unless the connection was stopped or it is too late to begin.
+// Write writes data, unless the connection was stopped or startBy has passed before the
+// first byte; it then returns errStopped.
 func (connection *connection) Write(data []byte) (int, error) {
 	if !connection.mayWrite() {
 		return 0, errStopped
@@ -42,19 +43,19 @@
 func (connection *connection) mayWrite() bool {
 	connection.mutex.Lock()
 	defer connection.mutex.Unlock()
-	late := !connection.wrote && !connection.startBy.IsZero() && !time.Now().Before(connection.startBy)
+	late := !connection.written && !connection.startBy.IsZero() && !time.Now().Before(connection.startBy)
 	if connection.stopped || late {
 		connection.stopped = true
 		return false
 	}
-	connection.wrote = true
+	connection.written = true
 	return true
 }
 
-// stop forbids all writes to come and tells whether a byte may have gone out.
+// stop rejects all later writes and reports whether a byte may have been sent.
 func (connection *connection) stop() bool {
 	connection.mutex.Lock()
 	defer connection.mutex.Unlock()
 	connection.stopped = true
-	return connection.wrote
+	return connection.written
 }
--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -1,9 +1,11 @@
-// Package dispatcher carries out attempts: it sends a caller's request to one
-// upstream, checks that the answer is whole and the caller's own, and passes it
-// on. It never turns to another upstream and never sends twice what may run
-// only once. It sends one request more only for a stream that was cut: that of a
-// request that may run again, to the engine that numbered its tokens, under the
-// same attempt and from the first token that the caller lacks.
+// Package dispatcher is the HTTP client for upstreams: it executes one attempt of a
+// caller's request on one upstream, checks that the answer is complete and belongs to the
+// attempt, and forwards it to the caller.
+//
+// It never switches to another upstream and never sends a request twice that may run only
+// once. It reconnects only after a stream was cut, if the request may run again and the
+// engine numbers its tokens: it then sends one more request to the same engine, with the
+// same attempt id and from the first token that the caller lacks.
 package dispatcher
 
 import (
@@ -18,7 +20,7 @@
 	"limpetcleat/interpreter"
 )
 
-// The headers of the protocol towards upstreams.
+// Headers of the protocol between router and upstreams.
 const (
 	headerAttempt     = "X-Attempt-Id"
 	headerPriority    = "X-Priority"
@@ -35,53 +37,55 @@
 	defaultWholeTimeout     = 2 * time.Minute
 	defaultCancelTimeout    = 2 * time.Second
 	defaultConnections      = 64
-	// maxWholeAnswer bounds an answer that is checked before it is passed on.
+	// maxWholeAnswer bounds the bytes of an answer that is checked before it is
+	// forwarded.
 	maxWholeAnswer = 16 << 20
-	// maxKeptStream bounds a stream that is kept for repeats.
+	// maxKeptStream bounds the bytes of a stream that is stored to answer repeats of the
+	// request.
 	maxKeptStream = 1 << 20
-	// maxLeftOver bounds what is read after the end of an answer, so that its
-	// connection can be used again.
-	maxLeftOver = 4 << 10
-	// leftOverTimeout bounds the time for it.
-	leftOverTimeout = 100 * time.Millisecond
-	// maxPause bounds how long an engine may have a request paused.
+	// maxDrain bounds the bytes that are read after the end of an answer so that the
+	// connection can be reused.
+	maxDrain = 4 << 10
+	// drainTimeout bounds the time for reading them.
+	drainTimeout = 100 * time.Millisecond
+	// maxPause bounds how long an engine may pause a request.
 	maxPause = 5 * time.Minute
-	// maxReconnects bounds how often a cut stream is taken up again on its engine.
+	// maxReconnects bounds how often a cut stream is resumed on its engine.
 	maxReconnects = 1
 	dialTimeout   = 2 * time.Second
 	idleTimeout   = 30 * time.Second
 )
 
-// Exchange is one caller's request as it goes to an upstream.
+// Exchange is one caller's request as it is sent to an upstream.
 type Exchange struct {
 	Method string
 	// Path begins with a slash and may carry a query.
 	Path   string
 	Header http.Header
 	Body   []byte
-	// Streamed says that the caller wants tokens as they come.
+	// Streamed reports whether the caller wants tokens as they arrive.
 	Streamed bool
 }
 
-// Sink takes the caller's answer.
+// Sink receives the answer for the caller.
 type Sink interface {
-	// Begin writes the status and the header; it is called at most once.
+	// Begin writes the status and the headers; it is called at most once.
 	Begin(status int, header http.Header)
-	// Write writes a part of the body and pushes it to the caller.
+	// Write writes a part of the body and flushes it to the caller.
 	Write(data []byte) error
-	// Begun tells whether Begin was called.
+	// Begun reports whether Begin was called.
 	Begun() bool
 }
 
-// Progress is told how many tokens the caller has got.
+// Progress is called with the number of tokens delivered to the caller so far.
 type Progress func(delivered int)
 
-// Dispatcher sends attempts to upstreams.
+// Dispatcher executes attempts on upstreams. It is safe for concurrent use.
 type Dispatcher struct {
-	// shared keeps connections; single opens one for each attempt, so that the
-	// library never sends by itself what may not be sent twice.
-	shared           *http.Transport
-	single           *http.Transport
+	// pooled reuses connections. oneShot opens a connection for each attempt, so that
+	// net/http never retries a request by itself that may not be sent twice.
+	pooled           *http.Transport
+	oneShot          *http.Transport
 	canceller        *canceller
 	examiner         *examiner.Examiner
 	firstByteTimeout time.Duration
@@ -89,86 +93,88 @@
 	wholeTimeout     time.Duration
 	// log must not block.
 	log Log
-	// announce is told what an answer says of how its upstream wants to be asked.
-	announce func(announced decider.UpstreamAnnounced)
-	latest   *latest
-	// longestBackoff bounds how long an upstream may ask not to be sent anything.
+	// announce receives rate limits and announcements to leave that answers carry.
+	announce   func(announced decider.UpstreamAnnounced)
+	limitCache *limitCache
+	// longestBackoff bounds the backoff that an upstream may ask for.
 	longestBackoff time.Duration
 }
 
-// Log takes in one numbered event; pairs are names and values in turn.
+// Log logs one numbered event; pairs are alternating names and values.
 type Log func(number int, pairs ...any)
 
 // Option changes one setting of a Dispatcher.
 type Option func(*Dispatcher)
 
-// WithTimeouts sets how long an upstream may take for its first byte and
-// between two tokens.
+// WithTimeouts sets the timeouts for the first byte of an answer and between two
+// tokens.
 func WithTimeouts(firstByte, stall time.Duration) Option {
 	return func(dispatcher *Dispatcher) {
 		dispatcher.firstByteTimeout, dispatcher.stallTimeout = firstByte, stall
 	}
 }
 
-// WithWholeTimeout sets how long an engine may take for an answer in one piece,
-// which sends no byte before it is computed.
+// WithWholeTimeout sets the timeout for an engine's answer that is not streamed, of which
+// no byte is sent before it is computed.
 func WithWholeTimeout(timeout time.Duration) Option {
 	return func(dispatcher *Dispatcher) { dispatcher.wholeTimeout = timeout }
 }
 
 // WithConnections bounds the idle connections kept to each upstream.
 func WithConnections(count int) Option {
-	return func(dispatcher *Dispatcher) { dispatcher.shared.MaxIdleConnsPerHost = count }
+	return func(dispatcher *Dispatcher) { dispatcher.pooled.MaxIdleConnsPerHost = count }
 }
 
-// WithLog sets where numbered events go; it must not block. The default drops
-// them.
+// WithLog sets the function that logs numbered events; it must not block. The default
+// discards them.
 func WithLog(log Log) Option {
 	return func(dispatcher *Dispatcher) { dispatcher.log = log }
 }
 
-// WithLongestBackoff bounds how long an upstream may ask not to be sent anything.
+// WithLongestBackoff bounds the backoff that an upstream may ask for.
 func WithLongestBackoff(span time.Duration) Option {
 	return func(dispatcher *Dispatcher) { dispatcher.longestBackoff = span }
 }
 
-// WithAnnouncements sets what is told, as soon as the head of an answer has come, how its
-// upstream wants to be asked; the default is nothing.
+// WithAnnouncements sets the function that is called, as soon as the headers of an answer have
+// arrived, with the rate limit that the upstream announces and whether it is leaving. The
+// default does nothing.
 func WithAnnouncements(announce func(announced decider.UpstreamAnnounced)) Option {
 	return func(dispatcher *Dispatcher) { dispatcher.announce = announce }
 }
 
-// New returns a dispatcher; Close ends it.
+// New returns a dispatcher. The caller must close it with Close.
 func New(options ...Option) *Dispatcher {
 	dispatcher := &Dispatcher{
-		shared:           newTransport(),
-		single:           newTransport(),
+		pooled:           newTransport(),
+		oneShot:          newTransport(),
 		firstByteTimeout: defaultFirstByteTimeout,
 		stallTimeout:     defaultStallTimeout,
 		wholeTimeout:     defaultWholeTimeout,
 		log:              func(int, ...any) {},
 		announce:         func(decider.UpstreamAnnounced) {},
-		latest:           newLatest(),
+		limitCache:       newLimitCache(),
 		longestBackoff:   interpreter.MaxRetryAfter,
-		examiner:         examiner.New(look),
+		examiner:         examiner.New(probe),
 	}
-	dispatcher.single.DisableKeepAlives = true
+	dispatcher.oneShot.DisableKeepAlives = true
 	for _, option := range options {
 		option(dispatcher)
 	}
-	dispatcher.canceller = newCanceller(dispatcher.shared, dispatcher.log)
+	dispatcher.canceller = newCanceller(dispatcher.pooled, dispatcher.log)
 	return dispatcher
 }
 
-// Close waits for engines to be told of cancelled work, for a short time, and
+// Close waits until the queued cancellations are sent or have timed out, and
 // closes idle connections.
 func (dispatcher *Dispatcher) Close() {
 	dispatcher.canceller.close()
-	dispatcher.shared.CloseIdleConnections()
+	dispatcher.pooled.CloseIdleConnections()
 }
 
-// Run carries out one attempt and returns how it ended. When the context ends
-// because the caller left, the result is Abandoned and the engine is told.
+// Run executes one attempt and returns its result. If ctx ends before the answer is
+// complete, because the caller left, the result is Abandoned. An engine that may still run
+// the attempt is told to cancel it.
 func (dispatcher *Dispatcher) Run(ctx context.Context, start decider.StartAttempt, exchange Exchange, sink Sink, progress Progress) decider.AttemptEnded {
 	attemptContext, cancel := attemptContext(ctx, start.Deadline)
 	defer cancel()
@@ -184,26 +190,26 @@
 	}
 	result := attempt.run(attemptContext)
 	attempt.upstreamEnded = result == decider.Cut && attemptContext.Err() == nil && attempt.hasEndedUpstream()
-	if ctx.Err() != nil && mayRun(result) && result != decider.Complete {
+	if ctx.Err() != nil && mayHaveRun(result) && result != decider.Complete {
 		result = decider.Abandoned
 	}
-	if start.Kind == definer.Engine && mayRun(result) && result != decider.Complete {
+	if start.Kind == definer.Engine && mayHaveRun(result) && result != decider.Complete {
 		dispatcher.Cancel(start.Upstream, start.Attempt)
 	}
-	return attempt.ended(result)
+	return attempt.endedEvent(result)
 }
 
-// look tells whether anything listens at an address.
-func look(ctx context.Context, address string) dialer.Presence {
+// probe reports whether a process listens at an address.
+func probe(ctx context.Context, address string) dialer.Presence {
 	presence, conn := dialer.Look(ctx, address)
 	if conn != nil {
-		_ = conn.Close() // It was made to see that it can be.
+		_ = conn.Close() // Only the success of the dial matters.
 	}
 	return presence
 }
 
-// mayRun tells whether the upstream may have run an attempt with the result.
-func mayRun(result decider.AttemptResult) bool {
+// mayHaveRun reports whether the upstream may have run an attempt with the result.
+func mayHaveRun(result decider.AttemptResult) bool {
 	return result != decider.Unsent && result != decider.RefusedUnrun
 }
 
@@ -214,7 +220,8 @@
 	return context.WithDeadline(ctx, deadline)
 }
 
-// Cancel tells an engine to stop an attempt. It does its best and never blocks.
+// Cancel tells an engine to stop an attempt. It never blocks and gives no guarantee of
+// delivery.
 func (dispatcher *Dispatcher) Cancel(upstream *definer.Upstream, attempt definer.AttemptID) {
 	dispatcher.canceller.cancel(cancelOrder{address: upstream.Address(), attempt: attempt})
 }
--- a/dispatcher/dispatcher_test.go
+++ b/dispatcher/dispatcher_test.go
@@ -22,7 +22,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// sink keeps an answer.
+// sink records an answer.
 type sink struct {
 	status int
 	header http.Header
@@ -37,17 +37,17 @@
 	return sink.err
 }
 
-// upstream is a bare TCP server that counts what it is sent.
+// upstream is a plain TCP server that counts the requests and bytes that it receives.
 type upstream struct {
 	listener net.Listener
-	// requests counts those whose header came whole; bytes counts all.
+	// requests counts completely received requests; bytes counts all received bytes.
 	requests atomic.Int64
 	bytes    atomic.Int64
 	group    conc.WaitGroup
 }
 
-// serve gives each request's number and connection to answer, which tells
-// whether the connection is kept.
+// serve starts an upstream that calls answer with the number of each request and its
+// connection; answer reports whether the connection stays open.
 func serve(t *testing.T, answer func(number int64, conn net.Conn, request *http.Request) bool) *upstream {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -71,7 +71,7 @@
 
 func (upstream *upstream) read(conn net.Conn, answer func(int64, net.Conn, *http.Request) bool) {
 	defer func() { _ = conn.Close() }()
-	reader := bufio.NewReader(&counted{Conn: conn, bytes: &upstream.bytes})
+	reader := bufio.NewReader(&countingConn{Conn: conn, bytes: &upstream.bytes})
 	for {
 		request, err := http.ReadRequest(reader)
 		if err != nil {
@@ -86,14 +86,14 @@
 	}
 }
 
-type counted struct {
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (counted *counted) Read(data []byte) (int, error) {
-	count, err := counted.Conn.Read(data)
-	counted.bytes.Add(int64(count))
+func (countingConn *countingConn) Read(data []byte) (int, error) {
+	count, err := countingConn.Conn.Read(data)
+	countingConn.bytes.Add(int64(count))
 	return count, err
 }
 
@@ -109,7 +109,7 @@
 	return pool.Upstreams()[0]
 }
 
-// run carries out one attempt.
+// run executes one attempt on the upstream.
 func (upstream *upstream) run(t *testing.T, dispatcher *dispatcher.Dispatcher, start decider.StartAttempt, exchange dispatcher.Exchange) (decider.AttemptEnded, *sink) {
 	t.Helper()
 	start.Request, start.Attempt, start.Upstream = "r", "r.1", upstream.definition(t, start.Kind)
@@ -126,11 +126,11 @@
 	return err == nil
 }
 
-const echo = "HTTP/1.1 200 OK\r\nX-Attempt-Id: r.1\r\n"
+const responseHead = "HTTP/1.1 200 OK\r\nX-Attempt-Id: r.1\r\n"
 
-// TestNothingIsSentTwice checks that the HTTP library never sends a request
-// again by itself, also one that it thinks safe, on a connection that an
-// upstream closes after it has read.
+// TestNothingIsSentTwice checks that net/http never retries a request by itself, not even
+// one that it considers idempotent, when the upstream closes the connection after it has
+// read the request.
 func TestNothingIsSentTwice(t *testing.T) {
 	cases := []struct {
 		name, method, body string
@@ -148,7 +148,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			upstream := serve(t, func(number int64, conn net.Conn, _ *http.Request) bool {
-				return number == 1 && write(conn, echo+"Content-Length: 0\r\n\r\n")
+				return number == 1 && write(conn, responseHead+"Content-Length: 0\r\n\r\n")
 			})
 			client := dispatcher.New()
 			defer client.Close()
@@ -163,9 +163,10 @@
 	}
 }
 
+// TestStartBy checks that no byte is sent once StartBy has passed.
 func TestStartBy(t *testing.T) {
 	upstream := serve(t, func(_ int64, conn net.Conn, _ *http.Request) bool {
-		return write(conn, echo+"Content-Length: 0\r\n\r\n")
+		return write(conn, responseHead+"Content-Length: 0\r\n\r\n")
 	})
 	client := dispatcher.New()
 	defer client.Close()
@@ -173,14 +174,15 @@
 		start := decider.StartAttempt{Kind: definer.Service, Repeatable: repeatable, StartBy: time.Now()}
 		ended, _ := upstream.run(t, client, start, dispatcher.Exchange{Method: http.MethodPost, Body: []byte("{}")})
 		assert.Equal(t, ended.Result, decider.Unsent)
-		assert.Equal(t, upstream.bytes.Load(), int64(0), "no byte may go out")
+		assert.Equal(t, upstream.bytes.Load(), int64(0), "bytes were sent although StartBy had passed")
 	}
 	start := decider.StartAttempt{Kind: definer.Service, StartBy: time.Now().Add(time.Hour)}
 	ended, _ := upstream.run(t, client, start, dispatcher.Exchange{Method: http.MethodPost})
 	assert.Equal(t, ended.Result, decider.Complete)
 }
 
-// TestHead checks which answers are taken by their head alone.
+// TestHead checks the results of answers that are not streamed, by their status, headers
+// and body.
 func TestHead(t *testing.T) {
 	cases := []struct {
 		name, answer string
@@ -191,11 +193,11 @@
 		{"closed without a word", "", definer.Service, decider.Cut, ""},
 		{"no attempt id", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", definer.Service, decider.Broken, ""},
 		{"crossed", "HTTP/1.1 200 OK\r\nX-Attempt-Id: r.2\r\nContent-Length: 0\r\n\r\n", definer.Service, decider.Broken, ""},
-		{"whole", echo + "Content-Length: 2\r\n\r\nok", definer.Service, decider.Complete, "ran"},
+		{"whole", responseHead + "Content-Length: 2\r\n\r\nok", definer.Service, decider.Complete, "ran"},
 		{"service's own error", "HTTP/1.1 500 E\r\nX-Attempt-Id: r.1\r\nContent-Length: 0\r\n\r\n", definer.Service, decider.Complete, "ran"},
-		{"short", echo + "Content-Length: 3\r\n\r\nok", definer.Service, decider.Cut, ""},
-		{"chunks without an end", echo + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", definer.Service, decider.Cut, ""},
-		{"no length at all", echo + "\r\nok", definer.Service, decider.Broken, ""},
+		{"short", responseHead + "Content-Length: 3\r\n\r\nok", definer.Service, decider.Cut, ""},
+		{"chunks without an end", responseHead + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", definer.Service, decider.Cut, ""},
+		{"no length at all", responseHead + "\r\nok", definer.Service, decider.Broken, ""},
 		{"refused", "HTTP/1.1 503 S\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", definer.Service, decider.RefusedUnrun, ""},
 		{"refused for another", "HTTP/1.1 503 S\r\nX-Not-Run: 1\r\nX-Attempt-Id: r.2\r\nContent-Length: 0\r\n\r\n", definer.Service, decider.Broken, ""},
 		{"answered and not run", "HTTP/1.1 200 OK\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", definer.Service, decider.Broken, ""},
@@ -203,8 +205,8 @@
 		{"engine knows the attempt", "HTTP/1.1 409 C\r\nX-Attempt-Id: r.1\r\nContent-Length: 0\r\n\r\n", definer.Engine, decider.Broken, ""},
 		{"caller's fault", "HTTP/1.1 400 B\r\nX-Attempt-Id: r.1\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", definer.Engine, decider.Complete, "notRun"},
 		{"caller's fault, it seems", "HTTP/1.1 400 B\r\nX-Attempt-Id: r.1\r\nContent-Length: 0\r\n\r\n", definer.Engine, decider.Complete, "unknown"},
-		{"engine's answer without a reason", echo + "Content-Length: 19\r\n\r\n{\"attemptId\":\"r.1\"}", definer.Engine, decider.Broken, ""},
-		{"engine's answer is no JSON", echo + "Content-Length: 3\r\n\r\n{\"a", definer.Engine, decider.Broken, ""},
+		{"engine's answer without a reason", responseHead + "Content-Length: 19\r\n\r\n{\"attemptId\":\"r.1\"}", definer.Engine, decider.Broken, ""},
+		{"engine's answer is no JSON", responseHead + "Content-Length: 3\r\n\r\n{\"a", definer.Engine, decider.Broken, ""},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -223,37 +225,38 @@
 }
 
 const (
-	one    = `data: {"attemptId":"r.1","tokenIndex":0,"choices":[{"delta":{"content":"a"}}]}` + "\n\n"
-	two    = `data: {"attemptId":"r.1","tokenIndex":1,"choices":[{"delta":{"content":"b"},"finish_reason":"stop"}]}` + "\n\n"
-	done   = "data: [DONE]\n\n"
-	paused = "event: paused\ndata: {}\n\nevent: resumed\ndata: {}\n\n"
+	firstChunk  = `data: {"attemptId":"r.1","tokenIndex":0,"choices":[{"delta":{"content":"a"}}]}` + "\n\n"
+	lastChunk   = `data: {"attemptId":"r.1","tokenIndex":1,"choices":[{"delta":{"content":"b"},"finish_reason":"stop"}]}` + "\n\n"
+	endChunk    = "data: [DONE]\n\n"
+	pauseEvents = "event: paused\ndata: {}\n\nevent: resumed\ndata: {}\n\n"
 )
 
+// TestStream checks which streams count as complete and what the caller gets of them.
 func TestStream(t *testing.T) {
-	other := strings.ReplaceAll(one, "r.1", "r.2")
+	other := strings.ReplaceAll(firstChunk, "r.1", "r.2")
 	cases := []struct {
 		name, events string
 		offset       int
 		result       decider.AttemptResult
 		text         string
 	}{
-		{"whole", one + two + done, 0, decider.Complete, "ab"},
-		{"doubled", one + one + two + two + done, 0, decider.Complete, "ab"},
-		{"paused", paused + one + paused + two + done, 0, decider.Complete, "ab"},
-		{"from an offset", two + done, 1, decider.Complete, "b"},
-		{"from before the offset", one + two + done, 1, decider.Complete, "b"},
-		{"no end mark", one + two, 0, decider.Cut, "ab"},
-		{"no reason", one + done, 0, decider.Cut, "a"},
-		{"a token is missing", two + done, 0, decider.Cut, ""},
-		{"another's token", one + other + two + done, 0, decider.Broken, "a"},
-		{"error event", one + "data: {\"error\":{}}\n\n" + done, 0, decider.Broken, "a"},
-		{"no JSON", one + "data: {\n\n", 0, decider.Broken, "a"},
+		{"whole", firstChunk + lastChunk + endChunk, 0, decider.Complete, "ab"},
+		{"doubled", firstChunk + firstChunk + lastChunk + lastChunk + endChunk, 0, decider.Complete, "ab"},
+		{"paused", pauseEvents + firstChunk + pauseEvents + lastChunk + endChunk, 0, decider.Complete, "ab"},
+		{"from an offset", lastChunk + endChunk, 1, decider.Complete, "b"},
+		{"from before the offset", firstChunk + lastChunk + endChunk, 1, decider.Complete, "b"},
+		{"no end mark", firstChunk + lastChunk, 0, decider.Cut, "ab"},
+		{"no reason", firstChunk + endChunk, 0, decider.Cut, "a"},
+		{"a token is missing", lastChunk + endChunk, 0, decider.Cut, ""},
+		{"another's token", firstChunk + other + lastChunk + endChunk, 0, decider.Broken, "a"},
+		{"error event", firstChunk + "data: {\"error\":{}}\n\n" + endChunk, 0, decider.Broken, "a"},
+		{"no JSON", firstChunk + "data: {\n\n", 0, decider.Broken, "a"},
 		{"nothing", "", 0, decider.Cut, ""},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			upstream := serve(t, func(_ int64, conn net.Conn, _ *http.Request) bool {
-				write(conn, echo+"Content-Type: text/event-stream\r\n\r\n"+test.events)
+				write(conn, responseHead+"Content-Type: text/event-stream\r\n\r\n"+test.events)
 				return false
 			})
 			client := dispatcher.New()
@@ -271,11 +274,11 @@
 	}
 }
 
-// TestKeptAnswers checks that an answer is read to its end and kept though its
-// caller has gone.
+// TestKeptAnswers checks that an answer with KeepAnswer is read to its end and kept even if
+// the caller has left.
 func TestKeptAnswers(t *testing.T) {
 	upstream := serve(t, func(_ int64, conn net.Conn, _ *http.Request) bool {
-		write(conn, echo+"Content-Type: text/event-stream\r\n\r\n"+one+two+done)
+		write(conn, responseHead+"Content-Type: text/event-stream\r\n\r\n"+firstChunk+lastChunk+endChunk)
 		return false
 	})
 	client := dispatcher.New()
--- a/dispatcher/fuzz_test.go
+++ b/dispatcher/fuzz_test.go
@@ -13,21 +13,21 @@
 	"limpetcleat/definer"
 )
 
-// memory keeps what a caller would get.
-type memory struct {
+// memorySink is a Sink that records what the caller gets.
+type memorySink struct {
 	begun bool
 	text  strings.Builder
 }
 
-func (memory *memory) Begin(int, http.Header) { memory.begun = true }
-func (memory *memory) Begun() bool            { return memory.begun }
-func (memory *memory) Write(data []byte) error {
-	memory.text.Write(data)
+func (memorySink *memorySink) Begin(int, http.Header) { memorySink.begun = true }
+func (memorySink *memorySink) Begun() bool            { return memorySink.begun }
+func (memorySink *memorySink) Write(data []byte) error {
+	memorySink.text.Write(data)
 	return nil
 }
 
-// FuzzStream checks that no bytes of an upstream pass for a whole answer
-// without a reason and an end mark, or under another attempt's id.
+// FuzzStream checks that no stream counts as complete without a finish reason and an end
+// mark, and that none is forwarded under the id of another attempt.
 func FuzzStream(f *testing.F) {
 	one := `data: {"attemptId":"r.1","tokenIndex":0,"choices":[{"text":"a"}]}` + "\n\n"
 	last := `data: {"attemptId":"r.1","tokenIndex":1,"choices":[{"text":"b","finish_reason":"stop"}]}` + "\n\n"
@@ -37,7 +37,7 @@
 	f.Add("data: {\ndata: \"attemptId\":\"r.1\"}\n\n", 1)
 	f.Fuzz(func(t *testing.T, events string, offset int) {
 		offset = max(offset, 0)
-		sink := &memory{}
+		sink := &memorySink{}
 		attempt := &attempt{
 			dispatcher: &Dispatcher{firstByteTimeout: time.Hour, stallTimeout: time.Hour, log: func(int, ...any) {}},
 			start:      decider.StartAttempt{Request: "r", Attempt: "r.1", Upstream: &definer.Upstream{}, Offset: offset},
@@ -46,7 +46,7 @@
 			cancel:     func() {},
 			delivered:  offset,
 		}
-		result := attempt.stream(&http.Response{Header: http.Header{}, Body: io.NopCloser(strings.NewReader(events))})
+		result := attempt.receiveStream(&http.Response{Header: http.Header{}, Body: io.NopCloser(strings.NewReader(events))})
 		passed := sink.text.String()
 		assert.Equal(t, result == decider.Complete, strings.HasSuffix(passed, "data: [DONE]\n\n") && attempt.finished)
 		assert.Assert(t, result != decider.Complete || strings.Contains(events, endMark) && strings.Contains(events, "finish_reason"))
--- a/dispatcher/latest.go
+++ b/dispatcher/latest.go
@@ -7,38 +7,41 @@
 	"limpetcleat/definer"
 )
 
-// announceEvery is how often a limit that stays as it is is announced: others may have taken
-// it for gone.
-const announceEvery = time.Second
+// announceInterval is the interval at which an unchanged limit is announced again: other nodes
+// may have let it expire.
+const announceInterval = time.Second
 
-// limit is one that was announced, and when.
-type limit struct {
-	limit definer.RateLimit
-	at    time.Time
+// announcedLimit is a limit and the time at which it was last announced.
+type announcedLimit struct {
+	limit       definer.RateLimit
+	announcedAt time.Time
 }
 
-// latest holds the limits that were announced last. It is safe for concurrent use.
-type latest struct {
-	// mutex guards limits; no other lock is taken under it.
+// limitCache holds the limit last announced for each upstream. It is safe for concurrent use.
+type limitCache struct {
+	// mutex guards limits; no other lock is acquired while it is held.
 	mutex sync.Mutex
-	// limits holds the upstreams that have one.
-	limits map[definer.UpstreamName]limit
+	// limits has an entry for each upstream with a limit.
+	limits map[definer.UpstreamName]announcedLimit
 }
 
-func newLatest() *latest { return &latest{limits: make(map[definer.UpstreamName]limit)} }
+func newLimitCache() *limitCache {
+	return &limitCache{limits: make(map[definer.UpstreamName]announcedLimit)}
+}
 
-// replace keeps the limit of an upstream and tells whether it is to be announced.
-func (latest *latest) replace(now time.Time, upstream definer.UpstreamName, named definer.RateLimit) bool {
-	latest.mutex.Lock()
-	defer latest.mutex.Unlock()
-	before, known := latest.limits[upstream]
-	if _, limited := named.PerSecond(); !limited {
-		delete(latest.limits, upstream)
+// replace stores the limit of an upstream and reports whether it must be announced: it is new,
+// changed or lifted, or was last announced announceInterval ago.
+func (limitCache *limitCache) replace(now time.Time, upstream definer.UpstreamName, limit definer.RateLimit) bool {
+	limitCache.mutex.Lock()
+	defer limitCache.mutex.Unlock()
+	before, known := limitCache.limits[upstream]
+	if _, limited := limit.PerSecond(); !limited {
+		delete(limitCache.limits, upstream)
 		return known
 	}
-	if known && before.limit == named && now.Sub(before.at) < announceEvery {
+	if known && before.limit == limit && now.Sub(before.announcedAt) < announceInterval {
 		return false
 	}
-	latest.limits[upstream] = limit{limit: named, at: now}
+	limitCache.limits[upstream] = announcedLimit{limit: limit, announcedAt: now}
 	return true
 }
--- a/dispatcher/log_test.go
+++ b/dispatcher/log_test.go
@@ -15,7 +15,7 @@
 	"limpetcleat/logger"
 )
 
-// events keeps the numbers of what is logged.
+// events records the numbers of the logged events.
 type events struct {
 	mutex   sync.Mutex
 	numbers []int
@@ -27,12 +27,12 @@
 	events.numbers = append(events.numbers, number)
 }
 
-// TestLoggedFaults checks which faults of upstreams are logged. Engines that
-// may run an attempt in vain are told to stop on a connection of their own.
+// TestLoggedFaults checks which faults of upstreams are logged. The cancellation of an
+// attempt goes over a separate connection, which fails once the upstream is gone.
 func TestLoggedFaults(t *testing.T) {
-	crossed := strings.ReplaceAll(one, "r.1", "r.2")
+	crossed := strings.ReplaceAll(firstChunk, "r.1", "r.2")
 	const other = `{"attemptId":"r.2","choices":[{"finish_reason":"stop"}]}`
-	stream := echo + "Content-Type: text/event-stream\r\n\r\n"
+	stream := responseHead + "Content-Type: text/event-stream\r\n\r\n"
 	cases := []struct {
 		name, answer string
 		kind         definer.PoolKind
@@ -40,12 +40,12 @@
 		gone         bool
 		logged       []int
 	}{
-		{"own", echo + "Content-Length: 0\r\n\r\n", definer.Service, false, false, nil},
+		{"own", responseHead + "Content-Length: 0\r\n\r\n", definer.Service, false, false, nil},
 		{"no attempt id", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", definer.Service, false, false, nil},
 		{"another's head", "HTTP/1.1 200 OK\r\nX-Attempt-Id: r.2\r\nContent-Length: 0\r\n\r\n", definer.Service, false, false, []int{logger.EventUpstreamMismatch}},
 		{"another's token", stream + crossed, definer.Engine, true, false, []int{logger.EventUpstreamMismatch}},
-		{"another's body", echo + "Content-Length: 56\r\n\r\n" + other, definer.Engine, false, false, []int{logger.EventUpstreamMismatch}},
-		{"cut and gone", stream + one, definer.Engine, true, true, []int{logger.EventCancelFailed}},
+		{"another's body", responseHead + "Content-Length: 56\r\n\r\n" + other, definer.Engine, false, false, []int{logger.EventUpstreamMismatch}},
+		{"cut and gone", stream + firstChunk, definer.Engine, true, true, []int{logger.EventCancelFailed}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/dispatcher/stream.go
+++ b/dispatcher/stream.go
@@ -15,19 +15,19 @@
 
 const (
 	endMark = "[DONE]"
-	// Names of events by which an engine tells that it paused a request for a
-	// more urgent one and that it goes on.
+	// Types of the events by which an engine reports that it paused a request for a
+	// more urgent one and that it resumed the request.
 	eventPaused  = "paused"
 	eventResumed = "resumed"
-	// Fields that the upstream adds to each part of an answer.
+	// Fields that the upstream adds to each chunk of an answer.
 	fieldAttempt = "attemptId"
 	fieldIndex   = "tokenIndex"
 	maxEventSize = 1 << 20
 )
 
-// stream passes tokens on as they come. It is complete only with a finish
+// receiveStream forwards tokens as they arrive. The answer is complete only with a finish
 // reason and the end mark.
-func (attempt *attempt) stream(response *http.Response) decider.AttemptResult {
+func (attempt *attempt) receiveStream(response *http.Response) decider.AttemptResult {
 	stall := time.AfterFunc(attempt.dispatcher.firstByteTimeout, attempt.cancel)
 	defer stall.Stop()
 	for event, err := range sse.Read(response.Body, &sse.ReadConfig{MaxEventSize: maxEventSize}) {
@@ -36,7 +36,7 @@
 		}
 		stall.Reset(attempt.dispatcher.stallTimeout)
 		if event.Type == eventPaused || event.Type == eventResumed {
-			attempt.pause(event.Type == eventPaused)
+			attempt.setPaused(event.Type == eventPaused)
 			if event.Type == eventPaused {
 				stall.Reset(maxPause)
 			}
@@ -44,34 +44,35 @@
 		}
 		if event.Data == endMark {
 			result := attempt.closeStream(response.Header)
-			stall.Reset(leftOverTimeout)
-			_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxLeftOver))
+			stall.Reset(drainTimeout)
+			_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxDrain))
 			return result
 		}
-		if result := attempt.part([]byte(event.Data), response.Header); result != "" {
+		if result := attempt.receiveChunk([]byte(event.Data), response.Header); result != "" {
 			return result
 		}
 	}
 	return decider.Cut
 }
 
-// closeStream ends an answer whose end mark came.
+// closeStream completes a stream whose end mark has arrived. Without a finish reason the
+// stream counts as cut.
 func (attempt *attempt) closeStream(header http.Header) decider.AttemptResult {
 	if !attempt.finished {
 		return decider.Cut
 	}
-	if err := attempt.push([]byte("data: " + endMark + "\n\n")); err != nil {
+	if err := attempt.writeAndKeep([]byte("data: " + endMark + "\n\n")); err != nil {
 		return decider.Abandoned
 	}
-	if attempt.start.KeepAnswer && attempt.kept.Len() <= maxKeptStream {
-		attempt.answer = &decider.StoredAnswer{Status: http.StatusOK, Header: passOn(header), Body: attempt.kept.Bytes()}
+	if attempt.start.KeepAnswer && attempt.keptStream.Len() <= maxKeptStream {
+		attempt.answer = &decider.StoredAnswer{Status: http.StatusOK, Header: forwardedHeader(header), Body: attempt.keptStream.Bytes()}
 	}
 	return decider.Complete
 }
 
-// part checks one part of an answer and passes it on. It returns a result only
-// when the attempt is over.
-func (attempt *attempt) part(data []byte, header http.Header) decider.AttemptResult {
+// receiveChunk checks one chunk of a stream and forwards it. It returns an empty result
+// while the stream goes on.
+func (attempt *attempt) receiveChunk(data []byte, header http.Header) decider.AttemptResult {
 	if !gjson.ValidBytes(data) {
 		return decider.Broken
 	}
@@ -83,7 +84,7 @@
 		return attempt.mismatch(echoed)
 	}
 	finish := parsed.Get("choices.0.finish_reason").String() != ""
-	token, fresh, inOrder := attempt.count(parsed)
+	token, fresh, inOrder := attempt.countToken(parsed)
 	if !inOrder {
 		return decider.Cut
 	}
@@ -92,26 +93,26 @@
 	if !fresh || doubled {
 		return ""
 	}
-	if err := attempt.pass(data, header); err != nil {
+	if err := attempt.forwardChunk(data, header); err != nil {
 		return decider.Abandoned
 	}
 	return ""
 }
 
-// count takes a part into account. It tells whether the part is a token, whether
-// the caller has not got it yet, and whether none is missing before it.
-func (attempt *attempt) count(parsed gjson.Result) (token, fresh, inOrder bool) {
+// countToken counts the token of a chunk. It reports whether the chunk has a token, whether
+// the chunk has not been forwarded yet, and whether no token is missing before it.
+func (attempt *attempt) countToken(parsed gjson.Result) (token, fresh, inOrder bool) {
 	index := parsed.Get(fieldIndex)
 	if !index.Exists() && !hasContent(parsed) {
 		return false, true, true
 	}
 	if index.Exists() {
-		attempt.indexed = true
+		attempt.resumable = true
 		if index.Int() != int64(attempt.delivered) {
 			return true, false, index.Int() < int64(attempt.delivered)
 		}
 	}
-	attempt.observe()
+	attempt.observeToken()
 	attempt.delivered++
 	return true, true, true
 }
@@ -120,10 +121,10 @@
 	return parsed.Get("choices.0.delta.content").String() != "" || parsed.Get("choices.0.text").String() != ""
 }
 
-// observe notes the time of a token.
-func (attempt *attempt) observe() {
+// observeToken records the arrival of a token.
+func (attempt *attempt) observeToken() {
 	now := time.Now()
-	attempt.pause(false)
+	attempt.setPaused(false)
 	if attempt.observation.Tokens == 0 {
 		attempt.observation.FirstToken = now.Sub(attempt.began)
 	}
@@ -131,8 +132,8 @@
 	attempt.lastToken = now
 }
 
-// pause notes that the engine paused the request or goes on with it.
-func (attempt *attempt) pause(paused bool) {
+// setPaused records that the engine paused or resumed the request.
+func (attempt *attempt) setPaused(paused bool) {
 	if !attempt.pausedSince.IsZero() {
 		attempt.observation.Paused += time.Since(attempt.pausedSince)
 		attempt.pausedSince = time.Time{}
@@ -142,37 +143,38 @@
 	}
 }
 
-// pass writes one part to the caller, under the request's own id.
-func (attempt *attempt) pass(data []byte, header http.Header) error {
-	data, err := attempt.restore(data)
+// forwardChunk writes one chunk to the caller, with the id of the request.
+func (attempt *attempt) forwardChunk(data []byte, header http.Header) error {
+	data, err := attempt.rewriteFields(data)
 	if err != nil {
 		return err
 	}
 	if !attempt.sink.Begun() {
-		attempt.sink.Begin(http.StatusOK, passOn(header))
+		attempt.sink.Begin(http.StatusOK, forwardedHeader(header))
 	}
 	var part bytes.Buffer
 	part.WriteString("data: ")
 	part.Write(data)
 	part.WriteString("\n\n")
-	if err := attempt.push(part.Bytes()); err != nil {
+	if err := attempt.writeAndKeep(part.Bytes()); err != nil {
 		return err
 	}
 	attempt.progress(attempt.delivered)
 	return nil
 }
 
-// push writes to the caller and notes what may be kept for repeats.
-func (attempt *attempt) push(data []byte) error {
-	if attempt.start.KeepAnswer && attempt.kept.Len() <= maxKeptStream {
-		attempt.kept.Write(data)
+// writeAndKeep writes to the caller and, for a request with KeepAnswer, keeps the data to
+// answer repeats.
+func (attempt *attempt) writeAndKeep(data []byte) error {
+	if attempt.start.KeepAnswer && attempt.keptStream.Len() <= maxKeptStream {
+		attempt.keptStream.Write(data)
 	}
 	return attempt.write(data)
 }
 
-// restore takes the fields out that are not the caller's and sets one id for
-// the whole answer, whichever attempts it came from.
-func (attempt *attempt) restore(data []byte) ([]byte, error) {
+// rewriteFields removes the fields that are not meant for the caller and sets the same id in
+// the whole answer, whichever attempts produced it.
+func (attempt *attempt) rewriteFields(data []byte) ([]byte, error) {
 	for _, field := range []string{fieldAttempt, fieldIndex} {
 		cleaned, err := sjson.DeleteBytes(data, field)
 		if err != nil {
--- a/dispatcher/transport.go
+++ b/dispatcher/transport.go
@@ -38,8 +38,8 @@
 	return strings.NewReader(string(body))
 }
 
-// hopHeaders returns the headers that belong to one connection, and those that
-// must not reach an upstream.
+// hopHeaders returns the hop-by-hop headers and the headers that are not forwarded between
+// caller and upstream: credentials, cookies and those of the protocol with upstreams.
 func hopHeaders() []string {
 	return []string{
 		"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
@@ -48,8 +48,8 @@
 	}
 }
 
-// passOn returns the headers that may cross from one side to the other.
-func passOn(header http.Header) http.Header {
+// forwardedHeader returns a copy of the header without the headers that are not forwarded.
+func forwardedHeader(header http.Header) http.Header {
 	passed := header.Clone()
 	if passed == nil {
 		return make(http.Header)
--- a/dispatcher/whole.go
+++ b/dispatcher/whole.go
@@ -11,14 +11,14 @@
 	"limpetcleat/definer"
 )
 
-// whole reads an answer to its end before the caller gets any of it. Unrun says
-// that the upstream refused to run the request.
-func (attempt *attempt) whole(response *http.Response, unrun bool) decider.AttemptResult {
-	if unbounded(response) {
+// receiveWhole reads an answer to its end before it forwards any of it. The parameter unrun
+// reports whether the upstream refused to run the request.
+func (attempt *attempt) receiveWhole(response *http.Response, unrun bool) decider.AttemptResult {
+	if lacksFraming(response) {
 		return decider.Broken
 	}
-	watch := time.AfterFunc(attempt.dispatcher.firstByteTimeout, attempt.cancel)
-	defer watch.Stop()
+	timer := time.AfterFunc(attempt.dispatcher.firstByteTimeout, attempt.cancel)
+	defer timer.Stop()
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxWholeAnswer+1))
 	if err != nil {
 		return decider.Cut
@@ -33,7 +33,7 @@
 		}
 		body = checked
 	}
-	header := passOn(response.Header)
+	header := forwardedHeader(response.Header)
 	header.Del("Content-Length")
 	header.Set(headerOutcome, string(outcomeOf(attempt.start.Kind, response.StatusCode, unrun)))
 	if attempt.start.KeepAnswer {
@@ -46,7 +46,7 @@
 	return decider.Complete
 }
 
-// outcomeOf returns what may be told of a request whose answer is passed on.
+// outcomeOf returns the outcome that is reported to the caller with a forwarded answer.
 func outcomeOf(kind definer.PoolKind, status int, unrun bool) definer.Outcome {
 	switch {
 	case unrun:
@@ -58,13 +58,14 @@
 	}
 }
 
-// unbounded tells whether the end of an answer cannot be told from a cut.
-func unbounded(response *http.Response) bool {
+// lacksFraming reports whether an answer has neither a length nor chunked encoding, so that
+// its end cannot be distinguished from a lost connection.
+func lacksFraming(response *http.Response) bool {
 	return response.ContentLength < 0 && len(response.TransferEncoding) == 0
 }
 
-// write passes a part of the answer on. An answer that is kept for repeats is
-// read to its end also when its caller has left.
+// write forwards a part of the answer. It hides write errors for an answer that is kept for
+// repeats, so that the answer is read to its end even if its caller has left.
 func (attempt *attempt) write(data []byte) error {
 	err := attempt.sink.Write(data)
 	if attempt.start.KeepAnswer {
@@ -73,8 +74,8 @@
 	return err
 }
 
-// checkWhole checks that a whole answer of an engine is this attempt's and has
-// a finish reason, and returns it under the request's own id.
+// checkWhole checks that an engine's answer belongs to this attempt and has a finish reason,
+// and returns the answer with the id of the request.
 func (attempt *attempt) checkWhole(body []byte) ([]byte, bool) {
 	if !gjson.ValidBytes(body) {
 		return nil, false
@@ -89,6 +90,6 @@
 	}
 	attempt.observation.Tokens = int(parsed.Get("usage.completion_tokens").Int())
 	attempt.delivered = attempt.observation.Tokens
-	restored, err := attempt.restore(body)
+	restored, err := attempt.rewriteFields(body)
 	return restored, err == nil
 }
