--- a/decider/action.go
+++ b/decider/action.go
@@ -7,17 +7,17 @@
 	"limpetcleat/messenger"
 )
 
-// Action is anything that the core wants done.
+// Action is an output of the state machine, for the shell to carry out.
 type Action interface{ isAction() }
 
 // RequestAction is an action for one request of this node's callers.
 type RequestAction interface {
 	Action
-	// For returns the request.
+	// For returns the id of the request.
 	For() definer.RequestID
 }
 
-// StartAttempt wants a request sent to an upstream.
+// StartAttempt sends a request to an upstream.
 type StartAttempt struct {
 	Request     definer.RequestID
 	Attempt     definer.AttemptID
@@ -29,102 +29,105 @@
 	Offset int
 	// Deadline is zero when there is none.
 	Deadline time.Time
-	// Repeatable says that the request may run more than once.
+	// Repeatable reports that the request may run more than once.
 	Repeatable bool
-	// KeepAnswer wants the whole answer in AttemptEnded. Such an attempt goes on
-	// when the caller leaves.
+	// KeepAnswer asks for the whole answer in AttemptEnded. An attempt that
+	// keeps its answer continues when the caller disconnects.
 	KeepAnswer bool
-	// StartBy, when not zero, is the time after which no first byte may go to
-	// the upstream any more; the attempt then ends Unsent.
+	// StartBy, unless zero, is the time after which no first byte may be sent
+	// to the upstream; the attempt then ends as Unsent.
 	StartBy time.Time
 }
 
-// CancelAttempt wants an attempt stopped and its upstream told.
+// CancelAttempt stops an attempt and tells its upstream.
 type CancelAttempt struct {
 	Request  definer.RequestID
 	Attempt  definer.AttemptID
 	Upstream *definer.Upstream
 }
 
-// CancelUpstreamWork wants an upstream told to stop an attempt that another
-// member began and can no longer end.
+// CancelUpstreamWork tells an upstream to stop an attempt that another member
+// started and can no longer cancel itself.
 type CancelUpstreamWork struct {
 	Attempt  definer.AttemptID
 	Upstream *definer.Upstream
 }
 
-// RefuseRequest wants a request ended with an error; no more follows for it.
+// RefuseRequest ends a request with an error; it is the last action for the
+// request.
 type RefuseRequest struct {
 	Request definer.RequestID
 	Refusal Refusal
 }
 
-// Refusal is the honest answer to a request that got no whole answer.
+// Refusal is the error answer to a request that got no whole answer.
 type Refusal struct {
 	Status  int
 	Reason  messenger.RefusalReason
 	Message string
 	Outcome definer.Outcome
-	// RetryAfter is 0 when coming again makes no sense.
+	// RetryAfter is 0 when a retry cannot help.
 	RetryAfter time.Duration
-	// KeyOffer is a key bound to this process that a caller may use instead of
+	// KeyOffer is a key bound to this process that a caller may use in place of
 	// its own, if it knows that it sent its own for the first time.
 	KeyOffer string
 }
 
-// FinishRequest wants a request closed whose whole answer has been given.
+// FinishRequest closes a request whose whole answer has been delivered.
 type FinishRequest struct {
 	Request definer.RequestID
 }
 
-// ReplayAnswer wants a request ended with an answer that was kept.
+// ReplayAnswer ends a request with a stored answer.
 type ReplayAnswer struct {
 	Request definer.RequestID
 	Answer  StoredAnswer
 }
 
-// ForwardCall wants a call handed on to the process that its key is bound to,
-// and that one's answer given to the caller; CallForwarded follows.
+// ForwardCall forwards a call to the process that its key is bound to, and the
+// answer of that process to the caller; CallForwarded follows.
 type ForwardCall struct {
 	Request definer.RequestID
 	To      definer.VM
 	Address string
-	// Remaining is the time to the deadline; 0 is no deadline.
+	// Remaining is the time to the deadline; 0 means no deadline.
 	Remaining time.Duration
 }
 
 // KeyIssued answers KeyWanted with a key bound to this process. The key is
-// empty while the node stops, as it would end with it.
+// empty while the node stops, because the key would end with it.
 type KeyIssued struct {
 	Request definer.RequestID
 	Key     string
 }
 
-// SendMessage wants a message sent to a peer. Messages may be lost.
+// SendMessage sends a message to a peer. Messages may be lost.
 type SendMessage struct {
 	To      definer.VM
 	Address string
 	Message messenger.Message
 }
 
-// TimerKey names a timer: the part of the core it belongs to and what for.
+// TimerKey identifies a timer by the component that it belongs to and an id
+// within the component.
 type TimerKey struct {
-	Part string
-	ID   string
+	Component string
+	ID        string
 }
 
-// SetTimer wants a TimerFired at the time; it replaces one of the same key.
+// SetTimer asks for a TimerFired at the given time and replaces the timer of
+// the same key.
 type SetTimer struct {
 	Key TimerKey
 	At  time.Time
 }
 
-// ClearTimer wants no TimerFired for the key.
+// ClearTimer cancels the timer of the key.
 type ClearTimer struct {
 	Key TimerKey
 }
 
-// PlatformVerb tells what a call to the platform does.
+// PlatformVerb is the operation of a call to the platform.
 type PlatformVerb string
 
 const (
@@ -138,9 +141,9 @@
 	DeleteObject PlatformVerb = "delete"
 )
 
-// CallPlatform wants one call to the platform; PlatformAnswered follows.
+// CallPlatform makes one call to the platform; PlatformAnswered follows.
 type CallPlatform struct {
-	// Call is unique within the process.
+	// Call identifies the call within the process.
 	Call    uint64
 	Verb    PlatformVerb
 	Kind    string
@@ -149,47 +152,50 @@
 	Value   []byte
 }
 
-// WatchPlatform tells whether this node holds the platform's watches.
+// WatchPlatform says whether this node is to watch the platform's list of VMs
+// and its configuration.
 type WatchPlatform struct {
 	Hold bool
 }
 
-// Record wants one ended request counted.
+// Record counts one ended request in the metrics.
 type Record struct {
 	Request      definer.RequestID
 	Class        definer.ClassName
 	Pool         definer.PoolName
 	Organisation definer.OrganisationName
-	// Met says that the whole answer came within the class's targets.
+	// Met reports that the whole answer came within the class's targets.
 	Met bool
-	// Complete says that the caller got the whole answer.
+	// Complete reports that the caller got the whole answer.
 	Complete bool
 	// Reason is empty for a complete request.
 	Reason  messenger.RefusalReason
 	Outcome definer.Outcome
-	// Tokens counts those delivered; Wasted those computed and discarded.
+	// Tokens counts the delivered tokens, Wasted those that were computed and
+	// discarded.
 	Tokens  int
 	Wasted  int
 	Retries int
-	// FirstToken and Total are counted from the arrival.
+	// FirstToken and Total are measured from the arrival of the request.
 	FirstToken    time.Duration
 	BetweenTokens time.Duration
 	Total         time.Duration
 }
 
-// LogEvent wants one numbered event in the log.
+// LogEvent writes one numbered event to the log.
 type LogEvent struct {
 	Number int
-	// Pairs are names and values in turn.
+	// Pairs are alternating keys and values.
 	Pairs []any
 }
 
-// ConfigurationApplied tells the shell which configuration is now in force.
+// ConfigurationApplied reports the configuration that is now in force.
 type ConfigurationApplied struct {
 	Configuration *definer.Configuration
 }
 
-// Stopped tells that a drain is over: nothing is left to wait for.
+// Stopped reports that a planned stop is complete: no request, claim or message
+// is left to wait for.
 type Stopped struct{}
 
 func (StartAttempt) isAction()         {}
@@ -210,23 +216,23 @@
 func (ConfigurationApplied) isAction() {}
 func (Stopped) isAction()              {}
 
-// For returns the request.
+// For returns the id of the request.
 func (action StartAttempt) For() definer.RequestID { return action.Request }
 
-// For returns the request.
+// For returns the id of the request.
 func (action CancelAttempt) For() definer.RequestID { return action.Request }
 
-// For returns the request.
+// For returns the id of the request.
 func (action RefuseRequest) For() definer.RequestID { return action.Request }
 
-// For returns the request.
+// For returns the id of the request.
 func (action FinishRequest) For() definer.RequestID { return action.Request }
 
-// For returns the request.
+// For returns the id of the request.
 func (action ReplayAnswer) For() definer.RequestID { return action.Request }
 
-// For returns the request.
+// For returns the id of the request.
 func (action ForwardCall) For() definer.RequestID { return action.Request }
 
-// For returns the request.
+// For returns the id of the request.
 func (action KeyIssued) For() definer.RequestID { return action.Request }
--- a/decider/admission.go
+++ b/decider/admission.go
@@ -6,8 +6,8 @@
 	"limpetcleat/messenger"
 )
 
-// withinRate counts a new request against its organisation's rate at this
-// entry VM, and returns the refusal when it is above.
+// withinRate counts a new request against its organisation's rate at this entry
+// VM. It returns false with the refusal when the rate is exceeded.
 func (requester *requester) withinRate(request *request) (Refusal, bool) {
 	organisation, ok := requester.configuration.Organisation(request.organisation)
 	if !ok {
@@ -20,9 +20,9 @@
 	return refusalFor(messenger.RateLimited, definer.NotRun, wait), false
 }
 
-// hopeless judges a request by what its shard's owner said last. It returns
-// the verdict, and true when there is no use in asking.
-func (requester *requester) hopeless(request *request) (admitter.Verdict, bool) {
+// earlyRejection judges a request by the expected wait that its shard's owner
+// reported last. It returns true with the verdict when an ask would be refused.
+func (requester *requester) earlyRejection(request *request) (admitter.Verdict, bool) {
 	verdict := requester.admitter.Judge(requester.now, admitter.Request{
 		Shard:    request.shard,
 		Class:    request.class,
@@ -32,27 +32,28 @@
 	return verdict, !verdict.Admitted()
 }
 
-// hear notes the wait that the present owner of a shard told with an answer. A
-// member that grants in its place knows nothing of the queue.
-func (requester *requester) hear(from definer.Member, answer *messenger.GrantAnswer) {
+// recordExpectedWait records the expected wait that the present owner of a
+// shard sent with an answer. The answer of a member that grants in an emergency
+// in the owner's place is ignored, because that member does not know the queue.
+func (requester *requester) recordExpectedWait(from definer.Member, answer *messenger.GrantAnswer) {
 	request, ok := requester.requests[answer.Request]
 	present := requester.roster.tenure(answer.Shard)
 	if !ok || present.member != from {
 		return
 	}
-	if requester.hinted[answer.Shard] != present {
+	if requester.hintTenures[answer.Shard] != present {
 		requester.admitter.Forget(answer.Shard)
-		requester.hinted[answer.Shard] = present
+		requester.hintTenures[answer.Shard] = present
 	}
 	requester.admitter.Hear(requester.now, answer.Shard, request.class.Name(), answer.ExpectedWait)
 }
 
-// forgetHints drops what was heard of shards whose owner changed.
+// forgetHints drops the expected waits of shards whose owner has changed.
 func (requester *requester) forgetHints() {
-	for shard, heard := range requester.hinted {
+	for shard, heard := range requester.hintTenures {
 		if heard != requester.roster.tenure(shard) {
 			requester.admitter.Forget(shard)
-			delete(requester.hinted, shard)
+			delete(requester.hintTenures, shard)
 		}
 	}
 }
--- a/decider/candidates.go
+++ b/decider/candidates.go
@@ -11,10 +11,11 @@
 	"limpetcleat/messenger"
 )
 
-// candidates returns the shards that may serve the request by data centre, the
-// own one first. Among many shards of one the better of two, which the
-// request's id picks, comes first.
-func (requester *requester) candidates(request *request) []messenger.Shard {
+// candidateShards returns the shards that may serve the request, ordered by
+// data centre with the local one first. Among several shards of one data centre
+// it orders by the power of two choices: the request's id picks two, and the
+// one with the shorter expected wait comes first.
+func (requester *requester) candidateShards(request *request) []messenger.Shard {
 	dataCentres := slices.Clone(request.pool.DataCentres())
 	wait := func(shard messenger.Shard) time.Duration {
 		return requester.admitter.Wait(requester.now, shard, request.class.Name())
@@ -24,7 +25,7 @@
 		groups[dataCentre] = twoChoices(shardsOf(request.pool, dataCentre), request.id, wait)
 	}
 	slices.SortStableFunc(dataCentres, func(a, b definer.DataCentre) int {
-		return cmp.Or(cmp.Compare(far(a, requester.dataCentre), far(b, requester.dataCentre)), cmp.Compare(wait(groups[a][0]), wait(groups[b][0])))
+		return cmp.Or(cmp.Compare(distance(a, requester.dataCentre), distance(b, requester.dataCentre)), cmp.Compare(wait(groups[a][0]), wait(groups[b][0])))
 	})
 	var ordered []messenger.Shard
 	for _, dataCentre := range dataCentres {
@@ -33,8 +34,8 @@
 	return ordered
 }
 
-// twoChoices moves two shards that the request's id picks to the front, the one
-// with the shorter wait first.
+// twoChoices moves the two shards that the request's id picks to the front, the
+// one with the shorter expected wait first.
 func twoChoices(shards []messenger.Shard, id definer.RequestID, wait func(messenger.Shard) time.Duration) []messenger.Shard {
 	if len(shards) < 2 {
 		return shards
@@ -56,7 +57,7 @@
 	return ordered
 }
 
-func far(dataCentre, local definer.DataCentre) int {
+func distance(dataCentre, local definer.DataCentre) int {
 	if dataCentre == local {
 		return 0
 	}
--- a/decider/capacity_test.go
+++ b/decider/capacity_test.go
@@ -27,7 +27,7 @@
 }
 
 // over runs the fleet and reports what a node sent and got a second.
-func (wire *wire) over(fleet *fleet, name string, length time.Duration) {
+func (wire *wire) measure(fleet *fleet, name string, length time.Duration) {
 	wire.Reset()
 	fleet.Run(length)
 	sum, count, most := 0, 0, 0
@@ -49,23 +49,23 @@
 			for b.Loop() {
 				fleet := newFleet(b, 1, size[0], size[1])
 				fleet.bootAll()
-				fleet.put(1, smallDocument(1), true)
+				fleet.store(1, smallDocument(1), true)
 				fleet.Run(2 * time.Minute)
 				wire := &wire{Wire: measurer.NewWire(), b: b}
-				fleet.sent = wire.count
+				fleet.onDelivery = wire.count
 				fleet.Run(20 * time.Second)
-				wire.over(fleet, "quiet", 20*time.Second)
+				wire.measure(fleet, "quiet", 20*time.Second)
 				fleet.boot(3, fleet.listed)
-				wire.over(fleet, "restarts", 197*time.Second)
+				wire.measure(fleet, "restarts", 197*time.Second)
 				rack := len(fleet.listed) / 10
 				for index := range rack {
 					delete(fleet.nodes, definer.VM(fleet.listed[index*size[0]].Name))
 				}
-				wire.over(fleet, "rack-lost", 10*time.Second)
+				wire.measure(fleet, "rack-lost", 10*time.Second)
 				for index := range rack {
 					fleet.boot(index*size[0], fleet.listed)
 				}
-				wire.over(fleet, "rack-back", 10*time.Second)
+				wire.measure(fleet, "rack-back", 10*time.Second)
 			}
 		})
 	}
@@ -118,7 +118,7 @@
 	for b.Loop() {
 		fleet := newFleet(b, 1, 2, 24)
 		fleet.bootAll()
-		fleet.put(1, smallDocument(1), true)
+		fleet.store(1, smallDocument(1), true)
 		fleet.Run(time.Minute)
 		for index := 0; index < len(fleet.listed); index += 2 {
 			fleet.boot(index, fleet.listed)
@@ -127,7 +127,7 @@
 		for range 200 {
 			fleet.Run(100 * time.Millisecond)
 			for vm, node := range fleet.nodes {
-				if node.holding && node.vm.DataCentre == "d0" {
+				if node.watching && node.vm.DataCentre == "d0" {
 					held[vm] = true
 				}
 			}
--- a/decider/claims.go
+++ b/decider/claims.go
@@ -10,81 +10,91 @@
 )
 
 const (
-	claimsPart = "claim"
-	// takeAgainAfter is how long a claim waits for any word of the bucket's
-	// writer before this node writes it itself.
-	takeAgainAfter = 150 * time.Millisecond
-	// queuedTakeAgainAfter is the same once the writer said that it has it.
-	queuedTakeAgainAfter = 2 * time.Second
-	// takeWithin bounds the wait for a claim.
-	takeWithin = 3 * time.Second
-	// storeFor is how long the end of a claimed request is tried to be stored.
-	storeFor = 10 * time.Minute
-	// freeFor is the same for a request that was given up before it ran.
-	freeFor = 10 * time.Second
-	// storeForDrain is the same while the node stops.
-	storeForDrain = 5 * time.Second
-	// storeGap is how long a step that nobody waits for may take.
-	storeGap = 2 * time.Second
-	// rankedWriters is how many members by rank are asked before this node.
-	rankedWriters = 2
-	// awayFor is how long calls with a key are refused at once after a claim
-	// was given up that heard nothing of the platform. The next one then tries.
-	awayFor = time.Second
-	// maxClaims bounds the claims of one node.
+	claimsComponent = "claim"
+	// claimRetryInterval is how long a claim waits for any answer of the
+	// bucket's writer before the next writer, and finally this node, is asked
+	// to write it.
+	claimRetryInterval = 150 * time.Millisecond
+	// queuedClaimRetryInterval is that time once the writer has said that it
+	// queued the claim.
+	queuedClaimRetryInterval = 2 * time.Second
+	// claimTimeout bounds the wait for a claim.
+	claimTimeout = 3 * time.Second
+	// storeTimeout is how long storing the end of a claimed request is retried.
+	storeTimeout = 10 * time.Minute
+	// freeTimeout is that time for a request that was given up before it ran.
+	freeTimeout = 10 * time.Second
+	// drainStoreTimeout is that time while the node stops.
+	drainStoreTimeout = 5 * time.Second
+	// storeRetryInterval is the retry interval of steps that no request waits
+	// for.
+	storeRetryInterval = 2 * time.Second
+	// maxRankedWriters is how many members by rank are asked before this node
+	// itself.
+	maxRankedWriters = 2
+	// outageBackoff is how long calls with a key are refused at once after a
+	// claim timed out without any answer from the platform. The next call then
+	// tries again.
+	outageBackoff = time.Second
+	// maxClaims bounds the claims that one node holds.
 	maxClaims = 8192
-	// minKeep bounds how soon a claim may be forgotten.
-	minKeep = time.Minute
-	// claimsPool takes the place of a pool when the buckets' writers are ranked.
+	// minClaimRetention is the shortest time for which a claim is remembered.
+	minClaimRetention = time.Minute
+	// claimsPool takes the place of a pool name when the writers of the buckets
+	// are ranked.
 	claimsPool = "claims"
 )
 
-// claimPhase tells how far a claim is.
+// claimPhase is the state of a claim.
 type claimPhase int
 
 const (
-	// taking claims wait for their verdict; their request must not run.
+	// taking claims wait for their verdict; their request must not run yet.
 	taking claimPhase = iota
 	// taken claims belong to a request that may run.
 	taken
-	// storing claims belong to a request that is over.
+	// storing claims belong to a request that is over; its end is being stored.
 	storing
 )
 
-// claim is one key that a request of this node claims or holds.
+// claim is a claim on one key by a request of this node.
 type claim struct {
 	request  definer.RequestID
 	keyHash  string
 	bodyHash string
 	phase    claimPhase
-	// local claims are in this process's own table and nowhere else.
+	// local claims are in this process's own table and not on the platform.
 	local bool
-	// patience bounds the wait for the claim.
-	patience time.Duration
-	// offers says that a refusal may offer a key bound to this process.
-	offers bool
+	// timeout bounds the wait for the claim.
+	timeout time.Duration
+	// offersLocalKey reports that a refusal may offer a key bound to this
+	// process.
+	offersLocalKey bool
 	// ask is the message that is sent until it is answered.
 	ask messenger.ClaimAsk
-	// since is when ask was first sent.
-	since time.Time
+	// askedAt is when ask was first sent.
+	askedAt time.Time
 	// tries counts how often ask was sent.
 	tries int
 }
 
-// claims leads the claims of this node's own requests. A request is told to go
-// on only once its own record is known to stand.
+// claims takes and ends the claims of this node's own requests. A request
+// continues only once its record is known to be stored.
 type claims struct {
 	*core
-	// held holds each claim until its end is stored; core.claims is its size.
+	// held holds each claim until its end is stored; core.openClaims is its
+	// size.
 	held map[definer.RequestID]*claim
-	// byKey holds the one claim of this node on a key.
+	// byKey holds, by key hash, the request of the one claim of this node on a
+	// key.
 	byKey map[string]definer.RequestID
-	// local is nil before the start.
+	// local is nil until the start.
 	local *claimer.Local
-	// heard is when a writer last told what the platform holds.
-	heard time.Time
-	// awayUntil is the end of a while in which the platform counts as away.
-	awayUntil time.Time
+	// platformHeardAt is when a writer last reported what the platform holds.
+	platformHeardAt time.Time
+	// outageUntil is the time until which the platform is assumed to be
+	// unavailable.
+	outageUntil time.Time
 }
 
 func newClaims(core *core) *claims {
@@ -98,54 +108,54 @@
 	case started:
 		claims.local = claimer.NewLocal(claims.self, claims.now, claims.seed)
 	case KeyWanted:
-		claims.act(KeyIssued{Request: event.Request, Key: claims.offer()})
-	case claimWanted:
-		claims.want(event)
+		claims.emit(KeyIssued{Request: event.Request, Key: claims.issueLocalKey()})
+	case claimRequested:
+		claims.begin(event)
 	case claimEnded:
-		claims.end(event)
+		claims.handleRequestEnd(event)
 	case MessageReceived:
 		if answer, ok := event.Message.(*messenger.ClaimAnswer); ok {
-			claims.answered(answer)
+			claims.handleAnswer(answer)
 		}
 	case TimerFired:
-		if event.Key.Part == claimsPart {
-			claims.fired(definer.RequestID(event.Key.ID))
+		if event.Key.Component == claimsComponent {
+			claims.handleTimer(definer.RequestID(event.Key.ID))
 		}
 	}
-	claims.core.claims = len(claims.held)
+	claims.core.openClaims = len(claims.held)
 }
 
-// want begins a claim, or tells at once what it comes to.
-func (claims *claims) want(event claimWanted) {
+// begin starts a claim, or decides it at once.
+func (claims *claims) begin(event claimRequested) {
 	if claimer.IsLocal(event.key) {
-		claims.wantLocal(event)
+		claims.beginLocal(event)
 		return
 	}
 	keyHash := claimer.KeyHash(event.organisation, event.key)
 	if other, ok := claims.byKey[keyHash]; ok {
-		verdict, answer := claims.held[other].seen(event.bodyHash)
-		claims.notify(claimDecided{request: event.request, verdict: verdict, answer: answer})
+		verdict, answer := claims.held[other].repeatVerdict(event.bodyHash)
+		claims.enqueue(claimDecided{request: event.request, verdict: verdict, answer: answer})
 		return
 	}
-	if claims.now.Before(claims.awayUntil) {
-		claims.notify(claims.away(event.request, event.localKeys))
+	if claims.now.Before(claims.outageUntil) {
+		claims.enqueue(claims.platformAway(event.request, event.localKeys))
 		return
 	}
 	if len(claims.held) >= maxClaims {
-		claims.notify(claimDecided{request: event.request, verdict: messenger.ClaimFull})
+		claims.enqueue(claimDecided{request: event.request, verdict: messenger.ClaimFull})
 		return
 	}
-	claim := &claim{request: event.request, keyHash: keyHash, bodyHash: event.bodyHash, offers: event.localKeys, patience: takeWithin}
+	claim := &claim{request: event.request, keyHash: keyHash, bodyHash: event.bodyHash, offersLocalKey: event.localKeys, timeout: claimTimeout}
 	if event.remaining > 0 {
-		claim.patience = min(takeWithin, event.remaining)
+		claim.timeout = min(claimTimeout, event.remaining)
 	}
 	claims.held[claim.request] = claim
 	claims.byKey[keyHash] = claim.request
-	claims.ask(claim, messenger.TakeClaim, nil)
+	claims.beginStep(claim, messenger.TakeClaim, nil)
 }
 
-// seen tells what a second request under the claim's key comes to.
-func (claim *claim) seen(bodyHash string) (messenger.ClaimVerdict, *messenger.KeptAnswer) {
+// repeatVerdict returns the verdict on a second request under the claim's key.
+func (claim *claim) repeatVerdict(bodyHash string) (messenger.ClaimVerdict, *messenger.KeptAnswer) {
 	switch {
 	case claim.bodyHash != bodyHash:
 		return messenger.ClaimMismatch, nil
@@ -160,51 +170,52 @@
 	}
 }
 
-// ask sends a step to the writer of the key's bucket for the first time.
-func (claims *claims) ask(claim *claim, step messenger.ClaimStep, answer *messenger.KeptAnswer) {
+// beginStep sends a step to the writer of the key's bucket for the first time.
+func (claims *claims) beginStep(claim *claim, step messenger.ClaimStep, answer *messenger.KeptAnswer) {
 	claim.ask = messenger.ClaimAsk{Step: step, KeyHash: claim.keyHash, BodyHash: claim.bodyHash, Request: claim.request, Answer: answer}
-	claim.since = claims.now
+	claim.askedAt = claims.now
 	claim.tries = 0
-	claims.sendAsk(claim)
+	claims.sendStep(claim)
 }
 
-// writers returns who may be asked to write a key's bucket, in order: the first
-// two members by rank in the whole system, so that the steps of many nodes ride
-// on one write and writers seldom meet, then this node itself.
+// writers returns the members that may be asked to write a key's bucket, in
+// order: the first two by rank in the whole system, so that the steps of many
+// nodes share one write and writers seldom conflict, then this node itself.
 func (claims *claims) writers(keyHash string) []definer.VM {
 	ranked := claims.roster.ranked(messenger.Shard{Pool: claimsPool, Index: claimer.BucketOf(keyHash)})
-	ranked = ranked[:min(len(ranked), rankedWriters)]
+	ranked = ranked[:min(len(ranked), maxRankedWriters)]
 	if !slices.Contains(ranked, claims.self.VM) {
 		ranked = append(ranked, claims.self.VM)
 	}
 	return ranked
 }
 
-// sendAsk sends the claim's step to the next writer.
-func (claims *claims) sendAsk(claim *claim) {
+// sendStep sends the claim's step to the next writer.
+func (claims *claims) sendStep(claim *claim) {
 	writers := claims.writers(claim.keyHash)
 	writer := writers[min(claim.tries, len(writers)-1)]
 	claim.tries++
-	claims.wakeAfter(claim, takeAgainAfter)
+	claims.setRetryTimer(claim, claimRetryInterval)
 	ask := claim.ask
 	claims.core.send(writer, &ask)
 }
 
-// wakeAfter sets the claim's timer, which never passes the bound on its wait.
-func (claims *claims) wakeAfter(claim *claim, gap time.Duration) {
+// setRetryTimer sets the claim's timer, at the latest at the end of the claim's
+// timeout.
+func (claims *claims) setRetryTimer(claim *claim, gap time.Duration) {
 	if claim.phase == storing {
-		gap = storeGap
+		gap = storeRetryInterval
 	} else {
-		gap = min(gap, claim.since.Add(claim.patience).Sub(claims.now))
+		gap = min(gap, claim.askedAt.Add(claim.timeout).Sub(claims.now))
 	}
-	claims.after(claimsPart, string(claim.request), gap)
+	claims.setTimer(claimsComponent, string(claim.request), gap)
 }
 
-// answered deals with a writer's answer.
-func (claims *claims) answered(answer *messenger.ClaimAnswer) {
+// handleAnswer handles a writer's answer.
+func (claims *claims) handleAnswer(answer *messenger.ClaimAnswer) {
 	if answer.Verdict != messenger.ClaimAway && answer.Verdict != messenger.ClaimQueued {
-		claims.heard = claims.now
-		claims.awayUntil = time.Time{}
+		claims.platformHeardAt = claims.now
+		claims.outageUntil = time.Time{}
 	}
 	claim, ok := claims.held[answer.Request]
 	if !ok || claim.local || claim.ask.Step != answer.Step {
@@ -215,103 +226,106 @@
 		claims.drop(claim)
 	case claim.phase != taking:
 	case answer.Verdict == messenger.ClaimQueued:
-		claims.wakeAfter(claim, queuedTakeAgainAfter)
+		claims.setRetryTimer(claim, queuedClaimRetryInterval)
 	case answer.Verdict == messenger.ClaimGranted:
 		claim.phase = taken
-		claims.clear(claimsPart, string(claim.request))
-		claims.notify(claimDecided{request: claim.request, verdict: answer.Verdict, startBy: claim.since.Add(claims.keep() / 2)})
-	case answer.Verdict == messenger.ClaimAway && claim.tries <= rankedWriters && claims.now.Sub(claim.since) < claim.patience:
-		claims.sendAsk(claim)
+		claims.clearTimer(claimsComponent, string(claim.request))
+		claims.enqueue(claimDecided{request: claim.request, verdict: answer.Verdict, startBy: claim.askedAt.Add(claims.claimRetention() / 2)})
+	case answer.Verdict == messenger.ClaimAway && claim.tries <= maxRankedWriters && claims.now.Sub(claim.askedAt) < claim.timeout:
+		claims.sendStep(claim)
 	case answer.Verdict == messenger.ClaimAway:
 		claims.giveUp(claim)
 	default:
-		claims.notify(claimDecided{request: claim.request, verdict: answer.Verdict, answer: answer.Answer})
-		claims.yield(claim)
+		claims.enqueue(claimDecided{request: claim.request, verdict: answer.Verdict, answer: answer.Answer})
+		claims.endLost(claim)
 	}
 }
 
-// yield ends a claim that another request won. A second writer that was asked
-// may still write a record for it, which is then given back.
-func (claims *claims) yield(claim *claim) {
+// endLost ends a claim that another request won. If a second writer was asked,
+// it may still write a record for this request, so the claim is freed.
+func (claims *claims) endLost(claim *claim) {
 	if claim.tries > 1 {
-		claims.store(claim, messenger.FreeClaim, nil)
+		claims.storeEnd(claim, messenger.FreeClaim, nil)
 		return
 	}
 	claims.drop(claim)
 }
 
-// fired sends a step again, or gives it up.
-func (claims *claims) fired(request definer.RequestID) {
+// handleTimer sends a step again, or gives it up.
+func (claims *claims) handleTimer(request definer.RequestID) {
 	claim, ok := claims.held[request]
 	if !ok || claim.phase == taken {
 		return
 	}
-	waited := claims.now.Sub(claim.since)
+	waited := claims.now.Sub(claim.askedAt)
 	switch {
-	case claim.phase == taking && waited >= claim.patience:
+	case claim.phase == taking && waited >= claim.timeout:
 		claims.giveUp(claim)
 	case claim.phase == storing && waited >= claims.storeWithin(claim):
 		claims.log(EventClaimNotStored, "request", claim.request, "step", claim.ask.Step)
 		claims.drop(claim)
 	default:
-		claims.sendAsk(claim)
+		claims.sendStep(claim)
 	}
 }
 
-// storeWithin returns how long the end of a claim is tried to be stored.
+// storeWithin returns how long storing the end of a claim is retried.
 func (claims *claims) storeWithin(claim *claim) time.Duration {
 	switch {
 	case claims.draining:
-		return storeForDrain
+		return drainStoreTimeout
 	case claim.ask.Step == messenger.FreeClaim:
-		return freeFor
+		return freeTimeout
 	default:
-		return storeFor
+		return storeTimeout
 	}
 }
 
-// giveUp ends a claim that could not be confirmed. Its request never runs, so
-// that a record that was written all the same is given back.
+// giveUp ends a claim that could not be confirmed. Its request never runs, so a
+// record that was written nevertheless is freed.
 func (claims *claims) giveUp(claim *claim) {
-	if claims.heard.Before(claim.since) {
-		claims.awayUntil = claims.now.Add(awayFor)
+	if claims.platformHeardAt.Before(claim.askedAt) {
+		claims.outageUntil = claims.now.Add(outageBackoff)
 	}
 	claims.log(EventClaimGivenUp, "request", claim.request)
-	claims.store(claim, messenger.FreeClaim, nil)
-	claims.notify(claims.away(claim.request, claim.offers))
+	claims.storeEnd(claim, messenger.FreeClaim, nil)
+	claims.enqueue(claims.platformAway(claim.request, claim.offersLocalKey))
 }
 
-// away tells a request that its key cannot be claimed, with a key that can.
-func (claims *claims) away(request definer.RequestID, offers bool) claimDecided {
+// platformAway returns the refusal of a request whose key cannot be claimed,
+// with a key bound to this process if the rule allows that.
+func (claims *claims) platformAway(request definer.RequestID, offers bool) claimDecided {
 	decided := claimDecided{request: request, verdict: messenger.ClaimAway}
 	if offers {
-		decided.offer = claims.offer()
+		decided.offeredKey = claims.issueLocalKey()
 	}
 	return decided
 }
 
-// offer returns a key bound to this process, or none while it stops.
-func (claims *claims) offer() string {
+// issueLocalKey returns a key bound to this process, or an empty one while the
+// node stops.
+func (claims *claims) issueLocalKey() string {
 	if claims.draining {
 		return ""
 	}
 	return claims.local.Issue(claims.now).String()
 }
 
-// store begins to store how the claim's request ended.
-func (claims *claims) store(claim *claim, step messenger.ClaimStep, answer *messenger.KeptAnswer) {
+// storeEnd starts to store how the claim's request ended.
+func (claims *claims) storeEnd(claim *claim, step messenger.ClaimStep, answer *messenger.KeptAnswer) {
 	claim.phase = storing
-	claims.ask(claim, step, answer)
+	claims.beginStep(claim, step, answer)
 	if step == messenger.FreeClaim {
-		// Every writer that may still hold the claim's first step must see it.
-		for range rankedWriters {
-			claims.sendAsk(claim)
+		// Every writer that may still hold the claim's first step must see the
+		// step that frees it.
+		for range maxRankedWriters {
+			claims.sendStep(claim)
 		}
 	}
 }
 
-// end takes in how a request ended that claimed a key.
-func (claims *claims) end(event claimEnded) {
+// handleRequestEnd records how a request that claimed a key has ended.
+func (claims *claims) handleRequestEnd(event claimEnded) {
 	claim, ok := claims.held[event.request]
 	if !ok || claim.phase == storing {
 		return
@@ -329,7 +343,7 @@
 		claims.endLocal(claim, step, answer)
 		return
 	}
-	claims.store(claim, step, answer)
+	claims.storeEnd(claim, step, answer)
 }
 
 func (claims *claims) drop(claim *claim) {
@@ -337,13 +351,14 @@
 	if claims.byKey[claim.keyHash] == claim.request {
 		delete(claims.byKey, claim.keyHash)
 	}
-	claims.clear(claimsPart, string(claim.request))
+	claims.clearTimer(claimsComponent, string(claim.request))
 }
 
-// keep returns how long a claim is remembered after its request has ended.
-func (core *core) keep() time.Duration {
+// claimRetention returns how long a claim is remembered after its request has
+// ended.
+func (core *core) claimRetention() time.Duration {
 	if core.configuration == nil || core.configuration.ClaimKeep() == 0 {
 		return claimer.DefaultKeep
 	}
-	return max(core.configuration.ClaimKeep(), minKeep)
+	return max(core.configuration.ClaimKeep(), minClaimRetention)
 }
--- a/decider/claims_property_test.go
+++ b/decider/claims_property_test.go
@@ -29,13 +29,13 @@
 		ran := state != unrun
 		switch {
 		case end.answer != "" && end.replay:
-			return only(ran && (state == lostRun || state == end.answer), end.answer)
+			return statesIf(ran && (state == lostRun || state == end.answer), end.answer)
 		case end.answer != "":
-			return only(!ran, end.answer)
+			return statesIf(!ran, end.answer)
 		case end.refusal.Outcome == definer.NotRun:
-			return only(!ran, state)
+			return statesIf(!ran, state)
 		case end.refusal.Outcome == definer.Ran:
-			return only(ran, state)
+			return statesIf(ran, state)
 		case !ran:
 			return []any{state, lostRun}
 		default:
@@ -46,7 +46,7 @@
 	return nondeterministic.ToModel()
 }
 
-func only(holds bool, state any) []any {
+func statesIf(holds bool, state any) []any {
 	if holds {
 		return []any{state}
 	}
@@ -55,12 +55,12 @@
 
 // scenario drives three nodes through random steps and faults and returns what
 // was found wrong.
-func scenario(t *testing.T, steps []int, seed uint64, credulous bool) string {
+func runScenario(t *testing.T, steps []int, seed uint64, credulous bool) string {
 	world := newWorld(t, seed, "a", "b", "c")
-	world.lossy, world.credulous = 0.05, credulous
+	world.lossRate, world.treatsLostAsDone = 0.05, credulous
 	world.onCall = world.unreliable
-	world.fate = func(StartAttempt) fate {
-		results := []fate{{true, Complete, 0}, {true, Complete, 0}, {true, Complete, 0}, {true, Cut, 0}, {false, Cut, 0}, {false, RefusedUnrun, 0}, {false, Unsent, 0}}
+	world.fate = func(StartAttempt) attemptFate {
+		results := []attemptFate{{true, Complete, 0}, {true, Complete, 0}, {true, Complete, 0}, {true, Cut, 0}, {false, Cut, 0}, {false, RefusedUnrun, 0}, {false, Unsent, 0}}
 		fate := results[world.random.IntN(len(results))]
 		fate.delay = time.Duration(world.random.IntN(300)) * time.Millisecond
 		return fate
@@ -88,7 +88,7 @@
 	}
 	world.platform.away = false
 	world.Run(time.Minute)
-	return world.judge(sent)
+	return world.verify(sent)
 }
 
 // unreliable loses a share of the platform's answers, with effect and without.
@@ -104,14 +104,14 @@
 }
 
 // judge compares what callers were told with the service's own count.
-func (world *world) judge(sent map[definer.RequestID]time.Time) string {
+func (world *world) verify(sent map[definer.RequestID]time.Time) string {
 	for key, runs := range world.runs {
 		if runs > 1 {
 			return fmt.Sprintf("%s ran %d times", key, runs)
 		}
 	}
-	if len(world.lies) > 0 {
-		return fmt.Sprintf("%s were told notRun", world.lies)
+	if len(world.falseNotRuns) > 0 {
+		return fmt.Sprintf("%s were told notRun", world.falseNotRuns)
 	}
 	histories := make(map[string][]porcupine.Operation)
 	for request, at := range sent {
@@ -136,7 +136,7 @@
 	rapid.Check(t, func(check *rapid.T) {
 		steps := rapid.SliceOfN(rapid.IntRange(0, 99), 5, 60).Draw(check, "steps")
 		seed := rapid.Uint64().Draw(check, "seed")
-		if wrong := scenario(t, steps, seed, false); wrong != "" {
+		if wrong := runScenario(t, steps, seed, false); wrong != "" {
 			check.Fatal(wrong)
 		}
 	})
@@ -158,8 +158,8 @@
 		for index := range steps {
 			steps[index] = random.IntN(100)
 		}
-		assert.Equal(t, scenario(t, steps, seed, false), "", "seed %d", seed)
-		if scenario(t, steps, seed, true) != "" {
+		assert.Equal(t, runScenario(t, steps, seed, false), "", "seed %d", seed)
+		if runScenario(t, steps, seed, true) != "" {
 			caught++
 		}
 	}
--- a/decider/claims_test.go
+++ b/decider/claims_test.go
@@ -13,7 +13,7 @@
 )
 
 // told puts what a caller was told in one word.
-func (world *world) told(request definer.RequestID) string {
+func (world *world) resultOf(request definer.RequestID) string {
 	end, ok := world.ends[request]
 	switch {
 	case !ok:
@@ -29,8 +29,8 @@
 
 func TestKeyedCalls(t *testing.T) {
 	t.Parallel()
-	slowly := func(StartAttempt) fate {
-		return fate{runs: true, result: Complete, delay: 50 * time.Millisecond}
+	slowly := func(StartAttempt) attemptFate {
+		return attemptFate{runs: true, result: Complete, delay: 50 * time.Millisecond}
 	}
 	const key = "org/k1/b"
 	lostWrite := func(effect bool) func(definer.VM, CallPlatform) callFate {
@@ -44,14 +44,14 @@
 			return fate
 		}
 	}
-	ends := func(runs bool, result AttemptResult) func(StartAttempt) fate {
+	ends := func(runs bool, result AttemptResult) func(StartAttempt) attemptFate {
 		first := true
-		return func(StartAttempt) fate {
+		return func(StartAttempt) attemptFate {
 			if first {
 				first = false
-				return fate{runs: runs, result: result, delay: 5 * time.Millisecond}
+				return attemptFate{runs: runs, result: result, delay: 5 * time.Millisecond}
 			}
-			return fate{runs: true, result: Complete, delay: 5 * time.Millisecond}
+			return attemptFate{runs: true, result: Complete, delay: 5 * time.Millisecond}
 		}
 	}
 	inTurn := func(world *world) {
@@ -77,7 +77,7 @@
 	cases := []struct {
 		name          string
 		onCall        func(definer.VM, CallPlatform) callFate
-		fate          func(StartAttempt) fate
+		fate          func(StartAttempt) attemptFate
 		drive         func(*testing.T, *world)
 		runs          int
 		first, second string
@@ -125,7 +125,7 @@
 		{name: "caller left", fate: slowly, drive: func(_ *testing.T, w *world) {
 			w.send("a", "r1", key)
 			w.Run(30 * time.Millisecond)
-			w.deliver(w.nodes["a"], CallerLeft{Request: "r1"})
+			w.handle(w.nodes["a"], CallerLeft{Request: "r1"})
 			w.Run(5 * time.Second)
 			w.send("b", "r2", key)
 			w.Run(5 * time.Second)
@@ -136,7 +136,7 @@
 		{name: "draining with a key", drive: func(_ *testing.T, w *world) {
 			w.send("a", "r1", key)
 			w.Run(5 * time.Second)
-			w.deliver(w.nodes["b"], DrainRequested{})
+			w.handle(w.nodes["b"], DrainRequested{})
 			w.send("b", "r2", key)
 			w.Run(time.Second)
 		}, runs: 1, first: "answer", second: "draining unknown"},
@@ -155,8 +155,8 @@
 			world.onCall, world.fate = test.onCall, test.fate
 			test.drive(t, world)
 			assert.Equal(t, world.runs[key], test.runs)
-			assert.Equal(t, world.told("r1"), test.first)
-			assert.Equal(t, world.told("r2"), test.second)
+			assert.Equal(t, world.resultOf("r1"), test.first)
+			assert.Equal(t, world.resultOf("r2"), test.second)
 			if test.second == "replay" {
 				assert.Equal(t, world.ends["r2"].answer, world.answers["r1"])
 			}
@@ -164,15 +164,15 @@
 	}
 }
 
-func (world *world) claims(vm definer.VM) *claims { return partOf[*claims](world, vm) }
+func (world *world) claims(vm definer.VM) *claims { return componentOf[*claims](world, vm) }
 
-func (world *world) requester(vm definer.VM) *requester { return partOf[*requester](world, vm) }
+func (world *world) requester(vm definer.VM) *requester { return componentOf[*requester](world, vm) }
 
-// partOf returns one part of a node.
-func partOf[Part part](world *world, vm definer.VM) Part {
-	var none Part
-	for _, part := range world.nodes[vm].decider.parts {
-		if found, ok := part.(Part); ok {
+// partOf returns one component of a node.
+func componentOf[Component component](world *world, vm definer.VM) Component {
+	var none Component
+	for _, component := range world.nodes[vm].decider.components {
+		if found, ok := component.(Component); ok {
 			return found
 		}
 	}
@@ -187,7 +187,7 @@
 		world.send("b", "r2", "org/k1/b")
 		world.Run(5 * time.Second)
 		assert.Equal(t, world.runs["org/k1/b"], 1)
-		first, second := world.told("r1"), world.told("r2")
+		first, second := world.resultOf("r1"), world.resultOf("r2")
 		assert.Check(t, (first == "answer") != (second == "answer"), "%s, %s", first, second)
 		for _, loser := range []string{first, second} {
 			assert.Check(t, loser == "answer" || loser == "keyInUse unknown" || loser == "replay", "%s", loser)
@@ -229,8 +229,8 @@
 				}
 				world.Run(3 * time.Second)
 				assert.Check(t, world.runs[key] <= 1, "%d runs", world.runs[key])
-				assert.Check(t, len(world.lies) == 0, "%s", world.lies)
-				told := world.told("repeat4")
+				assert.Check(t, len(world.falseNotRuns) == 0, "%s", world.falseNotRuns)
+				told := world.resultOf("repeat4")
 				assert.Check(t, told == "replay" || told == "answer" || told == "keyUnknown unknown", "%s", told)
 			})
 		}
@@ -240,7 +240,7 @@
 func TestLocalKeys(t *testing.T) {
 	world := newWorld(t, 1, "a", "b")
 	world.platform.away = true
-	world.deliver(world.nodes["a"], KeyWanted{Request: "wanted"})
+	world.handle(world.nodes["a"], KeyWanted{Request: "wanted"})
 	key := "org/" + world.issued["wanted"] + "/b"
 	steps := []struct {
 		request definer.RequestID
@@ -261,7 +261,7 @@
 	for _, step := range steps {
 		world.send(step.vm, step.request, step.key)
 		world.Run(3 * time.Second)
-		assert.Equal(t, world.told(step.request), step.told, string(step.request))
+		assert.Equal(t, world.resultOf(step.request), step.told, string(step.request))
 	}
 	assert.Equal(t, world.runs[key], 1)
 	assert.Equal(t, world.ends["elsewhere"].answer, world.ends["here"].answer)
@@ -270,7 +270,7 @@
 	world.restart(t, "a")
 	world.send("b", "late", key)
 	world.Run(3 * time.Second)
-	assert.Equal(t, world.told("late"), "keyUnknown unknown")
+	assert.Equal(t, world.resultOf("late"), "keyUnknown unknown")
 	assert.Equal(t, world.runs[key], 1)
 
 	world.send("a", "chosen", "org/mine/b")
@@ -279,7 +279,7 @@
 	assert.Check(t, claimer.IsLocal(offer))
 	world.send("b", "offered", "org/"+offer+"/b")
 	world.Run(3 * time.Second)
-	assert.Equal(t, world.told("offered"), "answer")
+	assert.Equal(t, world.resultOf("offered"), "answer")
 }
 
 // TestClaimEndsAtTheDeadline has a deadline nearer than the bound on a claim.
@@ -288,11 +288,11 @@
 	world.platform.away = true
 	event := arrival("r1", "org/k/b", false)
 	event.Deadline = 700 * time.Millisecond
-	began := world.Now()
-	world.deliver(world.nodes["a"], event)
+	started := world.Now()
+	world.handle(world.nodes["a"], event)
 	world.Run(time.Second)
-	assert.Equal(t, world.told("r1"), "platformAway unknown")
-	assert.Check(t, world.ends["r1"].at.Sub(began) <= event.Deadline)
+	assert.Equal(t, world.resultOf("r1"), "platformAway unknown")
+	assert.Check(t, world.ends["r1"].at.Sub(started) <= event.Deadline)
 }
 
 // TestKnownOutageRefusesAtOnce has a first call find the platform away; those
@@ -301,22 +301,22 @@
 	world := newWorld(t, 1, "a", "b")
 	world.platform.away = true
 	world.send("a", "first", "org/k0/b")
-	world.Run(takeWithin + 100*time.Millisecond)
-	assert.Equal(t, world.told("first"), "platformAway unknown")
-	began := world.Now()
+	world.Run(claimTimeout + 100*time.Millisecond)
+	assert.Equal(t, world.resultOf("first"), "platformAway unknown")
+	started := world.Now()
 	world.send("a", "second", "org/k1/b")
 	world.Run(100 * time.Millisecond)
-	assert.Equal(t, world.told("second"), "platformAway unknown")
-	assert.Check(t, world.ends["second"].at.Sub(began) <= 10*time.Millisecond)
+	assert.Equal(t, world.resultOf("second"), "platformAway unknown")
+	assert.Check(t, world.ends["second"].at.Sub(started) <= 10*time.Millisecond)
 
 	world.platform.away = false
-	world.Run(awayFor)
+	world.Run(outageBackoff)
 	world.send("a", "third", "org/k2/b")
 	world.Run(2 * time.Second)
-	assert.Equal(t, world.told("third"), "answer")
+	assert.Equal(t, world.resultOf("third"), "answer")
 	world.send("a", "repeat", "org/k1/b")
 	world.Run(2 * time.Second)
-	assert.Equal(t, world.told("repeat"), "answer")
+	assert.Equal(t, world.resultOf("repeat"), "answer")
 	assert.Equal(t, world.runs["org/k1/b"], 1)
 }
 
@@ -325,12 +325,12 @@
 	world := newWorld(t, 1, "a", "b")
 	world.send("a", "r1", "org/k/b")
 	world.Run(25 * time.Millisecond)
-	world.deliver(world.nodes["a"], DrainRequested{})
+	world.handle(world.nodes["a"], DrainRequested{})
 	world.Run(5 * time.Second)
-	assert.Equal(t, world.nodes["a"].decider.core.claims, 0)
+	assert.Equal(t, world.nodes["a"].decider.core.openClaims, 0)
 	world.send("b", "r2", "org/k/b")
 	world.Run(time.Second)
-	assert.Equal(t, world.told("r2"), "replay")
+	assert.Equal(t, world.resultOf("r2"), "replay")
 }
 
 // TestClaimWritesAreBounded drives many keys and counts the platform's calls.
@@ -345,7 +345,7 @@
 	}
 	world.Run(40 * time.Second)
 	for index := range requests {
-		assert.Equal(t, world.told(definer.RequestID(fmt.Sprintf("r%d", index))), "answer")
+		assert.Equal(t, world.resultOf(definer.RequestID(fmt.Sprintf("r%d", index))), "answer")
 	}
 	writes := world.platform.calls[UpdateObject] + world.platform.calls[CreateObject]
 	t.Logf("%d keyed requests in 30 s: %d writes, %d reads, largest %d bytes", requests, writes, world.platform.calls[ReadObject], world.platform.largest)
@@ -360,5 +360,5 @@
 	}
 	world.Run(time.Minute)
 	assert.Check(t, len(world.platform.objects) <= 2*claimer.Buckets, "%d objects", len(world.platform.objects))
-	assert.Equal(t, world.told("late7"), "answer")
+	assert.Equal(t, world.resultOf("late7"), "answer")
 }
--- a/decider/claims_world_test.go
+++ b/decider/claims_world_test.go
@@ -29,17 +29,17 @@
 	ends map[definer.RequestID]end
 	keys map[definer.RequestID]string
 	// fate tells how an attempt goes; nil is always well.
-	fate func(StartAttempt) fate
+	fate func(StartAttempt) attemptFate
 	// onCall tells how a platform call goes; nil is always well.
 	onCall func(definer.VM, CallPlatform) callFate
 	// lossy drops this share of messages between nodes.
-	lossy float64
+	lossRate float64
 	// credulous takes a lost write for a done one: a broken variant.
-	credulous bool
+	treatsLostAsDone bool
 	// lies lists requests told that they did not run after their key had.
-	lies    []definer.RequestID
-	answers map[definer.RequestID]string
-	issued  map[definer.RequestID]string
+	falseNotRuns []definer.RequestID
+	answers      map[definer.RequestID]string
+	issued       map[definer.RequestID]string
 }
 
 type node struct {
@@ -62,7 +62,7 @@
 }
 
 // fate is what becomes of one attempt.
-type fate struct {
+type attemptFate struct {
 	runs   bool
 	result AttemptResult
 	delay  time.Duration
@@ -113,11 +113,11 @@
 	self := definer.Member{VM: vm, Incarnation: incarnation}
 	node := &node{decider: New(self, "dc", string(vm), WithVMs(listed), WithSeed(uint64(len(vm))+uint64(incarnation))), timers: make(clock.Timers[TimerKey])}
 	world.nodes[vm] = node
-	world.carry(node, node.decider.Start(world.Now()))
+	world.carryOut(node, node.decider.Start(world.Now()))
 	sums, sections, err := sectioner.Cut(claimDocument())
 	assert.NilError(t, err)
-	world.deliver(node, ConfigurationFound{Head: Head{Version: 1, Sections: sums}, Contents: sections})
-	world.deliver(node, VMsListed{VMs: listed})
+	world.handle(node, ConfigurationFound{Head: Head{Version: 1, Sections: sums}, Contents: sections})
+	world.handle(node, VMsListed{VMs: listed})
 }
 
 // restart ends a process and boots the VM's next; others hear of it.
@@ -130,39 +130,39 @@
 
 func (world *world) tellGone(member definer.Member) {
 	for _, vm := range world.vms {
-		world.deliver(world.nodes[vm], membersChanged{gone: []definer.Member{member}})
+		world.handle(world.nodes[vm], membersChanged{gone: []definer.Member{member}})
 	}
 }
 
 // deliver hands a node an event, or holds it while the node is frozen.
-func (world *world) deliver(node *node, event Event) {
+func (world *world) handle(node *node, event Event) {
 	if world.nodes[node.decider.Self().VM] != node {
 		return
 	}
 	if wait := node.frozen.Sub(world.Now()); wait > 0 {
-		world.After(wait, func() { world.deliver(node, event) })
+		world.After(wait, func() { world.handle(node, event) })
 		return
 	}
-	world.carry(node, node.decider.Handle(world.Now(), event))
+	world.carryOut(node, node.decider.Handle(world.Now(), event))
 }
 
-func (world *world) carry(node *node, actions []Action) {
+func (world *world) carryOut(node *node, actions []Action) {
 	for _, action := range actions {
-		world.act(node, action)
+		world.carryOutOne(node, action)
 	}
 }
 
-func (world *world) act(node *node, action Action) {
+func (world *world) carryOutOne(node *node, action Action) {
 	self := node.decider.Self()
 	switch action := action.(type) {
 	case SetTimer:
-		node.timers.Set(world.Clock, action.Key, action.At, func() { world.deliver(node, TimerFired{Key: action.Key}) })
+		node.timers.Set(world.Clock, action.Key, action.At, func() { world.handle(node, TimerFired{Key: action.Key}) })
 	case ClearTimer:
 		node.timers.Clear(action.Key)
 	case SendMessage:
-		if world.random.Float64() >= world.lossy {
+		if world.random.Float64() >= world.lossRate {
 			message := MessageReceived{From: self, DataCentre: "dc", Message: action.Message}
-			world.After(time.Millisecond, func() { world.deliver(world.nodes[action.To], message) })
+			world.After(time.Millisecond, func() { world.handle(world.nodes[action.To], message) })
 		}
 	case CallPlatform:
 		world.call(node, action)
@@ -173,18 +173,18 @@
 	case KeyIssued:
 		world.issued[action.Request] = action.Key
 	case FinishRequest:
-		world.tell(action.Request, end{answer: world.answers[action.Request]})
+		world.recordEnd(action.Request, end{answer: world.answers[action.Request]})
 	case ReplayAnswer:
-		world.tell(action.Request, end{answer: string(action.Answer.Body), replay: true})
+		world.recordEnd(action.Request, end{answer: string(action.Answer.Body), replay: true})
 	case RefuseRequest:
-		world.tell(action.Request, end{refusal: action.Refusal})
+		world.recordEnd(action.Request, end{refusal: action.Refusal})
 	}
 }
 
-func (world *world) tell(request definer.RequestID, end end) {
+func (world *world) recordEnd(request definer.RequestID, end end) {
 	end.at = world.Now()
 	if end.refusal.Outcome == definer.NotRun && end.refusal.Reason != messenger.KeyMismatch && world.runs[world.keys[request]] > 0 {
-		world.lies = append(world.lies, request)
+		world.falseNotRuns = append(world.falseNotRuns, request)
 	}
 	world.ends[request] = end
 }
@@ -194,16 +194,16 @@
 	holder := world.nodes[action.To]
 	inner := action.Request + "-forwarded"
 	world.keys[inner] = world.keys[action.Request]
-	world.deliver(holder, arrival(inner, world.keys[action.Request], true))
+	world.handle(holder, arrival(inner, world.keys[action.Request], true))
 	world.After(time.Second, func() {
 		told, ok := world.ends[inner]
 		if ok {
-			world.tell(action.Request, told)
+			world.recordEnd(action.Request, told)
 			world.answers[action.Request] = told.answer
 		}
-		world.deliver(node, CallForwarded{Request: action.Request, Answered: ok})
+		world.handle(node, CallForwarded{Request: action.Request, Answered: ok})
 		if ok {
-			world.tell(action.Request, told)
+			world.recordEnd(action.Request, told)
 		}
 	})
 }
@@ -218,7 +218,7 @@
 		return
 	}
 	ended := AttemptEnded{Request: action.Request, Attempt: action.Attempt, Result: Unsent}
-	fate := fate{runs: true, result: Complete, delay: 5 * time.Millisecond}
+	fate := attemptFate{runs: true, result: Complete, delay: 5 * time.Millisecond}
 	if world.fate != nil {
 		fate = world.fate(action)
 	}
@@ -232,7 +232,7 @@
 			}
 		}
 	}
-	world.After(fate.delay, func() { world.deliver(node, ended) })
+	world.After(fate.delay, func() { world.handle(node, ended) })
 }
 
 func (world *world) serve(request definer.RequestID) string {
@@ -257,11 +257,11 @@
 		if fate.lost {
 			answer = PlatformAnswered{Result: Lost}
 		}
-		if fate.lost && world.credulous && call.Verb != ReadObject {
+		if fate.lost && world.treatsLostAsDone && call.Verb != ReadObject {
 			answer = PlatformAnswered{Result: Done, Version: call.Version + 1}
 		}
 		answer.Call = call.Call
-		world.After(fate.delay/2, func() { world.deliver(node, answer) })
+		world.After(fate.delay/2, func() { world.handle(node, answer) })
 	})
 }
 
@@ -303,5 +303,5 @@
 // send hands a request to a node.
 func (world *world) send(vm definer.VM, request definer.RequestID, key string) {
 	world.keys[request] = key
-	world.deliver(world.nodes[vm], arrival(request, key, false))
+	world.handle(world.nodes[vm], arrival(request, key, false))
 }
--- a/decider/claimwriter.go
+++ b/decider/claimwriter.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	claimWriterPart = "claimWriter"
-	claimsKind      = "claims"
-	// maxGone bounds the ended processes that are remembered.
+	claimWriterComponent = "claimWriter"
+	claimsKind           = "claims"
+	// maxGone bounds the number of VMs whose ended processes are remembered.
 	maxGone = 4096
 )
 
-// claimWriter writes the claims of any member to the platform, many at once.
+// claimWriter writes the claims of any member to the platform, in batches.
 type claimWriter struct {
 	*core
 	writer *claimer.Writer
-	// calls holds the bucket of each call that was not answered.
+	// calls holds the bucket of each unanswered call.
 	calls map[uint64]int
 	// gone holds the last incarnation of each VM that is known to have ended.
 	gone map[definer.VM]definer.Incarnation
 	// order holds the VMs of gone, oldest first.
 	order []definer.VM
-	// settled counts the verdicts told.
+	// settled counts the verdicts sent.
 	settled int
 }
 
@@ -41,17 +41,17 @@
 func (claimWriter *claimWriter) handle(event Event) {
 	switch event := event.(type) {
 	case configurationChanged:
-		claimWriter.writer.SetKeep(claimWriter.keep())
+		claimWriter.writer.SetKeep(claimWriter.claimRetention())
 	case membersChanged:
-		claimWriter.forget(event.gone)
+		claimWriter.recordGone(event.gone)
 	case MessageReceived:
 		if ask, ok := event.Message.(*messenger.ClaimAsk); ok {
 			claimWriter.submit(claimer.Operation{ClaimAsk: *ask, Holder: event.From})
 		}
 	case PlatformAnswered:
-		claimWriter.answered(event)
+		claimWriter.handlePlatformAnswer(event)
 	case TimerFired:
-		if event.Key.Part != claimWriterPart {
+		if event.Key.Component != claimWriterComponent {
 			return
 		}
 		if bucket, err := strconv.Atoi(event.Key.ID); err == nil {
@@ -60,7 +60,8 @@
 	}
 }
 
-// submit takes in a step and tells the holder of a claim that it is waiting.
+// submit adds a step to the next write and tells the holder of a new claim that
+// it is queued.
 func (claimWriter *claimWriter) submit(operation claimer.Operation) {
 	before := claimWriter.settled
 	claimWriter.writer.Submit(claimWriter.now, operation)
@@ -69,7 +70,7 @@
 	}
 }
 
-func (claimWriter *claimWriter) answered(event PlatformAnswered) {
+func (claimWriter *claimWriter) handlePlatformAnswer(event PlatformAnswered) {
 	bucket, ok := claimWriter.calls[event.Call]
 	if !ok {
 		return
@@ -82,8 +83,8 @@
 	})
 }
 
-// forget notes processes that have ended.
-func (claimWriter *claimWriter) forget(gone []definer.Member) {
+// recordGone records processes that have ended.
+func (claimWriter *claimWriter) recordGone(gone []definer.Member) {
 	for _, member := range gone {
 		if _, ok := claimWriter.gone[member.VM]; !ok {
 			claimWriter.order = append(claimWriter.order, member.VM)
@@ -96,9 +97,9 @@
 	}
 }
 
-// CallPlatform makes a call for a bucket.
+// CallPlatform makes a call for a bucket; the answer goes to the claimer.
 func (claimWriter *claimWriter) CallPlatform(call claimer.Call) {
-	number := claimWriter.call(CallPlatform{
+	number := claimWriter.callPlatform(CallPlatform{
 		Verb:    PlatformVerb(call.Verb),
 		Kind:    claimsKind,
 		Name:    call.Name,
@@ -110,10 +111,10 @@
 
 // WakeAt sets the timer of a bucket.
 func (claimWriter *claimWriter) WakeAt(bucket int, at time.Time) {
-	claimWriter.act(SetTimer{Key: TimerKey{Part: claimWriterPart, ID: strconv.Itoa(bucket)}, At: at})
+	claimWriter.emit(SetTimer{Key: TimerKey{Component: claimWriterComponent, ID: strconv.Itoa(bucket)}, At: at})
 }
 
-// Settle tells the holder of a claim the verdict.
+// Settle sends the verdict to the holder of a claim.
 func (claimWriter *claimWriter) Settle(operation claimer.Operation, verdict messenger.ClaimVerdict, answer *messenger.KeptAnswer) {
 	claimWriter.settled++
 	claimWriter.answer(operation, verdict, answer)
@@ -123,7 +124,7 @@
 	claimWriter.send(operation.Holder.VM, &messenger.ClaimAnswer{Step: operation.Step, Request: operation.Request, Verdict: verdict, Answer: answer})
 }
 
-// Gone tells whether a process is known to have ended.
+// Gone reports whether a process is known to have ended.
 func (claimWriter *claimWriter) Gone(member definer.Member) bool {
 	last, ok := claimWriter.gone[member.VM]
 	return ok && member.Incarnation <= last
--- a/decider/cluster_test.go
+++ b/decider/cluster_test.go
@@ -24,31 +24,31 @@
 // cluster joins Deciders under a stepped clock. Messages are delayed and may be
 // lost or cut off; nodes may be killed and frozen; upstreams take their time.
 type cluster struct {
-	t      testingT
-	now    time.Time
-	random *rand.Rand
-	nodes  map[definer.VM]*clusterNode
-	due    []delivery
-	listed []ListedVM
-	head   Head
-	data   []messenger.Section
-	loss   float64
-	cut    func(from, to definer.VM) bool
+	t          testingT
+	now        time.Time
+	random     *rand.Rand
+	nodes      map[definer.VM]*clusterNode
+	deliveries []delivery
+	listed     []ListedVM
+	head       Head
+	data       []messenger.Section
+	loss       float64
+	cut        func(from, to definer.VM) bool
 	// ending are requests under which each upstream ends, endings counts these ends.
-	ending  map[definer.RequestID]bool
-	endings int
+	endsUpstream   map[definer.RequestID]bool
+	endedUpstreams int
 	// service is how long an attempt runs.
 	service time.Duration
 	running map[definer.UpstreamName]map[definer.AttemptID]bool
 	// peak is the most attempts that ever ran at once on all upstreams of a
 	// data centre.
-	peak     map[definer.DataCentre]int
-	starts   []start
-	arrived  map[definer.RequestID]time.Time
-	ended    map[definer.RequestID]string
-	canceled []definer.AttemptID
-	stopped  []definer.VM
-	emergent int
+	peak            map[definer.DataCentre]int
+	starts          []start
+	arrived         map[definer.RequestID]time.Time
+	ended           map[definer.RequestID]string
+	canceled        []definer.AttemptID
+	stopped         []definer.VM
+	emergencyGrants int
 }
 
 type start struct {
@@ -134,22 +134,22 @@
 	node := &clusterNode{dataCentre: vm.DataCentre, timers: make(map[TimerKey]time.Time)}
 	node.decider = New(definer.Member{VM: definer.VM(vm.Name), Incarnation: incarnation}, vm.DataCentre, vm.Address, WithVMs(cluster.listed))
 	cluster.nodes[definer.VM(vm.Name)] = node
-	cluster.carry(node, node.decider.Start(cluster.now))
-	cluster.tell(node, ConfigurationFound{Head: cluster.head, Contents: cluster.data})
+	cluster.carryOut(node, node.decider.Start(cluster.now))
+	cluster.handle(node, ConfigurationFound{Head: cluster.head, Contents: cluster.data})
 	assert.Assert(cluster.t, node.decider.Configuration() != nil)
 	return node
 }
 
 // tell hands an event to a node, or keeps it while the node is frozen.
-func (cluster *cluster) tell(node *clusterNode, event Event) {
+func (cluster *cluster) handle(node *clusterNode, event Event) {
 	if node.frozen {
 		node.backlog = append(node.backlog, event)
 		return
 	}
-	cluster.carry(node, node.decider.Handle(cluster.now, event))
+	cluster.carryOut(node, node.decider.Handle(cluster.now, event))
 }
 
-func (cluster *cluster) carry(node *clusterNode, actions []Action) {
+func (cluster *cluster) carryOut(node *clusterNode, actions []Action) {
 	self := node.decider.Self()
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -160,27 +160,27 @@
 		case ClearTimer:
 			delete(node.timers, action.Key)
 		case StartAttempt:
-			cluster.begin(self, action)
+			cluster.startAttempt(self, action)
 		case CancelUpstreamWork:
 			cluster.canceled = append(cluster.canceled, action.Attempt)
 			delete(cluster.running[action.Upstream.Name()], action.Attempt)
 		case FinishRequest:
-			cluster.end(action.Request, "finished")
+			cluster.recordEnd(action.Request, "finished")
 		case RefuseRequest:
-			cluster.end(action.Request, string(action.Refusal.Reason))
+			cluster.recordEnd(action.Request, string(action.Refusal.Reason))
 		case Stopped:
 			cluster.stopped = append(cluster.stopped, self.VM)
 			delete(cluster.nodes, self.VM)
 		case LogEvent:
 			if action.Number == EventEmergencyGrant {
-				cluster.emergent++
+				cluster.emergencyGrants++
 			}
 		}
 	}
 }
 
 // end notes a final answer; a request has exactly one.
-func (cluster *cluster) end(request definer.RequestID, how string) {
+func (cluster *cluster) recordEnd(request definer.RequestID, how string) {
 	assert.Equal(cluster.t, cluster.ended[request], "", "%s ended twice", request)
 	cluster.ended[request] = how
 }
@@ -190,11 +190,11 @@
 		return
 	}
 	delay := time.Duration(1+cluster.random.Intn(4)) * time.Millisecond
-	cluster.due = append(cluster.due, delivery{at: cluster.now.Add(delay), to: action.To, event: MessageReceived{From: from, DataCentre: dataCentre, Message: action.Message}})
+	cluster.deliveries = append(cluster.deliveries, delivery{at: cluster.now.Add(delay), to: action.To, event: MessageReceived{From: from, DataCentre: dataCentre, Message: action.Message}})
 }
 
 // begin runs an attempt on its upstream, which goes on without the entry VM.
-func (cluster *cluster) begin(entry definer.Member, action StartAttempt) {
+func (cluster *cluster) startAttempt(entry definer.Member, action StartAttempt) {
 	name := action.Upstream.Name()
 	if cluster.running[name] == nil {
 		cluster.running[name] = make(map[definer.AttemptID]bool)
@@ -207,13 +207,13 @@
 			sum += len(attempts)
 		}
 	}
-	if cluster.ending[action.Request] {
+	if cluster.endsUpstream[action.Request] {
 		cluster.endUpstream(entry, action)
 		return
 	}
 	dataCentre := action.Upstream.DataCentre()
 	cluster.peak[dataCentre] = max(cluster.peak[dataCentre], sum)
-	cluster.due = append(cluster.due, delivery{at: cluster.now.Add(cluster.service), to: entry.VM, run: entry, event: AttemptEnded{
+	cluster.deliveries = append(cluster.deliveries, delivery{at: cluster.now.Add(cluster.service), to: entry.VM, run: entry, event: AttemptEnded{
 		Request: action.Request, Attempt: action.Attempt, Result: Complete, Delivered: tokens, Begun: true,
 		Observation: messenger.Observation{FirstToken: time.Second, BetweenTokens: 20 * time.Millisecond, Tokens: tokens, Total: cluster.service},
 	}, then: func() { delete(cluster.running[name], action.Attempt) }})
@@ -221,29 +221,29 @@
 
 // endUpstream ends an upstream with an attempt on it, some time later.
 func (cluster *cluster) endUpstream(entry definer.Member, action StartAttempt) {
-	cluster.due = append(cluster.due, delivery{at: cluster.now.Add(40 * time.Millisecond), to: entry.VM, run: entry, event: AttemptEnded{
+	cluster.deliveries = append(cluster.deliveries, delivery{at: cluster.now.Add(40 * time.Millisecond), to: entry.VM, run: entry, event: AttemptEnded{
 		Request: action.Request, Attempt: action.Attempt, Result: Cut, UpstreamEnded: true,
 	}, then: func() {
 		delete(cluster.running[action.Upstream.Name()], action.Attempt)
-		cluster.endings++
+		cluster.endedUpstreams++
 	}})
 }
 
 func (cluster *cluster) run(length time.Duration) {
 	for end := cluster.now.Add(length); cluster.now.Before(end); {
 		cluster.now = cluster.now.Add(clusterStep)
-		due := cluster.due
-		cluster.due = nil
+		due := cluster.deliveries
+		cluster.deliveries = nil
 		for _, delivery := range due {
 			if delivery.at.After(cluster.now) {
-				cluster.due = append(cluster.due, delivery)
+				cluster.deliveries = append(cluster.deliveries, delivery)
 				continue
 			}
 			cluster.deliver(delivery)
 		}
 		for _, vm := range sortedKeys(cluster.nodes) {
 			if node := cluster.nodes[vm]; !node.frozen {
-				cluster.fire(node)
+				cluster.fireTimers(node)
 			}
 		}
 	}
@@ -262,24 +262,24 @@
 		ended.Result, ended.Resumable = Cut, true
 		event = ended
 	}
-	cluster.tell(node, event)
+	cluster.handle(node, event)
 }
 
-func (cluster *cluster) fire(node *clusterNode) {
+func (cluster *cluster) fireTimers(node *clusterNode) {
 	var keys []TimerKey
 	for key, at := range node.timers {
 		if !at.After(cluster.now) {
 			keys = append(keys, key)
 		}
 	}
-	slices.SortFunc(keys, func(a, b TimerKey) int { return cmp.Or(cmp.Compare(a.Part, b.Part), cmp.Compare(a.ID, b.ID)) })
+	slices.SortFunc(keys, func(a, b TimerKey) int { return cmp.Or(cmp.Compare(a.Component, b.Component), cmp.Compare(a.ID, b.ID)) })
 	for _, key := range keys {
 		// One that fired before may have cleared or moved it.
 		if at, set := node.timers[key]; !set || at.After(cluster.now) {
 			continue
 		}
 		delete(node.timers, key)
-		cluster.tell(node, TimerFired{Key: key})
+		cluster.handle(node, TimerFired{Key: key})
 	}
 }
 
@@ -289,7 +289,7 @@
 	backlog := node.backlog
 	node.backlog = nil
 	for _, event := range backlog {
-		cluster.tell(node, event)
+		cluster.handle(node, event)
 	}
 }
 
@@ -297,7 +297,7 @@
 func (cluster *cluster) request(vm definer.VM, id, path string) {
 	request := definer.RequestID(id)
 	cluster.arrived[request] = cluster.now
-	cluster.tell(cluster.nodes[vm], RequestArrived{Request: request, Organisation: "o", Properties: matcher.Properties{Model: "m", Path: path, PromptTokens: 100, MaxTokens: tokens}})
+	cluster.handle(cluster.nodes[vm], RequestArrived{Request: request, Organisation: "o", Properties: matcher.Properties{Model: "m", Path: path, PromptTokens: 100, MaxTokens: tokens}})
 }
 
 // owner returns who owns the pool's shard in a data centre as a node sees it.
@@ -318,9 +318,9 @@
 }
 
 // ownerPartOf returns the owner part of a node, to look at or to break it.
-func (cluster *cluster) ownerPartOf(vm definer.VM) *owner {
-	for _, part := range cluster.nodes[vm].decider.parts {
-		if owner, ok := part.(*owner); ok {
+func (cluster *cluster) ownerOf(vm definer.VM) *owner {
+	for _, component := range cluster.nodes[vm].decider.components {
+		if owner, ok := component.(*owner); ok {
 			return owner
 		}
 	}
@@ -328,7 +328,7 @@
 }
 
 // load lets requests come to the VMs in turn.
-func (cluster *cluster) load(prefix, path string, vms []definer.VM, count int, every time.Duration) []definer.RequestID {
+func (cluster *cluster) sendRequests(prefix, path string, vms []definer.VM, count int, every time.Duration) []definer.RequestID {
 	var ids []definer.RequestID
 	for index := range count {
 		id := fmt.Sprintf("%s%03d", prefix, index)
@@ -340,7 +340,7 @@
 }
 
 // finish runs until all requests ended and checks that each was finished.
-func (cluster *cluster) finish(ids []definer.RequestID, within time.Duration) {
+func (cluster *cluster) checkFinished(ids []definer.RequestID, within time.Duration) {
 	cluster.t.Helper()
 	cluster.run(within)
 	for _, id := range ids {
@@ -350,7 +350,7 @@
 
 // orderedAfter checks that requests which started after an instant did so in
 // the order in which they came.
-func (cluster *cluster) orderedAfter(at time.Time) {
+func (cluster *cluster) checkOrderedAfter(at time.Time) {
 	cluster.t.Helper()
 	var last start
 	for _, start := range cluster.starts {
--- a/decider/configurer.go
+++ b/decider/configurer.go
@@ -13,63 +13,73 @@
 )
 
 const (
-	configurerPart = "configuration"
-	// startTimer, tickTimer and fetchTimer name the part's timers.
-	startTimer = "start"
-	grownTimer = "grown"
-	tickTimer  = "tick"
-	fetchTimer = "fetch"
-	// configurationHolders is how many members of a data centre hold the
-	// platform's watches.
-	configurationHolders = 2
-	// configurationTick is the time between two asks of a peer at random.
-	configurationTick = 2 * time.Second
-	// eagerTick is that time for eagerTicks times after a new version.
-	eagerTick  = 250 * time.Millisecond
-	eagerTicks = 20
-	// configurationStart is how long a new node tries its peers alone.
-	configurationStart = 500 * time.Millisecond
-	// configurationYouth is how long listed VMs that were never heard of count
-	// as if they lived, when a node asks whether to hold the watches.
-	configurationYouth = 3 * time.Second
-	// lonelyAfter is how long a node hears of no member before it holds the
-	// watches in any case.
-	lonelyAfter = 20 * time.Second
-	// setBackAfter is how much later than a version came into force the
-	// platform must tell an older one to be taken for set back.
-	setBackAfter = 10 * time.Second
-	// maxRejected bounds the list of versions that failed their checks.
+	configurerComponent = "configuration"
+	// startTimer, bootstrapTimer, tickTimer and fetchTimer are the ids of the
+	// component's timers.
+	startTimer     = "start"
+	bootstrapTimer = "grown"
+	tickTimer      = "tick"
+	fetchTimer     = "fetch"
+	// platformWatchers is how many members of a data centre watch the platform.
+	platformWatchers = 2
+	// compareInterval is the average time between two comparisons of the
+	// version with a random peer.
+	compareInterval = 2 * time.Second
+	// eagerCompareInterval is that time for the first eagerTicks comparisons
+	// after a new version.
+	eagerCompareInterval = 250 * time.Millisecond
+	eagerTicks           = 20
+	// peersOnlyFor is how long a new node tries only its peers before it asks
+	// the platform.
+	peersOnlyFor = 500 * time.Millisecond
+	// bootstrapFor is how long after its start a node counts listed VMs that it
+	// has never heard of as alive when it decides whether to watch the
+	// platform.
+	bootstrapFor = 3 * time.Second
+	// isolatedAfter is how long a node hears of no member before it watches the
+	// platform regardless of its rank.
+	isolatedAfter = 20 * time.Second
+	// rollbackMinAge is how long a version must have been in force before an
+	// older one read from the platform counts as a rollback of the platform.
+	rollbackMinAge = 10 * time.Second
+	// maxRejected bounds the number of remembered versions that failed their
+	// checks.
 	maxRejected = 100
 )
 
-// configurer keeps the configuration in force. The version applied only grows,
-// and only a configuration that passed every check is applied.
+// configurer keeps the configuration in force. The applied version only grows,
+// and a configuration is applied only if it passed every check.
 type configurer struct {
 	*core
-	// head is that of the configuration in force, digest that of its list.
+	// head lists the sections of the configuration in force; digest is the
+	// digest of that list.
 	head   Head
 	digest string
 	// appliedAt is when head came into force.
 	appliedAt time.Time
 	// contents holds the sections of head by hash.
 	contents map[string][]byte
-	// earlier holds the lists of the latest versions in force, head's last.
-	earlier []listing
-	// rejected holds the digest of each version that failed its checks.
+	// listings holds the section lists of the latest versions in force, that of
+	// head last.
+	listings []listing
+	// rejected holds, by version, the digest of each version that failed its
+	// checks.
 	rejected map[uint64]string
-	// reported is the digest of the last foreign version that was logged.
-	reported string
+	// reportedDigest is the digest of the last divergent version that was
+	// logged.
+	reportedDigest string
 	// fetch is nil unless a newer version is being fetched from peers.
 	fetch *fetch
-	// began is the start of this node's life.
-	began time.Time
-	// heard is when another member was last heard of, or the start.
-	heard time.Time
-	// eager counts the ticks that are still to come early.
-	eager int
-	// view is nil when the members have to be looked up anew.
+	// startedAt is when this node started.
+	startedAt time.Time
+	// lastHeard is when the last message of another member arrived, or the
+	// start.
+	lastHeard time.Time
+	// eagerTicksLeft counts the remaining ticks at the shorter interval.
+	eagerTicksLeft int
+	// view caches the members; it is nil when they must be looked up anew.
 	view *view
-	// random is seeded by the node's own name.
+	// random is seeded with the node's own name, its incarnation and core.seed.
 	random *rand.Rand
 }
 
@@ -97,103 +107,105 @@
 	case started:
 		configurer.start()
 	case ConfigurationFound:
-		configurer.found(event)
+		configurer.handleFound(event)
 	case MessageReceived:
-		configurer.receive(event)
+		configurer.handleMessage(event)
 	case TimerFired:
-		if event.Key.Part == configurerPart {
-			configurer.fired(event.Key.ID)
+		if event.Key.Component == configurerComponent {
+			configurer.handleTimer(event.Key.ID)
 		}
 	case membersChanged:
 		configurer.view = nil
-		configurer.hold()
+		configurer.updateWatch()
 	}
 }
 
-// start asks the peers at hand; the platform's turn comes a little later, so
-// that a new node burdens it only when no peer has a configuration.
+// start asks the known peers first and the platform a little later, so that a
+// new node puts load on the platform only when no peer has a configuration.
 func (configurer *configurer) start() {
-	configurer.began = configurer.now
-	configurer.heard = configurer.now
-	configurer.after(configurerPart, grownTimer, configurationYouth)
-	if len(configurer.candidates()) == 0 {
-		configurer.hold()
+	configurer.startedAt = configurer.now
+	configurer.lastHeard = configurer.now
+	configurer.setTimer(configurerComponent, bootstrapTimer, bootstrapFor)
+	if len(configurer.bootstrapPeers()) == 0 {
+		configurer.updateWatch()
 	}
-	configurer.after(configurerPart, startTimer, configurationStart)
+	configurer.setTimer(configurerComponent, startTimer, peersOnlyFor)
 	configurer.setTick()
-	configurer.after(configurerPart, fetchTimer, 0)
+	configurer.setTimer(configurerComponent, fetchTimer, 0)
 }
 
-// setTick sets the next tick: early for a while after a new version, since many
-// peers may lack it.
+// setTick sets the next tick. The interval is shorter for a while after a new
+// version, since many peers may lack it.
 func (configurer *configurer) setTick() {
-	wait := configurationTick
-	if configurer.eager > 0 {
-		configurer.eager--
-		wait = eagerTick
+	wait := compareInterval
+	if configurer.eagerTicksLeft > 0 {
+		configurer.eagerTicksLeft--
+		wait = eagerCompareInterval
 	}
-	configurer.after(configurerPart, tickTimer, configurer.jitter(wait))
+	configurer.setTimer(configurerComponent, tickTimer, configurer.jitter(wait))
 }
 
-func (configurer *configurer) fired(timer string) {
+func (configurer *configurer) handleTimer(timer string) {
 	switch timer {
 	case startTimer:
-		configurer.hold()
-	case grownTimer:
+		configurer.updateWatch()
+	case bootstrapTimer:
 		configurer.view = nil
-		configurer.hold()
+		configurer.updateWatch()
 	case tickTimer:
-		configurer.hold()
-		configurer.compare()
+		configurer.updateWatch()
+		configurer.compareWithPeers()
 		configurer.setTick()
 	case fetchTimer:
-		configurer.fetchAgain()
+		configurer.retryFetch()
 	}
 }
 
-// hold tells the shell whether this node holds the platform's watches: by rank,
-// or because nobody can be expected to pass on what the platform says.
-func (configurer *configurer) hold() {
-	waited := configurer.now.Sub(configurer.heard)
-	hold := configurer.members().rank < configurationHolders ||
-		configurer.configuration == nil && waited >= configurationStart ||
-		waited > lonelyAfter
-	if hold == configurer.holding {
+// updateWatch tells the shell whether this node watches the platform. It does
+// if its rank is high enough, or if no peer can be expected to pass on the
+// platform's state.
+func (configurer *configurer) updateWatch() {
+	waited := configurer.now.Sub(configurer.lastHeard)
+	hold := configurer.members().rank < platformWatchers ||
+		configurer.configuration == nil && waited >= peersOnlyFor ||
+		waited > isolatedAfter
+	if hold == configurer.watching {
 		return
 	}
-	configurer.core.holding = hold
-	configurer.act(WatchPlatform{Hold: hold})
+	configurer.core.watching = hold
+	configurer.emit(WatchPlatform{Hold: hold})
 }
 
-// found takes in a configuration that was read from the platform.
-func (configurer *configurer) found(event ConfigurationFound) {
+// handleFound handles a configuration that was read from the platform.
+func (configurer *configurer) handleFound(event ConfigurationFound) {
 	digest := sectioner.Digest(event.Head.Sections)
 	switch {
 	case event.Head.Version == configurer.head.Version:
-		configurer.agree(event.Head.Version, digest)
+		configurer.checkDivergence(event.Head.Version, digest)
 	case event.Head.Version < configurer.head.Version:
-		if configurer.now.Sub(configurer.appliedAt) > setBackAfter && configurer.reported != digest {
-			configurer.reported = digest
+		if configurer.now.Sub(configurer.appliedAt) > rollbackMinAge && configurer.reportedDigest != digest {
+			configurer.reportedDigest = digest
 			configurer.log(EventPlatformSetBack, "version", event.Head.Version, "inForce", configurer.head.Version)
 		}
 	case configurer.rejected[event.Head.Version] != digest:
-		configurer.take(event.Head, digest, configurer.gather(event))
+		configurer.apply(event.Head, digest, configurer.collectFound(event))
 	}
 }
 
-// agree checks that a version means the same elsewhere. It does not after the
-// platform was set back and its numbers were given anew.
-func (configurer *configurer) agree(version uint64, digest string) {
-	if digest == "" || digest == configurer.digest || digest == configurer.reported || version == 0 {
+// checkDivergence logs an error when the version in force has another content
+// elsewhere. This happens after the platform was rolled back and assigned
+// version numbers a second time.
+func (configurer *configurer) checkDivergence(version uint64, digest string) {
+	if digest == "" || digest == configurer.digest || digest == configurer.reportedDigest || version == 0 {
 		return
 	}
-	configurer.reported = digest
+	configurer.reportedDigest = digest
 	configurer.log(EventConfigurationDiverged, "version", version, "digest", digest, "inForce", configurer.digest)
 }
 
-// take applies a newer configuration if it is whole and passes its checks, and
-// remembers it if it does not.
-func (configurer *configurer) take(head Head, digest string, contents map[string][]byte) {
+// apply applies a newer configuration if it is complete and passes its checks.
+// One that fails its checks is remembered as rejected.
+func (configurer *configurer) apply(head Head, digest string, contents map[string][]byte) {
 	configuration, compiled, err := check(head, contents)
 	if err != nil {
 		configurer.log(EventConfigurationRejected, "version", head.Version, "cause", err)
@@ -206,18 +218,18 @@
 	configurer.head, configurer.digest = head, digest
 	configurer.appliedAt = configurer.now
 	configurer.contents = contents
-	configurer.remember(listing{digest: digest, sums: head.Sections})
+	configurer.rememberListing(listing{digest: digest, sums: head.Sections})
 	configurer.core.configuration = configuration
 	configurer.core.matcher = compiled
-	configurer.act(ConfigurationApplied{Configuration: configuration})
+	configurer.emit(ConfigurationApplied{Configuration: configuration})
 	configurer.log(EventConfigurationApplied, "version", head.Version)
-	configurer.notify(configurationChanged{})
+	configurer.enqueue(configurationChanged{})
 	if configurer.fetch != nil && configurer.fetch.version <= head.Version {
 		configurer.endFetch()
 	}
-	configurer.hold()
-	configurer.spread()
-	configurer.eager = eagerTicks
+	configurer.updateWatch()
+	configurer.announceToPeers()
+	configurer.eagerTicksLeft = eagerTicks
 	configurer.setTick()
 }
 
@@ -228,18 +240,19 @@
 	configurer.rejected[version] = digest
 }
 
-// gather returns the sections that the event's head names, from the event and
-// from those already held.
-func (configurer *configurer) gather(event ConfigurationFound) map[string][]byte {
+// collectFound returns the sections that the event's head lists, from the event
+// and from those already held.
+func (configurer *configurer) collectFound(event ConfigurationFound) map[string][]byte {
 	contents := make(map[string][]byte, len(event.Head.Sections))
 	for _, section := range event.Contents {
 		contents[section.Hash] = section.Data
 	}
-	return configurer.complete(event.Head.Sections, contents)
+	return configurer.collectSections(event.Head.Sections, contents)
 }
 
-// complete returns the sections of a list, from those given and those held.
-func (configurer *configurer) complete(sums []messenger.SectionSum, given map[string][]byte) map[string][]byte {
+// collectSections returns the contents of the listed sections, from those given
+// and those held.
+func (configurer *configurer) collectSections(sums []messenger.SectionSum, given map[string][]byte) map[string][]byte {
 	contents := make(map[string][]byte, len(sums))
 	for _, sum := range sums {
 		if data, ok := configurer.contents[sum.Hash]; ok {
@@ -251,7 +264,8 @@
 	return contents
 }
 
-// check joins the sections of a version and returns what they hold, checked.
+// check joins the sections of a version and returns the checked configuration
+// with its compiled rules.
 func check(head Head, contents map[string][]byte) (*definer.Configuration, *matcher.Matcher, error) {
 	sections := make([]messenger.Section, 0, len(head.Sections))
 	for _, sum := range head.Sections {
@@ -272,7 +286,8 @@
 	return configuration, compiled, nil
 }
 
-// jitter returns a time around the given one, from half to one and a half.
+// jitter returns a random time between half and one and a half of the given
+// one.
 func (configurer *configurer) jitter(wait time.Duration) time.Duration {
 	return wait/2 + time.Duration(configurer.random.Int64N(int64(wait)))
 }
--- a/decider/configurer_bench_test.go
+++ b/decider/configurer_bench_test.go
@@ -20,14 +20,14 @@
 func BenchmarkWholeFleet(b *testing.B) {
 	fleet := newFleet(b, 1, 5, 78)
 	fleet.bootAll()
-	fleet.put(1, smallDocument(1), true)
-	fleet.within(inForceWithin, 1)
+	fleet.store(1, smallDocument(1), true)
+	fleet.waitApplied(inForceWithin, 1)
 	fleet.Run(10 * time.Second)
 	var times []time.Duration
 	for b.Loop() {
 		version := uint64(len(times) + 2)
-		fleet.put(version, smallDocument(int(version)), true)
-		times = append(times, fleet.within(inForceWithin, version))
+		fleet.store(version, smallDocument(int(version)), true)
+		times = append(times, fleet.waitApplied(inForceWithin, version))
 		fleet.Run(time.Second)
 	}
 	slices.Sort(times)
@@ -102,12 +102,12 @@
 			fleet := newFleet(b, 1, 2, 12)
 			document := largeDocument()
 			fleet.bootAll()
-			fleet.put(1, document, true)
-			fleet.within(inForceWithin, 1)
+			fleet.store(1, document, true)
+			fleet.waitApplied(inForceWithin, 1)
 			fleet.Run(20 * time.Second)
 			total, steady := 0, 0
 			meter := newMeter(b)
-			fleet.carried = func(_ definer.VM, message messenger.Message) {
+			fleet.onMessage = func(_ definer.VM, message messenger.Message) {
 				if strings.Contains(fmt.Sprintf("%T", message), "Configuration") {
 					total += meter.bytes(b, message)
 				}
@@ -119,8 +119,8 @@
 			for b.Loop() {
 				count++
 				change(&document, 20+count)
-				fleet.put(uint64(count+1), document, true)
-				fleet.within(inForceWithin, uint64(count+1))
+				fleet.store(uint64(count+1), document, true)
+				fleet.waitApplied(inForceWithin, uint64(count+1))
 				fleet.Run(length)
 			}
 			nodes := float64(len(fleet.nodes))
--- a/decider/configurer_test.go
+++ b/decider/configurer_test.go
@@ -40,10 +40,10 @@
 		t.Run(test.name, func(t *testing.T) {
 			fleet := newFleet(t, 1, 5, test.each)
 			fleet.bootAll()
-			fleet.put(1, smallDocument(1), true)
-			fleet.within(inForceWithin, 1)
+			fleet.store(1, smallDocument(1), true)
+			fleet.waitApplied(inForceWithin, 1)
 			fleet.loss = test.loss
-			fleet.away = func(dataCentre definer.DataCentre) bool { return slices.Contains(test.away, dataCentre) }
+			fleet.platformAway = func(dataCentre definer.DataCentre) bool { return slices.Contains(test.away, dataCentre) }
 			fleet.cut = func(from, to definer.DataCentre) bool { return test.apart && from != to }
 			if test.dead > 0 {
 				for index := 3; index < len(fleet.listed); index += test.dead {
@@ -52,8 +52,8 @@
 			}
 			var times []time.Duration
 			for version := range uint64(4) {
-				fleet.put(version+2, smallDocument(int(version+2)), true)
-				times = append(times, fleet.within(inForceWithin, version+2))
+				fleet.store(version+2, smallDocument(int(version+2)), true)
+				times = append(times, fleet.waitApplied(inForceWithin, version+2))
 				fleet.Run(time.Duration(fleet.random.Int64N(int64(3 * time.Second))))
 			}
 			slices.Sort(times)
@@ -66,20 +66,20 @@
 	t.Parallel()
 	fleet := newFleet(t, 2, 3, 8)
 	fleet.bootAll()
-	fleet.put(1, smallDocument(1), true)
-	fleet.within(inForceWithin, 1)
+	fleet.store(1, smallDocument(1), true)
+	fleet.waitApplied(inForceWithin, 1)
 	apart := true
 	fleet.cut = func(from, to definer.DataCentre) bool { return apart && (from == "d1") != (to == "d1") }
-	fleet.away = func(dataCentre definer.DataCentre) bool { return dataCentre == "d1" }
+	fleet.platformAway = func(dataCentre definer.DataCentre) bool { return dataCentre == "d1" }
 	for version := range uint64(30) {
-		fleet.put(version+2, smallDocument(int(version+2)), true)
+		fleet.store(version+2, smallDocument(int(version+2)), true)
 		fleet.Run(time.Second)
 	}
 	for _, node := range fleet.nodes {
 		assert.Equal(t, node.version == 1, node.vm.DataCentre == "d1", node.vm.Name)
 	}
 	apart = false
-	t.Logf("caught up with 30 changes after %v", fleet.within(inForceWithin, 31))
+	t.Logf("caught up with 30 changes after %v", fleet.waitApplied(inForceWithin, 31))
 }
 
 func TestNewNodeInAnOutageIsServedByPeers(t *testing.T) {
@@ -89,13 +89,13 @@
 			for index := range 23 {
 				fleet.boot(index, fleet.listed)
 			}
-			fleet.put(4, smallDocument(4), true)
-			fleet.within(inForceWithin, 4)
-			fleet.away = func(definer.DataCentre) bool { return true }
+			fleet.store(4, smallDocument(4), true)
+			fleet.waitApplied(inForceWithin, 4)
+			fleet.platformAway = func(definer.DataCentre) bool { return true }
 			fleet.boot(23, fleet.listed[:known])
-			fleet.within(inForceWithin, 4)
+			fleet.waitApplied(inForceWithin, 4)
 			fleet.boot(5, fleet.listed)
-			fleet.within(inForceWithin, 4)
+			fleet.waitApplied(inForceWithin, 4)
 		})
 	}
 }
@@ -103,12 +103,12 @@
 func TestFleetStartsWithoutBurdeningThePlatform(t *testing.T) {
 	t.Parallel()
 	fleet := newFleet(t, 1, 5, 78)
-	fleet.put(1, smallDocument(1), true)
+	fleet.store(1, smallDocument(1), true)
 	fleet.bootAll()
-	fleet.within(inForceWithin, 1)
+	fleet.waitApplied(inForceWithin, 1)
 	holders := 0
 	for _, node := range fleet.nodes {
-		if node.holding {
+		if node.watching {
 			holders++
 		}
 	}
@@ -123,31 +123,31 @@
 	for _, document := range []definer.Document{invalid, condition} {
 		fleet := newFleet(t, 5, 2, 4)
 		fleet.bootAll()
-		fleet.put(1, smallDocument(1), true)
-		fleet.within(inForceWithin, 1)
-		fleet.put(2, document, false)
+		fleet.store(1, smallDocument(1), true)
+		fleet.waitApplied(inForceWithin, 1)
+		fleet.store(2, document, false)
 		fleet.Run(30 * time.Second)
 		// One line from each of the holders, not one at each poll.
 		assert.Equal(t, fleet.logged[decider.EventConfigurationRejected], 4)
-		fleet.put(3, smallDocument(3), true)
-		fleet.within(inForceWithin, 3)
+		fleet.store(3, smallDocument(3), true)
+		fleet.waitApplied(inForceWithin, 3)
 	}
 }
 
 func TestPlatformSetBackIsSeenAndNotFollowed(t *testing.T) {
 	fleet := newFleet(t, 6, 2, 4)
 	fleet.bootAll()
-	fleet.put(9, smallDocument(9), true)
-	fleet.within(inForceWithin, 9)
+	fleet.store(9, smallDocument(9), true)
+	fleet.waitApplied(inForceWithin, 9)
 	fleet.Run(time.Minute)
-	fleet.put(8, smallDocument(8), false)
+	fleet.store(8, smallDocument(8), false)
 	fleet.Run(time.Second)
 	assert.Assert(t, fleet.logged[decider.EventPlatformSetBack] > 0)
-	fleet.put(9, smallDocument(99), false)
+	fleet.store(9, smallDocument(99), false)
 	fleet.Run(time.Second)
 	assert.Assert(t, fleet.logged[decider.EventConfigurationDiverged] > 0)
-	fleet.put(10, smallDocument(10), true)
-	fleet.within(inForceWithin, 10)
+	fleet.store(10, smallDocument(10), true)
+	fleet.waitApplied(inForceWithin, 10)
 }
 
 // TestRandomFaults puts versions, good and bad, while nodes restart, messages
@@ -162,7 +162,7 @@
 		fleet.cut = func(from, to definer.DataCentre) bool {
 			return cut[[2]definer.DataCentre{from, to}] || cut[[2]definer.DataCentre{to, from}]
 		}
-		fleet.away = func(dataCentre definer.DataCentre) bool { return away[dataCentre] }
+		fleet.platformAway = func(dataCentre definer.DataCentre) bool { return away[dataCentre] }
 		fleet.bootAll()
 		version := uint64(0)
 		for range 60 {
@@ -182,7 +182,7 @@
 				if !good {
 					document.Rules[0].Then.Class = "none"
 				}
-				fleet.put(version, document, good)
+				fleet.store(version, document, good)
 			}
 			fleet.Run(time.Duration(fleet.random.Int64N(int64(time.Second))))
 		}
@@ -190,8 +190,8 @@
 		clear(away)
 		fleet.loss = 0
 		version++
-		fleet.put(version, smallDocument(int(version)), true)
-		fleet.within(inForceWithin, version)
+		fleet.store(version, smallDocument(int(version)), true)
+		fleet.waitApplied(inForceWithin, version)
 	}
 }
 
@@ -206,7 +206,7 @@
 	}
 	fleet := newFleet(t, 7, 1, 6)
 	largest := 0
-	fleet.carried = func(_ definer.VM, message messenger.Message) {
+	fleet.onMessage = func(_ definer.VM, message messenger.Message) {
 		if answer, ok := message.(*messenger.ConfigurationAnswer); ok {
 			size := 0
 			for _, piece := range answer.Pieces {
@@ -217,7 +217,7 @@
 	}
 	fleet.loss = 0.1
 	fleet.bootAll()
-	fleet.put(1, document, true)
-	fleet.within(inForceWithin, 1)
+	fleet.store(1, document, true)
+	fleet.waitApplied(inForceWithin, 1)
 	assert.Equal(t, largest, 48<<10)
 }
--- a/decider/core.go
+++ b/decider/core.go
@@ -8,81 +8,86 @@
 	"limpetcleat/scheduler"
 )
 
-// core is what the parts of a node share. A part writes only what it owns.
+// core is the state that the components of a node share. A component writes
+// only the fields that it owns.
 type core struct {
 	self       definer.Member
 	dataCentre definer.DataCentre
 	// address is where peers reach this node.
 	address string
-	// seeds are the VMs known before the platform's list can be read.
-	seeds []ListedVM
-	// policy is that of every scheduler.
+	// bootstrapVMs are the VMs known before the platform's list can be read.
+	bootstrapVMs []ListedVM
+	// policy is the scheduling policy of all shards.
 	policy scheduler.Policy
-	// now is the time of the event in hand; it never goes back.
+	// now is the time of the current event; it never goes back.
 	now time.Time
-	// actions are those of the event in hand, in order.
+	// actions holds the actions of the current event, in order.
 	actions []Action
-	// pending holds events that follow from the one in hand, in order.
+	// pending holds events that follow from the current one, in order.
 	pending []Event
-	// configuration is nil before the first; the configurer owns it.
+	// configuration is nil until the first is applied; the configurer owns it.
 	configuration *definer.Configuration
-	// matcher belongs to configuration and is nil with it.
+	// matcher holds the compiled rules of configuration and is nil with it.
 	matcher *matcher.Matcher
-	// roster tells which members live; it owns itself.
+	// roster holds the live members; it is a component and owns itself.
 	roster *roster
-	// holding says that this node sees the platform's list and configuration;
-	// the configurer owns it.
-	holding bool
-	// draining is set once a planned stop began; the drainer owns it.
+	// watching reports whether this node watches the platform, and so sees its
+	// list of VMs and its configuration; the configurer owns it.
+	watching bool
+	// draining is set once a planned stop has begun; the drainer owns it.
 	draining bool
-	// seed makes the node's jitter and keys differ from those of others.
+	// seed makes the node's jitter and keys differ from those of other nodes.
 	seed uint64
-	// claims counts the claims whose end is not stored; the claims part owns it.
-	claims int
-	// open counts the requests that have no final answer; the requester owns it.
-	open int
-	// calls counts the calls to the platform, to number them.
+	// openClaims counts the claims whose end is not stored yet; the claims
+	// component owns it.
+	openClaims int
+	// openRequests counts the requests without a final answer; the requester
+	// owns it.
+	openRequests int
+	// calls counts the calls to the platform, which are numbered by it.
 	calls uint64
 }
 
-// act adds an action.
-func (core *core) act(action Action) { core.actions = append(core.actions, action) }
+// emit adds an action.
+func (core *core) emit(action Action) { core.actions = append(core.actions, action) }
 
-// notify adds an event that follows from the one in hand.
-func (core *core) notify(event Event) { core.pending = append(core.pending, event) }
+// enqueue adds an event that is handled after the current one.
+func (core *core) enqueue(event Event) { core.pending = append(core.pending, event) }
 
-// log adds a numbered event to the log.
-func (core *core) log(number int, pairs ...any) { core.act(LogEvent{Number: number, Pairs: pairs}) }
+// log adds a numbered event with its key-value pairs to the log.
+func (core *core) log(number int, pairs ...any) { core.emit(LogEvent{Number: number, Pairs: pairs}) }
 
-// after sets a timer that fires once.
-func (core *core) after(part, id string, wait time.Duration) {
-	core.act(SetTimer{Key: TimerKey{Part: part, ID: id}, At: core.now.Add(wait)})
+// setTimer sets a timer that fires once, after the wait.
+func (core *core) setTimer(component, id string, wait time.Duration) {
+	core.emit(SetTimer{Key: TimerKey{Component: component, ID: id}, At: core.now.Add(wait)})
 }
 
-// clear takes a timer back.
-func (core *core) clear(part, id string) { core.act(ClearTimer{Key: TimerKey{Part: part, ID: id}}) }
+// clearTimer cancels a timer.
+func (core *core) clearTimer(component, id string) {
+	core.emit(ClearTimer{Key: TimerKey{Component: component, ID: id}})
+}
 
-// call adds a call to the platform and returns its number.
-func (core *core) call(call CallPlatform) uint64 {
+// callPlatform adds a call to the platform and returns its number.
+func (core *core) callPlatform(call CallPlatform) uint64 {
 	core.calls++
 	call.Call = core.calls
-	core.act(call)
+	core.emit(call)
 	return call.Call
 }
 
-// configurationChanged tells the parts that another configuration is in force.
+// configurationChanged reports that another configuration is in force.
 type configurationChanged struct{}
 
-// membersChanged tells the parts that a member came, went or changed.
+// membersChanged reports that a member joined, went or changed.
 type membersChanged struct {
-	// gone lists members that failed, left or were replaced.
+	// gone lists the members that failed, left or were replaced.
 	gone []definer.Member
 }
 
-// drainBegan tells the parts that a planned stop began.
+// drainBegan reports that a planned stop has begun.
 type drainBegan struct{}
 
-// drainEnded tells the parts that the node has no open request left.
+// drainEnded reports that the stopping node has no open request left.
 type drainEnded struct{}
 
 func (drainBegan) isEvent()           {}
--- a/decider/deadline_test.go
+++ b/decider/deadline_test.go
@@ -30,18 +30,18 @@
 		members = append(members, messenger.MemberChange{Member: member, DataCentre: "dc", Address: "nowhere", State: messenger.Alive, Sequence: 1})
 	}
 	decider := New(self, "dc", "here")
-	begun := decider.Start(now)
-	begun = append(begun, decider.Handle(now, ConfigurationFound{Head: Head{Version: 1, Sections: sums}, Contents: sections})...)
-	begun = append(begun, decider.Handle(now, MessageReceived{From: members[0].Member, DataCentre: "dc", Message: &messenger.HeartbeatAnswer{Changes: members}})...)
+	actions := decider.Start(now)
+	actions = append(actions, decider.Handle(now, ConfigurationFound{Head: Head{Version: 1, Sections: sums}, Contents: sections})...)
+	actions = append(actions, decider.Handle(now, MessageReceived{From: members[0].Member, DataCentre: "dc", Message: &messenger.HeartbeatAnswer{Changes: members}})...)
 	assert.Equal(t, len(decider.core.roster.members), len(members)+1)
-	begun = append(begun, decider.Handle(now, RequestArrived{
+	actions = append(actions, decider.Handle(now, RequestArrived{
 		Request: "request", Organisation: "org", Deadline: deadline,
 		Properties: matcher.Properties{Organisation: "org", Service: "stock"},
 	})...)
 	timers := make(map[TimerKey]time.Time)
-	began := now
-	for step := 0; now.Sub(began) < deadline+slack; step++ {
-		for _, action := range begun {
+	arrival := now
+	for step := 0; now.Sub(arrival) < deadline+slack; step++ {
+		for _, action := range actions {
 			switch action := action.(type) {
 			case SetTimer:
 				timers[action.Key] = action.At
@@ -61,7 +61,7 @@
 		}
 		now = timers[next]
 		delete(timers, next)
-		begun = decider.Handle(now, TimerFired{Key: next})
+		actions = decider.Handle(now, TimerFired{Key: next})
 	}
 	t.Fatalf("no answer %v after the deadline", slack)
 }
--- a/decider/decider.go
+++ b/decider/decider.go
@@ -10,24 +10,27 @@
 	"limpetcleat/scheduler"
 )
 
-// Decider is the core of one node. It is not safe for concurrent use: the
-// shell hands it one event at a time.
+// Decider is the state machine of one node. It is not safe for concurrent use:
+// the shell, which does the input and output, passes it one event at a time.
 type Decider struct {
 	core *core
-	// parts are in the order in which they see each event.
-	parts []part
+	// components are in the order in which they receive each event.
+	components []component
 }
 
-// part is one role of a node. It sees every event and ignores what is not its
-// own. A part never calls another: it reads the core and notifies.
-type part interface {
-	// priority orders the parts; a lower one sees an event first.
+// component is one role of a node. It receives every event and ignores those
+// that do not concern it. Components never call each other: they read the
+// shared core and enqueue events.
+type component interface {
+	// priority returns the place in the order of components; a lower one
+	// receives an event first.
 	priority() int
-	// handle takes in one event and adds actions to the core.
+	// handle processes one event and adds actions to the core.
 	handle(event Event)
 }
 
-// The priorities of the parts: what an event changes for all comes first.
+// The priorities of the components. Components that change shared state, such
+// as the configuration and the list of members, come first.
 const (
 	configurerPriority = 100
 	rosterPriority     = 200
@@ -37,34 +40,36 @@
 	drainerPriority    = 500
 )
 
-// Option changes one setting of a Decider.
+// Option sets one option of a Decider.
 type Option func(*core)
 
-// WithVMs sets the VMs known before the platform's list can be read.
+// WithVMs sets the VMs that the node knows before it can read the platform's
+// list.
 func WithVMs(vms []ListedVM) Option {
-	return func(core *core) { core.seeds = vms }
+	return func(core *core) { core.bootstrapVMs = vms }
 }
 
-// WithSeed sets the seed of everything that is drawn at random.
+// WithSeed sets the seed of all random numbers.
 func WithSeed(seed uint64) Option {
 	return func(core *core) { core.seed = seed }
 }
 
-// New returns the core of one node. The address is where its peers reach it.
+// New returns the state machine of one node. Its peers reach the node at the
+// address.
 func New(self definer.Member, dataCentre definer.DataCentre, address string, options ...Option) *Decider {
 	core := &core{self: self, dataCentre: dataCentre, address: address, policy: scheduler.ServiceLevels}
 	for _, option := range options {
 		option(core)
 	}
-	decider := &Decider{core: core, parts: defaultParts(core)}
-	slices.SortStableFunc(decider.parts, func(a, b part) int { return cmp.Compare(a.priority(), b.priority()) })
+	decider := &Decider{core: core, components: newComponents(core)}
+	slices.SortStableFunc(decider.components, func(a, b component) int { return cmp.Compare(a.priority(), b.priority()) })
 	return decider
 }
 
-// defaultParts returns every part that a node has.
-func defaultParts(core *core) []part {
+// newComponents returns every component of a node.
+func newComponents(core *core) []component {
 	core.roster = newRoster(core)
-	return []part{
+	return []component{
 		newConfigurer(core),
 		core.roster,
 		newClaims(core),
@@ -75,8 +80,8 @@
 	}
 }
 
-// Handle takes in one event at a time that never goes back and returns the
-// actions to carry out, in order.
+// Handle processes one event and returns the actions to carry out, in order.
+// The time must not go back from one call to the next.
 func (decider *Decider) Handle(now time.Time, event Event) []Action {
 	core := decider.core
 	core.now = now
@@ -84,8 +89,8 @@
 	for len(core.pending) > 0 {
 		next := core.pending[0]
 		core.pending = core.pending[1:]
-		for _, part := range decider.parts {
-			part.handle(next)
+		for _, component := range decider.components {
+			component.handle(next)
 		}
 	}
 	actions := core.actions
@@ -93,29 +98,31 @@
 	return actions
 }
 
-// Configuration returns the configuration in force, or nil before the first.
+// Configuration returns the configuration in force, or nil while there is none.
 func (decider *Decider) Configuration() *definer.Configuration { return decider.core.configuration }
 
-// Self returns the member that this node is.
+// Self returns this node as a member.
 func (decider *Decider) Self() definer.Member { return decider.core.self }
 
-// started is the first event of a node's life.
+// started is the first event that a node handles.
 type started struct{}
 
 func (started) isEvent() {}
 
-// Start returns the actions that begin a node's life.
+// Start returns the actions that start the node. It is called once, before
+// Handle.
 func (decider *Decider) Start(now time.Time) []Action { return decider.Handle(now, started{}) }
 
-// send sends a message to a member, or to this node itself as a next event.
+// send sends a message to a member. A message to this node itself becomes the
+// next event, and one to a member without a known address is dropped.
 func (core *core) send(to definer.VM, message messenger.Message) {
 	if to == core.self.VM {
-		core.notify(MessageReceived{From: core.self, DataCentre: core.dataCentre, Message: message})
+		core.enqueue(MessageReceived{From: core.self, DataCentre: core.dataCentre, Message: message})
 		return
 	}
 	address, ok := core.roster.address(to)
 	if !ok {
 		return
 	}
-	core.act(SendMessage{To: to, Address: address, Message: message})
+	core.emit(SendMessage{To: to, Address: address, Message: message})
 }
--- a/decider/drainer.go
+++ b/decider/drainer.go
@@ -3,18 +3,19 @@
 import "time"
 
 const (
-	drainerPart = "drain"
-	drainerStop = "stop"
-	// lastWords is how long the node stays after it told the others that it
-	// leaves, so that its last messages get out.
-	lastWords = 200 * time.Millisecond
+	drainerComponent = "drain"
+	stopTimer        = "stop"
+	// stopDelay is how long the node keeps running after it told the others
+	// that it leaves, so that its last messages are sent.
+	stopDelay = 200 * time.Millisecond
 )
 
-// drainer carries a planned stop: no new requests and no shards, then the end
-// of the open requests, then a word to the others.
+// drainer runs a planned stop: the node takes no new requests and owns no
+// shards, waits for the open requests to end, and then tells the others that it
+// leaves.
 type drainer struct {
 	*core
-	// ended is set once no request was open during the stop.
+	// ended is set once the stopping node has no open request or claim.
 	ended bool
 }
 
@@ -27,15 +28,15 @@
 	case DrainRequested:
 		drainer.begin()
 	case TimerFired:
-		if event.Key.Part == drainerPart {
+		if event.Key.Component == drainerComponent {
 			drainer.log(EventDrainEnded)
-			drainer.act(Stopped{})
+			drainer.emit(Stopped{})
 		}
 	}
-	if drainer.core.draining && !drainer.ended && drainer.core.open == 0 && drainer.core.claims == 0 {
+	if drainer.core.draining && !drainer.ended && drainer.core.openRequests == 0 && drainer.core.openClaims == 0 {
 		drainer.ended = true
-		drainer.notify(drainEnded{})
-		drainer.after(drainerPart, drainerStop, lastWords)
+		drainer.enqueue(drainEnded{})
+		drainer.setTimer(drainerComponent, stopTimer, stopDelay)
 	}
 }
 
@@ -45,5 +46,5 @@
 	}
 	drainer.core.draining = true
 	drainer.log(EventDrainBegan)
-	drainer.notify(drainBegan{})
+	drainer.enqueue(drainBegan{})
 }
--- a/decider/event.go
+++ b/decider/event.go
@@ -8,192 +8,199 @@
 	"limpetcleat/messenger"
 )
 
-// Event is anything that the core is told.
+// Event is an input of the state machine.
 type Event interface{ isEvent() }
 
-// RequestArrived tells of a caller's request that has been authenticated.
+// RequestArrived reports an authenticated request of a caller.
 type RequestArrived struct {
 	Request      definer.RequestID
 	Organisation definer.OrganisationName
 	Properties   matcher.Properties
 	// Key is the caller's Idempotency-Key; empty when there is none.
 	Key string
-	// BodyHash tells two bodies under one key apart.
+	// BodyHash distinguishes requests with the same key and different bodies.
 	BodyHash string
-	// Identity is the same for all attempts of the request, at each node.
+	// Identity is the same for all attempts of the request, on every node.
 	Identity definer.RequestIdentity
-	// Prefix is a hash of the prompt's beginning; 0 is none.
+	// Prefix is a hash of the beginning of the prompt; 0 means none.
 	Prefix uint64
-	// Deadline is the caller's own bound on the whole request; 0 is none.
+	// Deadline is the caller's bound on the duration of the whole request; 0
+	// means none.
 	Deadline time.Duration
-	// Forwarded says that a peer handed the call on, as its key is bound to
-	// this process.
+	// Forwarded reports that a peer forwarded the call because its key is bound
+	// to this process.
 	Forwarded bool
 }
 
-// KeyWanted tells of a caller that asks for a key bound to this process.
+// KeyWanted reports that a caller asks for a key bound to this process.
 type KeyWanted struct {
 	Request definer.RequestID
 }
 
-// CallForwarded tells what became of a ForwardCall.
+// CallForwarded reports the result of a ForwardCall.
 type CallForwarded struct {
 	Request definer.RequestID
-	// Answered says that the caller has been given the peer's whole answer.
+	// Answered reports whether the caller got the peer's whole answer.
 	Answered bool
 }
 
-// CallerLeft tells that the caller of a request has gone.
+// CallerLeft reports that the caller of a request has disconnected.
 type CallerLeft struct {
 	Request definer.RequestID
 }
 
-// AttemptResult tells how an attempt ended.
+// AttemptResult is the way in which an attempt ended.
 type AttemptResult string
 
 const (
-	// Complete attempts gave the whole answer to the caller.
+	// Complete attempts delivered the whole answer to the caller.
 	Complete AttemptResult = "complete"
-	// Unsent attempts never wrote a byte to the upstream.
+	// Unsent attempts wrote no byte to the upstream.
 	Unsent AttemptResult = "unsent"
-	// RefusedUnrun attempts were provably refused before running.
+	// RefusedUnrun attempts were refused by the upstream in a way that proves
+	// that they did not run.
 	RefusedUnrun AttemptResult = "refusedUnrun"
 	// Cut attempts ended before the end mark of the answer.
 	Cut AttemptResult = "cut"
-	// Broken attempts got an answer that cannot be used.
+	// Broken attempts got an invalid answer.
 	Broken AttemptResult = "broken"
-	// TimedOut attempts got no byte for too long.
+	// TimedOut attempts received no byte for too long.
 	TimedOut AttemptResult = "timedOut"
-	// Abandoned attempts ended because the caller left.
+	// Abandoned attempts ended because the caller disconnected.
 	Abandoned AttemptResult = "abandoned"
 )
 
-// StoredAnswer is a whole answer that can be given to a repeat of its request.
+// StoredAnswer is a whole answer, stored to be replayed to a repeat of its
+// request.
 type StoredAnswer struct {
 	Status int                 `json:"status"`
 	Header map[string][]string `json:"header,omitempty"`
 	Body   []byte              `json:"body,omitempty"`
 }
 
-// AttemptEnded tells that an attempt is over.
+// AttemptEnded reports that an attempt is over.
 type AttemptEnded struct {
 	Request definer.RequestID
 	Attempt definer.AttemptID
 	Result  AttemptResult
-	// Delivered counts the tokens of the whole request given to the caller.
+	// Delivered counts the tokens of the whole request that the caller got.
 	Delivered int
-	// Begun says that the caller has got a part of the answer.
+	// Begun reports that the caller has got a part of the answer.
 	Begun bool
-	// Resumable says that a next attempt can go on at the token Delivered.
+	// Resumable reports that a next attempt can continue after the token
+	// Delivered.
 	Resumable   bool
 	Observation messenger.Observation
-	// RetryAfter is what a refusing upstream asked for; 0 is nothing.
+	// RetryAfter is the delay that a refusing upstream asked for; 0 means none.
 	RetryAfter time.Duration
-	// Leaving says that the upstream refused since it is leaving.
+	// Leaving reports that the upstream refused because it is leaving.
 	Leaving bool
-	// UpstreamEnded says that the upstream has ended with the attempt on it, which had only
-	// just begun.
+	// UpstreamEnded reports that the upstream ended with the attempt on it,
+	// which had only just started.
 	UpstreamEnded bool
 	// Answer is set for calls whose rule keeps the answer for repeats.
 	Answer *StoredAnswer
 }
 
-// AttemptProgressed tells how many tokens of a request have been delivered.
+// AttemptProgressed reports how many tokens of a request have been delivered.
 type AttemptProgressed struct {
 	Request   definer.RequestID
 	Attempt   definer.AttemptID
 	Delivered int
 }
 
-// MessageReceived tells of a message from a peer.
+// MessageReceived reports a message from a peer.
 type MessageReceived struct {
 	From       definer.Member
 	DataCentre definer.DataCentre
 	Message    messenger.Message
 }
 
-// TimerFired tells that a timer set by the core has come due.
+// TimerFired reports that a timer set with SetTimer is due.
 type TimerFired struct {
 	Key TimerKey
 }
 
-// ListedVM is one line of the platform's list of VMs.
+// ListedVM is one entry of the platform's list of VMs.
 type ListedVM struct {
 	Name       string
 	DataCentre definer.DataCentre
 	Address    string
-	// Upstream says that it is an upstream's VM, not one of the system's.
+	// Upstream reports that the VM is an upstream's, not one of this system.
 	Upstream bool
 	Leaving  bool
 }
 
-// VMsListed tells what the platform's list of VMs says; it may lag.
+// VMsListed reports the platform's list of VMs, which may be out of date.
 type VMsListed struct {
 	VMs []ListedVM
 }
 
-// ConfigurationFound tells of a configuration read from the platform.
+// ConfigurationFound reports a configuration read from the platform.
 type ConfigurationFound struct {
 	Head     Head
 	Contents []messenger.Section
 }
 
-// Head names the sections of one version of the configuration.
+// Head lists the sections of one version of the configuration.
 type Head struct {
 	Version  uint64
 	Sections []messenger.SectionSum
 }
 
-// PlatformAnswered tells what became of a CallPlatform action.
+// PlatformAnswered reports the result of a CallPlatform action.
 type PlatformAnswered struct {
-	// Call is the number of the action.
+	// Call is the number of the CallPlatform action.
 	Call uint64
-	// Result tells whether the call took effect.
+	// Result says whether the call took effect.
 	Result PlatformResult
-	// Version and Value are those of the object as it now stands.
+	// Version and Value are those of the object after the call.
 	Version uint64
 	Value   []byte
 }
 
-// PlatformResult tells what became of a call to the platform.
+// PlatformResult is the result of a call to the platform.
 type PlatformResult string
 
 const (
-	// Done calls took effect; reads found the object.
+	// Done calls took effect; for a read, the object was found.
 	Done PlatformResult = "done"
-	// Conflict calls met another version than they named.
+	// Conflict calls named another version than the object has.
 	Conflict PlatformResult = "conflict"
 	// Missing calls found no object.
 	Missing PlatformResult = "missing"
 	// Lost calls got no answer; they may have taken effect.
 	Lost PlatformResult = "lost"
-	// Rejected calls were turned away and had no effect.
+	// Rejected calls were refused and had no effect.
 	Rejected PlatformResult = "rejected"
 )
 
-// UpstreamLeaving tells that an upstream said it is leaving: in its health
-// answer, or when it refused an attempt.
+// UpstreamLeaving reports that an upstream announced that it is leaving, in its
+// health answer or when it refused an attempt.
 type UpstreamLeaving struct {
 	Name definer.UpstreamName
 }
 
-// UpstreamAnnounced tells what an answer says of how its upstream wants to be asked.
+// UpstreamAnnounced reports the rate limit and state that an upstream announced
+// in an answer.
 type UpstreamAnnounced struct {
 	Upstream definer.UpstreamName
-	// SentAt is when the request was sent that it answers.
+	// SentAt is when the answered request was sent.
 	SentAt time.Time
-	// Limit is what the upstream takes from all nodes together.
+	// Limit is the request rate that the upstream accepts from all nodes
+	// together.
 	Limit definer.RateLimit
-	// Leaving says that it is leaving.
+	// Leaving reports that the upstream is leaving.
 	Leaving bool
 }
 
-// LiftRequested lets a request be sent again that upstreams ended under.
+// LiftRequested asks to send a request again that is held off because upstreams
+// ended while they ran it.
 type LiftRequested struct {
 	Identity definer.RequestIdentity
 }
 
-// DrainRequested asks the node to stop as planned.
+// DrainRequested asks for a planned stop of the node.
 type DrainRequested struct{}
 
 func (RequestArrived) isEvent()     {}
--- a/decider/faults_test.go
+++ b/decider/faults_test.go
@@ -25,7 +25,7 @@
 		cluster.run(2 * time.Second)
 		taken := make(map[definer.RequestID]definer.Member)
 		for round := range int(int64Of(draw, "rounds", 8)) + 1 {
-			cluster.fault(draw, round)
+			cluster.injectFault(draw, round)
 			for index, vm := range sortedKeys(cluster.nodes) {
 				id := fmt.Sprintf("r%02d-%d", round, index)
 				if node := cluster.nodes[vm]; !node.frozen {
@@ -46,8 +46,8 @@
 			}
 		}
 		for _, vm := range sortedKeys(cluster.nodes) {
-			assert.Equal(draw, cluster.ownerPartOf(vm).scheduled(), 0, "%s", vm)
-			assert.Equal(draw, cluster.nodes[vm].decider.core.open, 0, "%s", vm)
+			assert.Equal(draw, cluster.ownerOf(vm).scheduled(), 0, "%s", vm)
+			assert.Equal(draw, cluster.nodes[vm].decider.core.openRequests, 0, "%s", vm)
 			assert.Equal(draw, len(cluster.nodes[vm].decider.core.roster.members), len(cluster.nodes), "%s", vm)
 		}
 	})
@@ -69,7 +69,7 @@
 }
 
 // fault does one thing to one node.
-func (cluster *cluster) fault(draw *rapid.T, round int) {
+func (cluster *cluster) injectFault(draw *rapid.T, round int) {
 	vms := sortedKeys(cluster.nodes)
 	vm := vms[int64Of(draw, "node", len(vms))]
 	node := cluster.nodes[vm]
--- a/decider/fetcher.go
+++ b/decider/fetcher.go
@@ -11,40 +11,44 @@
 )
 
 const (
-	// maxAnswerBytes bounds the sections in one answer, so that no message
-	// holds up those behind it for long.
+	// maxAnswerBytes bounds the section data in one answer, so that no message
+	// delays those behind it for long.
 	maxAnswerBytes = 48 << 10
-	// maxWanted bounds the sections that one ask names.
-	maxWanted = 128
-	// fetchPatience is how long an ask waits for its answer.
-	fetchPatience = 150 * time.Millisecond
-	// maxFetchTries bounds the asks in a row that bring nothing new.
+	// maxHashesPerAsk bounds the sections that one ask names.
+	maxHashesPerAsk = 128
+	// fetchTimeout is how long an ask waits for its answer.
+	fetchTimeout = 150 * time.Millisecond
+	// maxFetchTries bounds the consecutive asks that bring nothing new.
 	maxFetchTries = 30
-	// maxAtOnce bounds the sources asked at once after tries without an answer.
-	maxAtOnce = 3
+	// maxParallelAsks bounds the sources asked in parallel after asks without
+	// an answer.
+	maxParallelAsks = 3
 )
 
-// fetch is a newer version on its way from peers.
+// fetch is the state of fetching a newer version from peers.
 type fetch struct {
-	// version and digest are what is known of it; digest may be empty.
+	// version and digest identify the version; digest is empty while it is
+	// unknown.
 	version uint64
 	digest  string
 	// sums is nil until the list is known.
 	sums []messenger.SectionSum
-	// contents holds whole sections of sums, partial those that have begun.
+	// contents holds the complete sections of sums, partial those received in
+	// part.
 	contents map[string][]byte
 	partial  map[string][]byte
-	// sources are peers that have the version, the one asked last first.
+	// sources are peers that have the version; the one asked last comes first.
 	sources []definer.VM
-	// tries counts the asks since anything new came.
+	// tries counts the asks since new data last arrived.
 	tries int
 }
 
-// learn begins to fetch a version that a peer has and that is newer.
-func (configurer *configurer) learn(from definer.VM, version uint64, digest string) {
+// learnVersion starts to fetch a version that a peer has, if it is newer than
+// the one in force.
+func (configurer *configurer) learnVersion(from definer.VM, version uint64, digest string) {
 	if version <= configurer.head.Version {
 		if version == configurer.head.Version {
-			configurer.agree(version, digest)
+			configurer.checkDivergence(version, digest)
 		}
 		return
 	}
@@ -68,13 +72,13 @@
 	configurer.askSource()
 }
 
-// ask tells a peer what is in force here and asks for anything newer.
+// ask tells a peer which version is in force here and asks for any newer one.
 func (configurer *configurer) ask(peer definer.VM, hashes []string, offset int) {
 	configurer.send(peer, &messenger.ConfigurationAsk{Version: configurer.head.Version, Digest: configurer.digest, Hashes: hashes, Offset: offset})
 }
 
-// askSource asks the first source for what is missing; the next ones as well
-// when tries went without an answer.
+// askSource asks the first source for the missing sections. After asks without
+// an answer, it asks further sources as well.
 func (configurer *configurer) askSource() {
 	fetch := configurer.fetch
 	missing := configurer.missing()
@@ -82,13 +86,13 @@
 	if len(missing) > 0 {
 		offset = len(fetch.partial[missing[0]])
 	}
-	for _, source := range fetch.sources[:min(len(fetch.sources), 1+fetch.tries, maxAtOnce)] {
-		configurer.ask(source, missing[:min(len(missing), maxWanted)], offset)
+	for _, source := range fetch.sources[:min(len(fetch.sources), 1+fetch.tries, maxParallelAsks)] {
+		configurer.ask(source, missing[:min(len(missing), maxHashesPerAsk)], offset)
 	}
-	configurer.after(configurerPart, fetchTimer, fetchPatience)
+	configurer.setTimer(configurerComponent, fetchTimer, fetchTimeout)
 }
 
-// missing returns the sections of the version being fetched that are not here.
+// missing returns the hashes of the sections still to be fetched.
 func (configurer *configurer) missing() []string {
 	var missing []string
 	for _, sum := range configurer.fetch.sums {
@@ -101,40 +105,40 @@
 	return missing
 }
 
-// fetchAgain asks once more: another source, or a peer at random as long as
+// retryFetch repeats the ask with another source, or with a random peer while
 // there is no configuration at all.
-func (configurer *configurer) fetchAgain() {
+func (configurer *configurer) retryFetch() {
 	fetch := configurer.fetch
 	if fetch == nil {
-		configurer.askAnyone()
+		configurer.askRandomPeer()
 		return
 	}
 	fetch.tries++
 	if fetch.tries > maxFetchTries {
 		configurer.fetch = nil
-		configurer.askAnyone()
+		configurer.askRandomPeer()
 		return
 	}
 	fetch.sources = append(fetch.sources[1:], fetch.sources[0])
 	configurer.askSource()
 }
 
-// askAnyone asks a peer at random while there is no configuration.
-func (configurer *configurer) askAnyone() {
+// askRandomPeer asks a random peer while there is no configuration.
+func (configurer *configurer) askRandomPeer() {
 	if configurer.configuration != nil {
 		return
 	}
-	if peer, ok := configurer.any(configurer.candidates()); ok {
+	if peer, ok := configurer.randomPeer(configurer.bootstrapPeers()); ok {
 		configurer.ask(peer, nil, 0)
 	}
-	configurer.after(configurerPart, fetchTimer, fetchPatience)
+	configurer.setTimer(configurerComponent, fetchTimer, fetchTimeout)
 }
 
-// candidates returns whom a new node can ask: its data centre's members, and
-// the VMs that it was told of at its start.
-func (configurer *configurer) candidates() []definer.VM {
-	candidates := slices.Clone(configurer.members().line)
-	for _, vm := range configurer.seeds {
+// bootstrapPeers returns the peers that a new node can ask: the members of its
+// data centre and the VMs configured at its start.
+func (configurer *configurer) bootstrapPeers() []definer.VM {
+	candidates := slices.Clone(configurer.members().order)
+	for _, vm := range configurer.bootstrapVMs {
 		if !vm.Upstream {
 			candidates = append(candidates, definer.VM(vm.Name))
 		}
@@ -142,16 +146,16 @@
 	return slices.DeleteFunc(candidates, func(vm definer.VM) bool { return vm == configurer.self.VM })
 }
 
-// answered takes in the list and the sections that a peer sent.
-func (configurer *configurer) answered(from definer.VM, answer *messenger.ConfigurationAnswer) {
-	configurer.begin(from, answer)
+// handleAnswer handles a section list and sections that a peer sent.
+func (configurer *configurer) handleAnswer(from definer.VM, answer *messenger.ConfigurationAnswer) {
+	configurer.switchFetch(from, answer)
 	fetch := configurer.fetch
-	if fetch == nil || fetch.digest != answer.Digest || !configurer.list(answer) {
+	if fetch == nil || fetch.digest != answer.Digest || !configurer.resolveSections(answer) {
 		return
 	}
 	progress := false
 	for _, piece := range answer.Pieces {
-		progress = fetch.add(piece) || progress
+		progress = fetch.addPiece(piece) || progress
 	}
 	if len(configurer.missing()) > 0 {
 		if progress {
@@ -163,17 +167,17 @@
 	}
 	configurer.endFetch()
 	head := Head{Version: answer.Version, Sections: fetch.sums}
-	configurer.take(head, fetch.digest, configurer.complete(fetch.sums, fetch.contents))
+	configurer.apply(head, fetch.digest, configurer.collectSections(fetch.sums, fetch.contents))
 }
 
 func (configurer *configurer) endFetch() {
 	configurer.fetch = nil
-	configurer.clear(configurerPart, fetchTimer)
+	configurer.clearTimer(configurerComponent, fetchTimer)
 }
 
-// begin turns to the answer's version if it is newer than the one being
-// fetched, or the first word of which content that one has.
-func (configurer *configurer) begin(from definer.VM, answer *messenger.ConfigurationAnswer) {
+// switchFetch turns the fetch to the answer's version if that is newer than the
+// one being fetched, or if it is that one and its digest was unknown.
+func (configurer *configurer) switchFetch(from definer.VM, answer *messenger.ConfigurationAnswer) {
 	if answer.Version <= configurer.head.Version || configurer.rejected[answer.Version] == answer.Digest {
 		return
 	}
@@ -189,8 +193,9 @@
 	configurer.fetch = current
 }
 
-// list works out the version's list of sections and tells whether it is right.
-func (configurer *configurer) list(answer *messenger.ConfigurationAnswer) bool {
+// resolveSections derives the version's list of sections from the answer and
+// reports whether its digest matches.
+func (configurer *configurer) resolveSections(answer *messenger.ConfigurationAnswer) bool {
 	if configurer.fetch.sums != nil {
 		return true
 	}
@@ -209,27 +214,27 @@
 	return true
 }
 
-// prune drops what the list does not name.
+// prune drops the sections that the list does not name.
 func (fetch *fetch) prune() {
-	unnamed := func(hash string, _ []byte) bool { return !fetch.names(hash) }
+	unnamed := func(hash string, _ []byte) bool { return !fetch.hasSection(hash) }
 	maps.DeleteFunc(fetch.contents, unnamed)
 	maps.DeleteFunc(fetch.partial, unnamed)
 }
 
-func (fetch *fetch) names(hash string) bool {
+func (fetch *fetch) hasSection(hash string) bool {
 	return slices.ContainsFunc(fetch.sums, func(sum messenger.SectionSum) bool { return sum.Hash == hash })
 }
 
-// add takes in a part of a section if it is the next one and tells whether it
-// was; a section whose content does not have its hash is begun anew.
-func (fetch *fetch) add(piece messenger.Piece) bool {
-	begun := fetch.partial[piece.Hash]
-	whole := len(begun) + len(piece.Data)
+// addPiece adds the next piece of a section and reports whether it was added. A
+// section whose content does not match its hash is fetched anew.
+func (fetch *fetch) addPiece(piece messenger.Piece) bool {
+	received := fetch.partial[piece.Hash]
+	whole := len(received) + len(piece.Data)
 	_, got := fetch.contents[piece.Hash]
-	if got || piece.Offset != len(begun) || piece.Size > sectioner.MaxSection || whole > piece.Size || !fetch.names(piece.Hash) {
+	if got || piece.Offset != len(received) || piece.Size > sectioner.MaxSection || whole > piece.Size || !fetch.hasSection(piece.Hash) {
 		return false
 	}
-	data := append(slices.Clip(begun), piece.Data...)
+	data := append(slices.Clip(received), piece.Data...)
 	if whole < piece.Size {
 		fetch.partial[piece.Hash] = data
 		return len(piece.Data) > 0
--- a/decider/fleet_test.go
+++ b/decider/fleet_test.go
@@ -21,42 +21,42 @@
 	t testing.TB
 	*clock.Clock
 	random *rand.Rand
-	nodes  map[definer.VM]*member
+	nodes  map[definer.VM]*fleetNode
 	listed []decider.ListedVM
 	// loss is the share of messages dropped; cut tells whether two data centres
 	// are apart, away whether a node's is apart from the platform.
-	loss float64
-	cut  func(from, to definer.DataCentre) bool
-	away func(definer.DataCentre) bool
+	loss         float64
+	cut          func(from, to definer.DataCentre) bool
+	platformAway func(definer.DataCentre) bool
 	// head and contents are the platform's; accepted holds the digest of each
 	// version that passed its checks.
 	head     decider.Head
 	contents []messenger.Section
 	accepted map[uint64]string
 	// carried sees every message that is sent.
-	carried func(from definer.VM, message messenger.Message)
-	logged  map[int]int
+	onMessage func(from definer.VM, message messenger.Message)
+	logged    map[int]int
 	// served counts the attempts at each upstream.
 	served map[definer.UpstreamName]int
 	// sent, when set, sees every message with its two ends.
-	sent func(from, to definer.VM, message messenger.Message)
+	onDelivery func(from, to definer.VM, message messenger.Message)
 }
 
-type member struct {
-	decider *decider.Decider
-	vm      decider.ListedVM
-	holding bool
-	version uint64
-	at      time.Time
-	timers  clock.Timers[decider.TimerKey]
+type fleetNode struct {
+	decider   *decider.Decider
+	vm        decider.ListedVM
+	watching  bool
+	version   uint64
+	appliedAt time.Time
+	timers    clock.Timers[decider.TimerKey]
 }
 
 func newFleet(t testing.TB, seed uint64, dataCentres, each int) *fleet {
 	fleet := &fleet{
-		t: t, Clock: clock.New(time.Unix(1_800_000_000, 0)), random: rand.New(rand.NewPCG(seed, 1)), nodes: make(map[definer.VM]*member),
-		cut:      func(definer.DataCentre, definer.DataCentre) bool { return false },
-		away:     func(definer.DataCentre) bool { return false },
-		accepted: make(map[uint64]string), carried: func(definer.VM, messenger.Message) {}, logged: make(map[int]int), served: make(map[definer.UpstreamName]int),
+		t: t, Clock: clock.New(time.Unix(1_800_000_000, 0)), random: rand.New(rand.NewPCG(seed, 1)), nodes: make(map[definer.VM]*fleetNode),
+		cut:          func(definer.DataCentre, definer.DataCentre) bool { return false },
+		platformAway: func(definer.DataCentre) bool { return false },
+		accepted:     make(map[uint64]string), onMessage: func(definer.VM, messenger.Message) {}, logged: make(map[int]int), served: make(map[definer.UpstreamName]int),
 	}
 	for index := range dataCentres * each {
 		name := fmt.Sprintf("v%03d", index)
@@ -70,11 +70,11 @@
 // boot starts a node that knows the given VMs; an earlier run of it is dead.
 func (fleet *fleet) boot(index int, seeds []decider.ListedVM) {
 	vm := fleet.listed[index]
-	node := &member{vm: vm, timers: make(clock.Timers[decider.TimerKey])}
+	node := &fleetNode{vm: vm, timers: make(clock.Timers[decider.TimerKey])}
 	self := definer.Member{VM: definer.VM(vm.Name), Incarnation: definer.Incarnation(fleet.Now().UnixNano())}
 	node.decider = decider.New(self, vm.DataCentre, vm.Address, decider.WithVMs(seeds))
 	fleet.nodes[self.VM] = node
-	fleet.carry(node, node.decider.Start(fleet.Now()))
+	fleet.carryOut(node, node.decider.Start(fleet.Now()))
 }
 
 func (fleet *fleet) bootAll() {
@@ -83,34 +83,34 @@
 	}
 }
 
-func (fleet *fleet) alive(node *member) bool {
+func (fleet *fleet) alive(node *fleetNode) bool {
 	return fleet.nodes[definer.VM(node.vm.Name)] == node
 }
 
-func (fleet *fleet) tell(node *member, event decider.Event) {
+func (fleet *fleet) handle(node *fleetNode, event decider.Event) {
 	if fleet.alive(node) {
-		fleet.carry(node, node.decider.Handle(fleet.Now(), event))
+		fleet.carryOut(node, node.decider.Handle(fleet.Now(), event))
 	}
 }
 
-func (fleet *fleet) carry(node *member, actions []decider.Action) {
+func (fleet *fleet) carryOut(node *fleetNode, actions []decider.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
 		case decider.SendMessage:
 			fleet.send(node, action)
 		case decider.SetTimer:
-			node.timers.Set(fleet.Clock, action.Key, action.At, func() { fleet.tell(node, decider.TimerFired{Key: action.Key}) })
+			node.timers.Set(fleet.Clock, action.Key, action.At, func() { fleet.handle(node, decider.TimerFired{Key: action.Key}) })
 		case decider.ClearTimer:
 			node.timers.Clear(action.Key)
 		case decider.WatchPlatform:
-			node.holding = action.Hold
-			fleet.watch(node)
+			node.watching = action.Hold
+			fleet.notifyWatcher(node)
 		case decider.ConfigurationApplied:
 			fleet.applied(node, action.Configuration)
 		case decider.StartAttempt:
 			fleet.served[action.Upstream.Name()]++
 			fleet.After(10*time.Millisecond, func() {
-				fleet.tell(node, decider.AttemptEnded{Request: action.Request, Attempt: action.Attempt, Result: decider.Complete, Begun: true, Delivered: 1})
+				fleet.handle(node, decider.AttemptEnded{Request: action.Request, Attempt: action.Attempt, Result: decider.Complete, Begun: true, Delivered: 1})
 			})
 		case decider.LogEvent:
 			fleet.logged[action.Number]++
@@ -118,10 +118,10 @@
 	}
 }
 
-func (fleet *fleet) send(from *member, action decider.SendMessage) {
-	fleet.carried(definer.VM(from.vm.Name), action.Message)
-	if fleet.sent != nil {
-		fleet.sent(definer.VM(from.vm.Name), action.To, action.Message)
+func (fleet *fleet) send(from *fleetNode, action decider.SendMessage) {
+	fleet.onMessage(definer.VM(from.vm.Name), action.Message)
+	if fleet.onDelivery != nil {
+		fleet.onDelivery(definer.VM(from.vm.Name), action.To, action.Message)
 	}
 	to, ok := fleet.nodes[action.To]
 	if !ok || fleet.random.Float64() < fleet.loss {
@@ -130,56 +130,56 @@
 	delay := 200*time.Microsecond + time.Duration(fleet.random.ExpFloat64()*float64(2*time.Millisecond))
 	fleet.After(delay, func() {
 		if !fleet.cut(from.vm.DataCentre, to.vm.DataCentre) {
-			fleet.tell(to, decider.MessageReceived{From: from.decider.Self(), DataCentre: from.vm.DataCentre, Message: action.Message})
+			fleet.handle(to, decider.MessageReceived{From: from.decider.Self(), DataCentre: from.vm.DataCentre, Message: action.Message})
 		}
 	})
 }
 
 // applied checks that versions only grow and that only accepted ones apply.
-func (fleet *fleet) applied(node *member, configuration *definer.Configuration) {
+func (fleet *fleet) applied(node *fleetNode, configuration *definer.Configuration) {
 	version := configuration.Version()
 	assert.Assert(fleet.t, version > node.version, "%s went from %d to %d", node.vm.Name, node.version, version)
 	sums, _, err := sectioner.Cut(configuration.Document())
 	assert.NilError(fleet.t, err)
 	assert.Equal(fleet.t, sectioner.Digest(sums), fleet.accepted[version], "%s applied version %d", node.vm.Name, version)
-	node.version, node.at = version, fleet.Now()
+	node.version, node.appliedAt = version, fleet.Now()
 }
 
 // put stores a version past the checks and tells those that hold the watch.
-func (fleet *fleet) put(version uint64, document definer.Document, accepted bool) {
+func (fleet *fleet) store(version uint64, document definer.Document, accepted bool) {
 	sums, sections, err := sectioner.Cut(document)
 	assert.NilError(fleet.t, err)
 	fleet.head, fleet.contents = decider.Head{Version: version, Sections: sums}, sections
 	if accepted {
 		fleet.accepted[version] = sectioner.Digest(sums)
 	}
-	fleet.wake()
+	fleet.notifyWatchers()
 }
 
 // wake tells all that hold the watch what the platform has.
-func (fleet *fleet) wake() {
+func (fleet *fleet) notifyWatchers() {
 	for _, vm := range fleet.listed {
 		if node, ok := fleet.nodes[definer.VM(vm.Name)]; ok {
-			fleet.watch(node)
+			fleet.notifyWatcher(node)
 		}
 	}
 }
 
 // watch tells a node that holds the watch what the platform has.
-func (fleet *fleet) watch(node *member) {
+func (fleet *fleet) notifyWatcher(node *fleetNode) {
 	fleet.After(time.Millisecond+time.Duration(fleet.random.Int64N(int64(20*time.Millisecond))), func() {
-		if !node.holding || fleet.away(node.vm.DataCentre) {
+		if !node.watching || fleet.platformAway(node.vm.DataCentre) {
 			return
 		}
-		fleet.tell(node, decider.VMsListed{VMs: fleet.listed})
+		fleet.handle(node, decider.VMsListed{VMs: fleet.listed})
 		if fleet.head.Version > 0 {
-			fleet.tell(node, decider.ConfigurationFound{Head: fleet.head, Contents: fleet.contents})
+			fleet.handle(node, decider.ConfigurationFound{Head: fleet.head, Contents: fleet.contents})
 		}
 	})
 }
 
 // everywhere tells whether each of the nodes has the version in force.
-func (fleet *fleet) everywhere(version uint64) func() bool {
+func (fleet *fleet) appliedEverywhere(version uint64) func() bool {
 	return func() bool {
 		for _, node := range fleet.nodes {
 			if node.version < version {
@@ -192,10 +192,10 @@
 
 // within runs until the version is in force everywhere, and fails if it is not
 // by then.
-func (fleet *fleet) within(length time.Duration, version uint64) time.Duration {
+func (fleet *fleet) waitApplied(length time.Duration, version uint64) time.Duration {
 	fleet.t.Helper()
-	begun := fleet.Now()
-	done := fleet.RunUntil(length, fleet.everywhere(version))
+	stored := fleet.Now()
+	done := fleet.RunUntil(length, fleet.appliedEverywhere(version))
 	behind := 0
 	for _, node := range fleet.nodes {
 		if node.version < version {
@@ -203,7 +203,7 @@
 		}
 	}
 	assert.Assert(fleet.t, done, "%d of %d nodes have not version %d after %v", behind, len(fleet.nodes), version, length)
-	return fleet.Now().Sub(begun)
+	return fleet.Now().Sub(stored)
 }
 
 // smallDocument differs with its number.
--- a/decider/keyed.go
+++ b/decider/keyed.go
@@ -10,25 +10,25 @@
 const (
 	retryAfterAway = 2 * time.Second
 	retryAfterFull = 5 * time.Second
-	// claimElsewhere says that the key is bound to another process.
+	// claimElsewhere is the verdict on a key that is bound to another process.
 	claimElsewhere messenger.ClaimVerdict = "elsewhere"
 )
 
-// claimWanted asks for the claim on a request's key.
-type claimWanted struct {
+// claimRequested asks for the claim on a request's key.
+type claimRequested struct {
 	request      definer.RequestID
 	organisation definer.OrganisationName
 	key          string
 	bodyHash     string
-	// localKeys says that the rule lets keys bound to a process run.
+	// localKeys reports that the rule allows keys bound to a process.
 	localKeys bool
-	// forwarded says that another process handed the call on to this one.
+	// forwarded reports that another process forwarded the call to this one.
 	forwarded bool
-	// remaining is the time to the request's deadline; 0 is no deadline.
+	// remaining is the time to the request's deadline; 0 means no deadline.
 	remaining time.Duration
 }
 
-// claimDecided tells what a claim came to.
+// claimDecided reports the result of a claim.
 type claimDecided struct {
 	request definer.RequestID
 	verdict messenger.ClaimVerdict
@@ -38,32 +38,33 @@
 	startBy time.Time
 	// holder is set with claimElsewhere.
 	holder definer.Member
-	// offer is a key that the caller may use in place of a refused one.
-	offer string
-	// unused says that no process ever runs a request under the key.
+	// offeredKey is a key that the caller may use in place of a refused one.
+	offeredKey string
+	// unused reports that no process ever runs a request under the key.
 	unused bool
 }
 
-// claimEnded tells how a request ended that claimed a key.
+// claimEnded reports how a request that claimed a key has ended.
 type claimEnded struct {
 	request definer.RequestID
 	outcome definer.Outcome
 	answer  *StoredAnswer
 }
 
-func (claimWanted) isEvent()  {}
-func (claimDecided) isEvent() {}
-func (claimEnded) isEvent()   {}
+func (claimRequested) isEvent() {}
+func (claimDecided) isEvent()   {}
+func (claimEnded) isEvent()     {}
 
-// keyed tells whether the request runs at most once for its key.
+// keyed reports whether the request runs at most once for its key.
 func (request *request) keyed() bool {
 	return request.key != "" && request.rule.Repeat() == definer.Keyed
 }
 
-// claim asks for the claim on the request's key; nothing else happens before.
-func (requester *requester) claim(request *request, forwarded bool) {
+// requestClaim asks for the claim on the request's key. The request makes no
+// other progress until the claim is decided.
+func (requester *requester) requestClaim(request *request, forwarded bool) {
 	request.state = claiming
-	requester.notify(claimWanted{
+	requester.enqueue(claimRequested{
 		request:      request.id,
 		organisation: request.organisation,
 		key:          request.key,
@@ -74,8 +75,8 @@
 	})
 }
 
-// claimed goes on with a request whose claim is decided.
-func (requester *requester) claimed(event claimDecided) {
+// handleClaim continues or refuses a request whose claim is decided.
+func (requester *requester) handleClaim(event claimDecided) {
 	request, ok := requester.requests[event.request]
 	if !ok || request.state != claiming {
 		return
@@ -84,24 +85,24 @@
 	case messenger.ClaimGranted:
 		request.claimed = true
 		request.startBy = event.startBy
-		request.untried = requester.candidates(request)
-		requester.next(request, messenger.NoUpstream, retryAfterBusy)
+		request.untriedShards = requester.candidateShards(request)
+		requester.askNextShard(request, messenger.NoUpstream, defaultRetryAfter)
 	case messenger.ClaimReplay:
-		requester.act(ReplayAnswer{Request: request.id, Answer: StoredAnswer(*event.answer)})
-		requester.close(request, Record{Complete: true, Met: requester.met(request, AttemptEnded{}), Outcome: definer.Ran})
+		requester.emit(ReplayAnswer{Request: request.id, Answer: StoredAnswer(*event.answer)})
+		requester.close(request, Record{Complete: true, Met: requester.metTargets(request, AttemptEnded{}), Outcome: definer.Ran})
 	case claimElsewhere:
 		requester.forward(request, event.holder)
 	default:
-		request.offer = event.offer
-		request.told = toldOf(event)
+		request.offeredKey = event.offeredKey
+		request.claimOutcome = claimOutcomeOf(event)
 		requester.refuse(request, reasonOf(event.verdict), retryAfterOf(event.verdict))
 	}
 }
 
-// toldOf returns the outcome of a request whose claim was not granted. It is
-// about the key, not about this sending of it: the caller may have sent it
-// before.
-func toldOf(event claimDecided) definer.Outcome {
+// claimOutcomeOf returns the outcome of a request whose claim was not granted.
+// The outcome is about the key, not about this sending of the request: the
+// caller may have sent it before.
+func claimOutcomeOf(event claimDecided) definer.Outcome {
 	switch {
 	case event.verdict == messenger.ClaimUnkept:
 		return definer.Ran
@@ -127,14 +128,14 @@
 
 func retryAfterOf(verdict messenger.ClaimVerdict) time.Duration {
 	waits := map[messenger.ClaimVerdict]time.Duration{
-		messenger.ClaimInUse: retryAfterBusy,
+		messenger.ClaimInUse: defaultRetryAfter,
 		messenger.ClaimFull:  retryAfterFull,
 		messenger.ClaimAway:  retryAfterAway,
 	}
 	return waits[verdict]
 }
 
-// forward hands a call on to the one process that may run it.
+// forward forwards a call to the one process that may run it.
 func (requester *requester) forward(request *request, holder definer.Member) {
 	address, ok := requester.roster.address(holder.VM)
 	if !ok {
@@ -142,11 +143,12 @@
 		return
 	}
 	request.state = forwarding
-	requester.act(ForwardCall{Request: request.id, To: holder.VM, Address: address, Remaining: request.remaining(requester.now)})
+	requester.emit(ForwardCall{Request: request.id, To: holder.VM, Address: address, Remaining: request.remaining(requester.now)})
 }
 
-// forwarded closes a request that was handed on. Its holder counts it.
-func (requester *requester) forwarded(event CallForwarded) {
+// handleForwarded closes a request that was forwarded. The process that holds
+// the key counts it.
+func (requester *requester) handleForwarded(event CallForwarded) {
 	request, ok := requester.requests[event.Request]
 	if !ok || request.state != forwarding {
 		return
@@ -156,17 +158,19 @@
 		return
 	}
 	delete(requester.requests, request.id)
-	requester.act(FinishRequest{Request: request.id})
+	requester.emit(FinishRequest{Request: request.id})
 }
 
-// late tells whether a request's claim is too old to be started on.
-func (request *request) late(now time.Time) bool {
+// pastStartBy reports whether the request's claim is too old to start an
+// attempt.
+func (request *request) pastStartBy(now time.Time) bool {
 	return !request.startBy.IsZero() && !now.Before(request.startBy)
 }
 
-// beforeClaim returns what may be told of a request that is refused before its
-// key was looked at: one with a key may have run when it was sent before.
-func beforeClaim(key string) definer.Outcome {
+// outcomeBeforeClaim returns the outcome of a request that is refused before
+// its key was looked up: a request with a key may have run when it was sent
+// before.
+func outcomeBeforeClaim(key string) definer.Outcome {
 	if key != "" {
 		return definer.Unknown
 	}
--- a/decider/leavers.go
+++ b/decider/leavers.go
@@ -8,42 +8,44 @@
 	"limpetcleat/messenger"
 )
 
-// leavingFor is how long an upstream's own word that it is leaving counts.
-const leavingFor = 5 * time.Minute
+// leavingMarkLifetime is how long an upstream's announcement that it is leaving
+// counts.
+const leavingMarkLifetime = 5 * time.Minute
 
-// refreshEvery is how often marks are looked through.
-const refreshEvery = 30 * time.Second
+// resendInterval is the time between two rounds of notices to owners.
+const resendInterval = 30 * time.Second
 
-// leavers knows which upstreams get no new work: those that said so themselves
-// and those that the platform's list of VMs names. The configuration's own mark
-// is the scheduler's matter.
+// leavers tracks the upstreams that get no new work because they announced that
+// they are leaving, or because the platform's list of VMs says so. The mark in
+// the configuration is handled by the scheduler.
 type leavers struct {
 	*core
-	// marks holds when an upstream last said that it is leaving.
+	// marks holds when an upstream was last reported to be leaving.
 	marks map[definer.UpstreamName]time.Time
-	// told holds who last got the word, and when.
-	told map[notice]telling
-	// refreshed is when marks were last looked through.
+	// sentNotices holds the last notice sent for each upstream and shard.
+	sentNotices map[noticeKey]sentNotice
+	// refreshed is when the owners were last sent notices by refresh.
 	refreshed time.Time
 }
 
-// telling is the word of one upstream to the owner of a shard.
-type telling struct {
+// sentNotice is a notice on one upstream as it was sent to the owner of a
+// shard.
+type sentNotice struct {
 	tenure tenure
 	at     time.Time
 }
 
-// notice names the word on one upstream to the owner of one shard.
-type notice struct {
+// noticeKey identifies the notices on one upstream to the owner of one shard.
+type noticeKey struct {
 	shard    messenger.Shard
 	upstream definer.UpstreamName
 }
 
 func newLeavers(core *core) *leavers {
-	return &leavers{core: core, marks: make(map[definer.UpstreamName]time.Time), told: make(map[notice]telling)}
+	return &leavers{core: core, marks: make(map[definer.UpstreamName]time.Time), sentNotices: make(map[noticeKey]sentNotice)}
 }
 
-// mark notes that an upstream said it is leaving.
+// mark records that an upstream is leaving.
 func (leavers *leavers) mark(name definer.UpstreamName) {
 	if _, known := leavers.marks[name]; !known {
 		leavers.log(EventUpstreamLeaving, "upstream", name)
@@ -63,19 +65,20 @@
 }
 
 func (leavers *leavers) leaving(upstream *definer.Upstream) bool {
-	if at, ok := leavers.marks[upstream.Name()]; ok && leavers.now.Sub(at) <= leavingFor {
+	if at, ok := leavers.marks[upstream.Name()]; ok && leavers.now.Sub(at) <= leavingMarkLifetime {
 		return true
 	}
 	return leavers.listed(upstream)
 }
 
-// listed tells whether the platform's list names an upstream as leaving. Only a
-// member that holds the platform's watches knows: the list of another is old.
+// listed reports whether the platform's list names an upstream as leaving. Only
+// a member that watches the platform can tell: the list of any other is out of
+// date.
 func (leavers *leavers) listed(upstream *definer.Upstream) bool {
-	if !leavers.holding {
+	if !leavers.watching {
 		return false
 	}
-	for _, vm := range leavers.roster.leavers {
+	for _, vm := range leavers.roster.leavingVMs {
 		if vm.Name == string(upstream.Name()) || host(vm.Address) == host(upstream.Address()) {
 			return true
 		}
@@ -83,18 +86,19 @@
 	return false
 }
 
-// refresh tells the owners again now and then.
+// refresh sends the owners their notices again at each resendInterval.
 func (leavers *leavers) refresh() {
-	if leavers.now.Sub(leavers.refreshed) >= refreshEvery {
+	if leavers.now.Sub(leavers.refreshed) >= resendInterval {
 		leavers.refreshed = leavers.now
 		leavers.tellOwners()
 	}
 }
 
-// markListed marks what the platform's list names, so that the owners of the
-// upstreams' shards, who need not see the list, hear of it as well.
+// markListed marks the upstreams that the platform's list names as leaving, so
+// that the owners of their shards, which may not see the list, are told as
+// well.
 func (leavers *leavers) markListed() {
-	if !leavers.holding || len(leavers.roster.leavers) == 0 {
+	if !leavers.watching || len(leavers.roster.leavingVMs) == 0 {
 		return
 	}
 	for _, pool := range leavers.configuration.Pools() {
@@ -106,28 +110,28 @@
 	}
 }
 
-// tellOwners passes each mark on to the present owner of the upstream's shard,
-// once in each tenure, and again before the owner forgets it.
+// tellOwners sends each mark to the present owner of the upstream's shard, once
+// in each tenure, and again before the owner's mark expires.
 func (leavers *leavers) tellOwners() {
 	if leavers.configuration == nil {
 		return
 	}
 	leavers.markListed()
 	for _, name := range sortedKeys(leavers.marks) {
-		if leavers.now.Sub(leavers.marks[name]) > leavingFor {
+		if leavers.now.Sub(leavers.marks[name]) > leavingMarkLifetime {
 			delete(leavers.marks, name)
 			continue
 		}
 		for _, shard := range leavers.shardsWith(name) {
 			vm, ok := leavers.roster.owner(shard)
 			tenure := leavers.roster.tenure(shard)
-			key := notice{shard: shard, upstream: name}
-			last := leavers.told[key]
-			recent := leavers.now.Sub(last.at) < leavingFor/2
+			key := noticeKey{shard: shard, upstream: name}
+			last := leavers.sentNotices[key]
+			recent := leavers.now.Sub(last.at) < leavingMarkLifetime/2
 			if !ok || vm == leavers.self.VM || last.tenure == tenure && recent {
 				continue
 			}
-			leavers.told[key] = telling{tenure: tenure, at: leavers.now}
+			leavers.sentNotices[key] = sentNotice{tenure: tenure, at: leavers.now}
 			leavers.send(vm, &messenger.UpstreamNotice{Shard: shard, Upstream: name})
 		}
 	}
--- a/decider/limits.go
+++ b/decider/limits.go
@@ -8,81 +8,84 @@
 	"limpetcleat/messenger"
 )
 
-// limits knows how many requests a second upstreams take from all nodes together, by what
-// their answers told this node and others. The owner of an upstream's shard keeps to it. The
-// others tell the owner, and it tells them all: one of them may be the next, or grant in its
-// place.
+// limits tracks how many requests a second upstreams accept from all nodes
+// together, as their answers told this node and others. The owner of an
+// upstream's shard enforces the limit. Other members tell the owner, and the
+// owner tells all members, since any of them may be the next owner or grant in
+// its place.
 type limits struct {
 	*core
 	announcer *announcer.Announcer
-	// limited holds the upstreams that have a limit, and those that had one and whose owner
-	// was told so.
+	// limited holds the limits of upstreams, including those that were lifted
+	// after their owner had been told.
 	limited map[definer.UpstreamName]definer.RateLimit
-	// told holds what the owner of a shard was told last, since retold.
-	told   map[notice]toldLimit
-	retold time.Time
-	// spread holds what each member was told last of the shards that this node owns.
-	spread map[memberNotice]definer.RateLimit
+	// sentToOwners holds the last limit sent to the owner of each shard since
+	// resentAt.
+	sentToOwners map[noticeKey]sentLimit
+	resentAt     time.Time
+	// sentToMembers holds the last limit sent to each member for the shards
+	// that this node owns.
+	sentToMembers map[memberNoticeKey]definer.RateLimit
 }
 
-// toldLimit is a limit as one owner was told it.
-type toldLimit struct {
+// sentLimit is a limit as it was sent to one owner.
+type sentLimit struct {
 	tenure tenure
 	limit  definer.RateLimit
 }
 
-// memberNotice names the word on one upstream to one member.
-type memberNotice struct {
+// memberNoticeKey identifies the notices on one upstream to one member.
+type memberNoticeKey struct {
 	member   definer.Member
 	upstream definer.UpstreamName
 }
 
 func newLimits(core *core) *limits {
 	limits := &limits{
-		core:    core,
-		limited: make(map[definer.UpstreamName]definer.RateLimit),
-		told:    make(map[notice]toldLimit),
-		spread:  make(map[memberNotice]definer.RateLimit),
+		core:          core,
+		limited:       make(map[definer.UpstreamName]definer.RateLimit),
+		sentToOwners:  make(map[noticeKey]sentLimit),
+		sentToMembers: make(map[memberNoticeKey]definer.RateLimit),
 	}
-	limits.announcer = announcer.New(announcer.WithChanges(limits.changed))
+	limits.announcer = announcer.New(announcer.WithChanges(limits.limitChanged))
 	return limits
 }
 
-// changed takes up a limit that is new.
-func (limits *limits) changed(start definer.UpstreamStart, announcement announcer.Announcement, source announcer.Source) {
+// limitChanged records a changed limit.
+func (limits *limits) limitChanged(start definer.UpstreamStart, announcement announcer.Announcement, source announcer.Source) {
 	limits.limited[start.Upstream] = announcement.Limit
 	limits.log(EventUpstreamLimited, "upstream", start.Upstream, "limit", announcement.Limit, "source", source)
 }
 
-// hear takes in what an answer told this node.
-func (limits *limits) hear(event UpstreamAnnounced) {
+// learnFromUpstream records the limit that an answer of an upstream announced.
+func (limits *limits) learnFromUpstream(event UpstreamAnnounced) {
 	limits.announcer.Hear(limits.now, definer.UpstreamStart{Upstream: event.Upstream}, event.SentAt, announcer.Announcement{Limit: event.Limit})
 }
 
-// learn takes in what a peer tells.
-func (limits *limits) learn(from definer.VM, message *messenger.LimitNotice) {
-	told := message.Announcement
-	limits.announcer.Learn(limits.now, from, []messenger.UpstreamAnnouncement{told})
+// learnFromPeer records the limit that a peer reported.
+func (limits *limits) learnFromPeer(from definer.VM, message *messenger.LimitNotice) {
+	announcement := message.Announcement
+	limits.announcer.Learn(limits.now, from, []messenger.UpstreamAnnouncement{announcement})
 	if owner, ok := limits.roster.owner(message.Shard); ok && owner == from {
-		// It knows what it has told.
-		key := notice{shard: message.Shard, upstream: told.Upstream}
-		limits.told[key] = toldLimit{tenure: limits.roster.tenure(message.Shard), limit: limits.limited[told.Upstream]}
+		// The owner knows the limit that it has sent.
+		key := noticeKey{shard: message.Shard, upstream: announcement.Upstream}
+		limits.sentToOwners[key] = sentLimit{tenure: limits.roster.tenure(message.Shard), limit: limits.limited[announcement.Upstream]}
 	}
 }
 
-// names returns the upstreams of which a limit is or was known, sorted.
+// names returns the upstreams that have or had a limit, sorted.
 func (limits *limits) names() []definer.UpstreamName {
 	return sortedKeys(limits.limited)
 }
 
-// isLimited tells whether an upstream has a limit.
+// isLimited reports whether an upstream has a limit.
 func (limits *limits) isLimited(name definer.UpstreamName) bool {
 	_, limited := limits.limited[name].PerSecond()
 	return limited
 }
 
-// tellOwners passes each limit on to the present owner of the upstream's shard, once in each
-// tenure.
+// tellOwners sends each limit to the present owner of the upstream's shard,
+// once in each tenure.
 func (limits *limits) tellOwners(shardsWith func(name definer.UpstreamName) []messenger.Shard) {
 	if limits.configuration == nil {
 		return
@@ -90,27 +93,27 @@
 	for _, name := range limits.names() {
 		for _, shard := range shardsWith(name) {
 			vm, ok := limits.roster.owner(shard)
-			key := notice{shard: shard, upstream: name}
-			telling := toldLimit{tenure: limits.roster.tenure(shard), limit: limits.limited[name]}
+			key := noticeKey{shard: shard, upstream: name}
+			notice := sentLimit{tenure: limits.roster.tenure(shard), limit: limits.limited[name]}
 			switch {
 			case ok && vm == limits.self.VM:
 				limits.tellMembers(shard, name)
-			case ok && limits.told[key] != telling:
-				limits.told[key] = telling
+			case ok && limits.sentToOwners[key] != notice:
+				limits.sentToOwners[key] = notice
 				limits.sendNotice(vm, shard, name)
 			}
 		}
 	}
 }
 
-// tellMembers passes a limit on to the other members of a shard's data centre, once each.
+// tellMembers sends a limit once to each other member of a shard's data centre.
 func (limits *limits) tellMembers(shard messenger.Shard, name definer.UpstreamName) {
 	for _, vm := range limits.roster.peers(shard.DataCentre) {
-		key := memberNotice{member: limits.roster.members[vm].Member, upstream: name}
-		if before, told := limits.spread[key]; vm == limits.self.VM || told && before == limits.limited[name] {
+		key := memberNoticeKey{member: limits.roster.members[vm].Member, upstream: name}
+		if before, sent := limits.sentToMembers[key]; vm == limits.self.VM || sent && before == limits.limited[name] {
 			continue
 		}
-		limits.spread[key] = limits.limited[name]
+		limits.sentToMembers[key] = limits.limited[name]
 		limits.sendNotice(vm, shard, name)
 	}
 }
@@ -121,12 +124,13 @@
 	})
 }
 
-// refresh has all owners told again now and then: a notice may have been lost.
+// refresh sends all notices again at each resendInterval, since one may have
+// been lost.
 func (limits *limits) refresh(shardsWith func(name definer.UpstreamName) []messenger.Shard) {
-	if limits.now.Sub(limits.retold) >= refreshEvery {
-		limits.retold = limits.now
-		clear(limits.told)
-		clear(limits.spread)
+	if limits.now.Sub(limits.resentAt) >= resendInterval {
+		limits.resentAt = limits.now
+		clear(limits.sentToOwners)
+		clear(limits.sentToMembers)
 		limits.tellOwners(shardsWith)
 	}
 }
--- a/decider/limits_test.go
+++ b/decider/limits_test.go
@@ -20,12 +20,12 @@
 	cluster.run(2 * time.Second)
 	owner := cluster.owner("dc0-vm0", "dc0")
 	teller := cluster.nodes[cluster.others("dc0", owner)[0]]
-	cluster.tell(teller, UpstreamAnnounced{Upstream: limited, SentAt: cluster.now, Limit: definer.LimitTo(perSecond)})
+	cluster.handle(teller, UpstreamAnnounced{Upstream: limited, SentAt: cluster.now, Limit: definer.LimitTo(perSecond)})
 	cluster.run(100 * time.Millisecond)
 	from := cluster.now
-	cluster.load("r", "/", cluster.others("dc0", ""), 200, 25*time.Millisecond)
+	cluster.sendRequests("r", "/", cluster.others("dc0", ""), 200, 25*time.Millisecond)
 	delete(cluster.nodes, owner)
-	cluster.load("s", "/desk", cluster.others("dc0", ""), 300, 25*time.Millisecond)
+	cluster.sendRequests("s", "/desk", cluster.others("dc0", ""), 300, 25*time.Millisecond)
 
 	var sends []time.Time
 	for _, start := range cluster.starts {
@@ -40,8 +40,8 @@
 
 	lifted := cluster.now
 	cluster.run(time.Second)
-	cluster.tell(cluster.nodes[cluster.others("dc0", owner)[0]], UpstreamAnnounced{Upstream: limited, SentAt: cluster.now})
-	cluster.load("t", "/", cluster.others("dc0", owner), 100, 25*time.Millisecond)
+	cluster.handle(cluster.nodes[cluster.others("dc0", owner)[0]], UpstreamAnnounced{Upstream: limited, SentAt: cluster.now})
+	cluster.sendRequests("t", "/", cluster.others("dc0", owner), 100, 25*time.Millisecond)
 	count := 0
 	for _, start := range cluster.starts {
 		if start.upstream == limited && start.at.After(lifted) {
--- a/decider/listedleavers_test.go
+++ b/decider/listedleavers_test.go
@@ -28,14 +28,14 @@
 	}
 	fleet := newFleet(t, 8, 1, 8)
 	fleet.bootAll()
-	fleet.put(1, document, true)
-	fleet.within(inForceWithin, 1)
+	fleet.store(1, document, true)
+	fleet.waitApplied(inForceWithin, 1)
 	fleet.Run(5 * time.Second)
 	entries := fleet.listed
 	for index := range pools {
 		fleet.listed = append(fleet.listed, decider.ListedVM{Name: fmt.Sprint("leaving", index), DataCentre: "d0", Address: fmt.Sprintf("10.0.%d.0:80", index), Upstream: true, Leaving: true})
 	}
-	fleet.wake()
+	fleet.notifyWatchers()
 	fleet.Run(3 * time.Second)
 	// Ten minutes later it still holds, since the list has not changed.
 	for round := range 20 {
@@ -43,7 +43,7 @@
 		for index, vm := range entries {
 			for pool := range pools {
 				id := definer.RequestID(fmt.Sprint(round, "-", index, "-", pool))
-				fleet.tell(fleet.nodes[definer.VM(vm.Name)], decider.RequestArrived{Request: id, Properties: matcher.Properties{Path: fmt.Sprint("p", pool)}})
+				fleet.handle(fleet.nodes[definer.VM(vm.Name)], decider.RequestArrived{Request: id, Properties: matcher.Properties{Path: fmt.Sprint("p", pool)}})
 			}
 		}
 		fleet.Run(30 * time.Second)
--- a/decider/localclaims.go
+++ b/decider/localclaims.go
@@ -6,9 +6,10 @@
 	"limpetcleat/messenger"
 )
 
-// wantLocal deals with a key that a process handed out. Only that process ever
-// runs it; all others hand the call on to it, and to nobody else.
-func (claims *claims) wantLocal(event claimWanted) {
+// beginLocal decides the claim on a key that a process has issued. Only that
+// process ever runs a request under the key; every other process forwards the
+// call to it, and to no one else.
+func (claims *claims) beginLocal(event claimRequested) {
 	decided := claimDecided{request: event.request, verdict: messenger.ClaimExpired}
 	key, ok := claimer.ParseLocal(event.key)
 	switch {
@@ -23,11 +24,11 @@
 		decided.verdict = claimElsewhere
 		decided.holder = key.Holder()
 	}
-	claims.notify(decided)
+	claims.enqueue(decided)
 }
 
 // takeLocal claims a key in this process's own table.
-func (claims *claims) takeLocal(event claimWanted, key claimer.LocalKey) (messenger.ClaimVerdict, *messenger.KeptAnswer) {
+func (claims *claims) takeLocal(event claimRequested, key claimer.LocalKey) (messenger.ClaimVerdict, *messenger.KeptAnswer) {
 	claim := &claim{request: event.request, keyHash: claimer.KeyHash(event.organisation, event.key), bodyHash: event.bodyHash, phase: taken, local: true}
 	verdict, answer := claims.local.Claim(claims.now, key, claim.operation(claims.self), event.localKeys)
 	if verdict == messenger.ClaimGranted {
@@ -36,7 +37,7 @@
 	return verdict, answer
 }
 
-// endLocal notes the end of a request in this process's own table.
+// endLocal records the end of a request in this process's own table.
 func (claims *claims) endLocal(claim *claim, step messenger.ClaimStep, answer *messenger.KeptAnswer) {
 	operation := claim.operation(claims.self)
 	operation.Step = step
@@ -45,7 +46,7 @@
 	claims.drop(claim)
 }
 
-// operation returns the claim in the form of the claimer's tables.
+// operation returns the claim as an operation on the claimer's tables.
 func (claim *claim) operation(holder definer.Member) claimer.Operation {
 	ask := messenger.ClaimAsk{Step: messenger.TakeClaim, KeyHash: claim.keyHash, BodyHash: claim.bodyHash, Request: claim.request}
 	return claimer.Operation{ClaimAsk: ask, Holder: holder}
--- a/decider/memory_test.go
+++ b/decider/memory_test.go
@@ -14,7 +14,7 @@
 func TestLimitsGoWithTheirUpstream(t *testing.T) {
 	cluster := newCluster(t, 1, 1, 1)
 	cluster.run(2 * time.Second)
-	owner := cluster.ownerPartOf("dc0-vm0")
+	owner := cluster.ownerOf("dc0-vm0")
 	shard := messenger.Shard{DataCentre: "dc0", Pool: "models"}
 	adapted := owner.shards[shard].limiter
 	document := clusterDocument(1)
@@ -24,7 +24,7 @@
 		configuration, err := definer.Build(2, document)
 		assert.NilError(t, err)
 		owner.core.configuration = configuration
-		owner.rebuild()
+		owner.updateShards()
 	}
 	pool, _ := owner.configuration.Pool("models")
 	first, second := pool.Upstreams()[0], pool.Upstreams()[1]
@@ -44,14 +44,14 @@
 	cluster.run(2 * time.Second)
 	owner := cluster.owner("dc0-vm0", "dc0")
 	others := cluster.others("dc0", owner)
-	requester := cluster.requesterPartOf(others[0])
+	requester := cluster.requesterOf(others[0])
 	shard := messenger.Shard{DataCentre: "dc0", Pool: "models"}
 	class, _ := requester.configuration.Class("batch")
 	heard := requester.now
 	hear := func(from definer.VM, wait time.Duration) time.Duration {
 		requester.requests["r"] = &request{id: "r", class: class}
 		defer delete(requester.requests, "r")
-		requester.hear(requester.roster.members[from].Member, &messenger.GrantAnswer{Shard: shard, Request: "r", ExpectedWait: wait})
+		requester.recordExpectedWait(requester.roster.members[from].Member, &messenger.GrantAnswer{Shard: shard, Request: "r", ExpectedWait: wait})
 		return requester.admitter.Wait(heard, shard, class.Name())
 	}
 	assert.Equal(t, hear(owner, time.Minute), time.Minute)
@@ -60,13 +60,13 @@
 	cluster.run(10 * time.Second)
 	assert.Assert(t, cluster.owner(others[0], "dc0") != owner)
 	assert.Equal(t, requester.admitter.Wait(heard, shard, class.Name()), time.Duration(0))
-	assert.Equal(t, len(requester.hinted), 0)
+	assert.Equal(t, len(requester.hintTenures), 0)
 }
 
 // requesterPartOf returns the requester part of a node.
-func (cluster *cluster) requesterPartOf(vm definer.VM) *requester {
-	for _, part := range cluster.nodes[vm].decider.parts {
-		if requester, ok := part.(*requester); ok {
+func (cluster *cluster) requesterOf(vm definer.VM) *requester {
+	for _, component := range cluster.nodes[vm].decider.components {
+		if requester, ok := component.(*requester); ok {
 			return requester
 		}
 	}
--- a/decider/number.go
+++ b/decider/number.go
@@ -1,12 +1,12 @@
 package decider
 
-// The numbers of the core's log events; docs/EVENTS.md tells what each means.
+// The numbers of the core's log events; docs/EVENTS.md explains each.
 const (
 	// EventConfigurationApplied says that a configuration came into force.
 	EventConfigurationApplied = 1001
 	// EventConfigurationRejected says that a configuration failed its checks.
 	EventConfigurationRejected = 1002
-	// EventConfigurationDiverged says that the version in force has another
+	// EventConfigurationDiverged says that the version in force has a different
 	// content elsewhere.
 	EventConfigurationDiverged = 1003
 	// EventPlatformSetBack says that the platform holds an older version than
@@ -24,29 +24,32 @@
 	EventShardLost = 1202
 	// EventShardOpened says that a shard's owner begins to grant.
 	EventShardOpened = 1203
-	// EventGrantReclaimed says that a grant's entry VM is gone or gave it up.
+	// EventGrantReclaimed says that a grant was taken back because its entry VM
+	// is gone or no longer reports it.
 	EventGrantReclaimed = 1204
-	// EventEmergencyGrant says that this node granted in a silent owner's place.
+	// EventEmergencyGrant says that this node granted in place of an owner that
+	// does not answer.
 	EventEmergencyGrant = 1205
 	// EventUpstreamLeaving says that an upstream gets no new work.
 	EventUpstreamLeaving = 1206
-	// EventUpstreamLimited says how many requests a second an upstream takes.
+	// EventUpstreamLimited says how many requests a second an upstream accepts.
 	EventUpstreamLimited = 1207
 	// EventRequestRefused says that a caller got no whole answer.
 	EventRequestRefused = 1301
 	// EventAttemptFailed says that an attempt gave no whole answer.
 	EventAttemptFailed = 1302
-	// EventHeldOff says that a request makes upstreams end and is sent to none.
+	// EventHeldOff says that a request is sent to no upstream because upstreams
+	// ended while they ran it.
 	EventHeldOff = 1303
-	// EventReleased says that such a request may be sent again.
+	// EventReleased says that a request that was held off may be sent again.
 	EventReleased = 1304
 	// EventClaimGivenUp says that a claim could not be confirmed in time.
 	EventClaimGivenUp = 1501
-	// EventClaimNotStored says that the end of a claimed request was lost; its
-	// key turns unknown.
+	// EventClaimNotStored says that the end of a claimed request could not be
+	// stored; the outcome of its key becomes unknown.
 	EventClaimNotStored = 1502
 	// EventDrainBegan says that a planned stop began.
 	EventDrainBegan = 1401
-	// EventDrainEnded says that nothing is left to wait for.
+	// EventDrainEnded says that the stopping node has nothing left to wait for.
 	EventDrainEnded = 1402
 )
--- a/decider/operations_test.go
+++ b/decider/operations_test.go
@@ -24,8 +24,8 @@
 		rows[found[1]] = found[2]
 		assert.Assert(t, found[3] == outcomes[0] || found[3] == outcomes[1] || found[3] == outcomes[2], found[0])
 	}
-	for reason, form := range refusalForms() {
+	for reason, form := range refusalTemplates() {
 		assert.Equal(t, rows[string(reason)], strconv.Itoa(form.status), reason)
 	}
-	assert.Equal(t, len(rows), len(refusalForms()))
+	assert.Equal(t, len(rows), len(refusalTemplates()))
 }
--- a/decider/orphans.go
+++ b/decider/orphans.go
@@ -8,9 +8,9 @@
 	"limpetcleat/messenger"
 )
 
-// cancelAfter is how long the work of a member that is gone is left running, in
-// case it was only out of touch.
-const cancelAfter = time.Second
+// cancelDelay is how long the work of a member that is gone keeps running, in
+// case the member was only unreachable.
+const cancelDelay = time.Second
 
 // orphan is work on an upstream whose entry VM is gone.
 type orphan struct {
@@ -20,7 +20,7 @@
 	at       time.Time
 }
 
-// orphans cancels the work that nobody waits for any more.
+// orphans cancels upstream work whose entry VM is gone.
 type orphans struct {
 	*core
 	waiting []orphan
@@ -28,29 +28,29 @@
 
 func newOrphans(core *core) *orphans { return &orphans{core: core} }
 
-// add notes a reclaimed grant whose work may still run.
-func (orphans *orphans) add(issue issue, shard messenger.Shard) {
+// add records a reclaimed grant whose work may still run.
+func (orphans *orphans) add(record grantRecord, shard messenger.Shard) {
 	pool, ok := orphans.configuration.Pool(shard.Pool)
 	if !ok || pool.Kind() != definer.Engine {
 		return
 	}
 	for _, upstream := range pool.Upstreams() {
-		if upstream.Name() == issue.upstream {
-			orphans.waiting = append(orphans.waiting, orphan{entry: issue.entry, attempt: attemptID(issue.request, issue.attempt), upstream: upstream, at: orphans.now})
+		if upstream.Name() == record.upstream {
+			orphans.waiting = append(orphans.waiting, orphan{entry: record.entry, attempt: attemptID(record.request, record.attempt), upstream: upstream, at: orphans.now})
 		}
 	}
 }
 
-// cancel stops the work of members that stayed away.
+// cancel cancels the work of members that stayed away for cancelDelay.
 func (orphans *orphans) cancel() {
 	orphans.waiting = slices.DeleteFunc(orphans.waiting, func(orphan orphan) bool {
 		if orphans.roster.alive(orphan.entry) {
 			return true
 		}
-		if orphans.now.Sub(orphan.at) < cancelAfter {
+		if orphans.now.Sub(orphan.at) < cancelDelay {
 			return false
 		}
-		orphans.act(CancelUpstreamWork{Attempt: orphan.attempt, Upstream: orphan.upstream})
+		orphans.emit(CancelUpstreamWork{Attempt: orphan.attempt, Upstream: orphan.upstream})
 		return true
 	})
 }
--- a/decider/ownedshard.go
+++ b/decider/ownedshard.go
@@ -16,29 +16,31 @@
 	shard     messenger.Shard
 	scheduler *scheduler.Scheduler
 	ledger    *ledger
-	// limiter is nil when the policy adapts no limits.
+	// limiter is nil when the policy does not adapt limits.
 	limiter *limiter.Limiter
-	// opens is the end of the window in which the owner only listens; zero
+	// opensAt is the end of the window in which a new owner only listens; zero
 	// once it grants.
-	opens time.Time
-	// pending holds the asks of that window, each request at most once.
+	opensAt time.Time
+	// pending holds the asks received in that window, at most one for each
+	// request.
 	pending []scheduler.Ask
 }
 
-// retain drops what was learnt of upstreams that the shard no longer has.
+// retain drops what was learned about upstreams that the shard no longer has.
 func (owned *ownedShard) retain(upstreams []*definer.Upstream) {
 	if owned.limiter != nil {
 		owned.limiter.Retain(upstreams)
 	}
 }
 
-// wait keeps an ask until the shard opens.
-func (owned *ownedShard) wait(ask scheduler.Ask) {
-	owned.drop(ask.Request)
+// addPending keeps an ask until the shard opens.
+func (owned *ownedShard) addPending(ask scheduler.Ask) {
+	owned.dropPending(ask.Request)
 	owned.pending = append(owned.pending, ask)
 }
 
-// takePending returns the asks that waited, highest tier and earliest first.
+// takePending returns and removes the pending asks, ordered by tier and then by
+// arrival.
 func (owned *ownedShard) takePending() []scheduler.Ask {
 	pending := owned.pending
 	owned.pending = nil
@@ -48,27 +50,27 @@
 	return pending
 }
 
-func (owned *ownedShard) drop(request definer.RequestID) {
+func (owned *ownedShard) dropPending(request definer.RequestID) {
 	owned.pending = slices.DeleteFunc(owned.pending, func(ask scheduler.Ask) bool { return ask.Request == request })
 }
 
-// withdraw takes back what a request asked for and holds.
+// withdraw removes the pending ask and the grants of a request.
 func (owned *ownedShard) withdraw(now time.Time, request definer.RequestID) {
-	owned.drop(request)
+	owned.dropPending(request)
 	owned.ledger.withdraw(now, request)
 }
 
-// forget drops the asks of a member that is gone.
+// forget drops the pending asks of a member that is gone.
 func (owned *ownedShard) forget(member definer.Member) {
 	owned.pending = slices.DeleteFunc(owned.pending, func(ask scheduler.Ask) bool { return ask.Entry == member })
 }
 
-// note keeps who got a grant.
-func (owned *ownedShard) note(now time.Time, decision scheduler.Decision) {
-	if _, known := owned.ledger.issues[decision.Grant]; known || !decision.Granted() {
+// recordGrant records the holder of a grant.
+func (owned *ownedShard) recordGrant(now time.Time, decision scheduler.Decision) {
+	if _, known := owned.ledger.grants[decision.Grant]; known || !decision.Granted() {
 		return
 	}
-	owned.ledger.add(decision.Grant, issue{
+	owned.ledger.add(decision.Grant, grantRecord{
 		entry:    decision.Ask.Entry,
 		request:  decision.Ask.Request,
 		attempt:  decision.Ask.Attempt,
--- a/decider/owner.go
+++ b/decider/owner.go
@@ -13,40 +13,43 @@
 )
 
 const (
-	ownerPart = "owner"
-	// expiryEvery is how often the queues are looked through for late asks.
-	expiryEvery = 100 * time.Millisecond
-	expiryTimer = "expire"
-	openTimer   = "open"
-	// rebuildWindow is how long a new owner only listens: entry VMs report the
-	// grants they hold and ask anew.
+	ownerComponent = "owner"
+	// expiryInterval is how often the queues are checked for expired asks.
+	expiryInterval = 100 * time.Millisecond
+	expiryTimer    = "expire"
+	openTimer      = "open"
+	// rebuildWindow is how long a new owner only listens while entry VMs report
+	// the grants that they hold and send their asks again.
 	rebuildWindow = 300 * time.Millisecond
-	// earlyFor is how long a report is kept that came before its shard.
-	earlyFor = 2 * time.Second
+	// earlyReportLifetime is how long a report is kept that arrived before this
+	// node owned its shard.
+	earlyReportLifetime = 2 * time.Second
 )
 
-// owner keeps the schedulers of the shards that this node owns.
+// owner runs the schedulers of the shards that this node owns.
 type owner struct {
 	*core
-	// shards holds each shard that this node owns now.
+	// shards holds the shards that this node owns now.
 	shards map[messenger.Shard]*ownedShard
-	// early holds the last report of each entry VM on shards not owned yet.
-	early map[messenger.Shard]map[definer.VM]earlyReport
-	// emergency is what this node grants in the place of silent owners.
+	// earlyReports holds the last report of each entry VM on shards not owned
+	// yet.
+	earlyReports map[messenger.Shard]map[definer.VM]earlyReport
+	// emergency grants in place of owners that do not answer.
 	emergency *emergency
 	leavers   *leavers
 	limits    *limits
 	orphans   *orphans
-	// pauses is the roster's count when the shards were taken up.
+	// pauses is the value of roster.pauses for which the shards are valid.
 	pauses int
-	// window is how long a new owner listens; 0 is not at all.
-	window time.Duration
-	began  time.Time
-	// lengths learns how long answers are; nil before the first shard.
+	// listenWindow is how long a new owner only listens; 0 means not at all.
+	listenWindow time.Duration
+	startedAt    time.Time
+	// lengths estimates the lengths of answers; nil before the first shard.
 	lengths *estimator.Estimator
 }
 
-// earlyReport is a report that came before this node knew that it owns.
+// earlyReport is a report that arrived before this node knew that it owns the
+// shard.
 type earlyReport struct {
 	from   definer.Member
 	report *messenger.GrantReport
@@ -55,14 +58,14 @@
 
 func newOwner(core *core) *owner {
 	return &owner{
-		core:      core,
-		shards:    make(map[messenger.Shard]*ownedShard),
-		early:     make(map[messenger.Shard]map[definer.VM]earlyReport),
-		emergency: newEmergency(core),
-		leavers:   newLeavers(core),
-		limits:    newLimits(core),
-		orphans:   newOrphans(core),
-		window:    rebuildWindow,
+		core:         core,
+		shards:       make(map[messenger.Shard]*ownedShard),
+		earlyReports: make(map[messenger.Shard]map[definer.VM]earlyReport),
+		emergency:    newEmergency(core),
+		leavers:      newLeavers(core),
+		limits:       newLimits(core),
+		orphans:      newOrphans(core),
+		listenWindow: rebuildWindow,
 	}
 }
 
@@ -72,45 +75,45 @@
 	owner.fence()
 	switch event := event.(type) {
 	case started:
-		owner.began = owner.now
-		owner.after(ownerPart, expiryTimer, expiryEvery)
+		owner.startedAt = owner.now
+		owner.setTimer(ownerComponent, expiryTimer, expiryInterval)
 	case configurationChanged:
-		owner.rebuild()
+		owner.updateShards()
 	case membersChanged:
-		owner.rebuild()
-		owner.forget(event.gone)
+		owner.updateShards()
+		owner.forgetMembers(event.gone)
 	case UpstreamLeaving:
 		owner.leavers.mark(event.Name)
-		owner.rebuild()
+		owner.updateShards()
 	case UpstreamAnnounced:
-		owner.limits.hear(event)
-		owner.limit(event.Upstream)
+		owner.limits.learnFromUpstream(event)
+		owner.applyLimit(event.Upstream)
 		if event.Leaving {
 			owner.leavers.mark(event.Upstream)
-			owner.rebuild()
+			owner.updateShards()
 		}
 	case TimerFired:
-		if event.Key.Part == ownerPart {
-			owner.fired(event.Key.ID)
+		if event.Key.Component == ownerComponent {
+			owner.handleTimer(event.Key.ID)
 		}
 	case MessageReceived:
-		owner.receive(event)
+		owner.handleMessage(event)
 	}
 }
 
-// fence drops all that is known once this process was not running for a while:
-// someone else may have owned its shards since. The shards that are still this
-// node's are taken up anew.
+// fence drops the state of all shards after this process was paused: another
+// member may have owned them meanwhile. The shards that this node still owns
+// are then rebuilt.
 func (owner *owner) fence() {
 	if owner.pauses == owner.roster.pauses {
 		return
 	}
 	owner.pauses = owner.roster.pauses
 	clear(owner.shards)
-	owner.rebuild()
+	owner.updateShards()
 }
 
-func (owner *owner) fired(id string) {
+func (owner *owner) handleTimer(id string) {
 	if id == openTimer {
 		owner.open()
 		return
@@ -118,43 +121,44 @@
 	owner.expire()
 }
 
-func (owner *owner) receive(event MessageReceived) {
+func (owner *owner) handleMessage(event MessageReceived) {
 	switch message := event.Message.(type) {
 	case *messenger.GrantAsk:
-		owner.ask(event.From, message)
+		owner.handleAsk(event.From, message)
 	case *messenger.GrantRelease:
 		owner.emergency.release(message)
 		if owned, ok := owner.shards[message.Shard]; ok {
 			owned.ledger.remove(owner.now, message.Grant)
-			owner.tell(owned, owned.scheduler.Release(owner.now, message.Grant, message.Observation))
+			owner.sendDecisions(owned, owned.scheduler.Release(owner.now, message.Grant, message.Observation))
 		}
 	case *messenger.GrantWithdraw:
 		if owned, ok := owner.shards[message.Shard]; ok {
 			owned.withdraw(owner.now, message.Request)
-			owner.tell(owned, owned.scheduler.Withdraw(owner.now, message.Request))
+			owner.sendDecisions(owned, owned.scheduler.Withdraw(owner.now, message.Request))
 		}
 	case *messenger.GrantReport:
-		owner.report(event.From, message)
+		owner.handleReport(event.From, message)
 	case *messenger.UpstreamNotice:
 		owner.leavers.mark(message.Upstream)
-		owner.rebuild()
+		owner.updateShards()
 	case *messenger.LimitNotice:
-		owner.limits.learn(event.From.VM, message)
-		owner.limit(message.Announcement.Upstream)
+		owner.limits.learnFromPeer(event.From.VM, message)
+		owner.applyLimit(message.Announcement.Upstream)
 	}
 }
 
-// limit has the shards of an upstream keep to its limit, here or at their owners.
-func (owner *owner) limit(name definer.UpstreamName) {
+// applyLimit sets the limit of an upstream in the shards of this node and sends
+// it to the owners of others.
+func (owner *owner) applyLimit(name definer.UpstreamName) {
 	for _, shard := range sortedShards(owner.shards) {
 		owned := owner.shards[shard]
-		owner.tell(owned, owned.scheduler.SetLimit(owner.now, name, owner.limits.limited[name]))
+		owner.sendDecisions(owned, owned.scheduler.SetLimit(owner.now, name, owner.limits.limited[name]))
 	}
 	owner.limits.tellOwners(owner.leavers.shardsWith)
 }
 
-// rebuild takes up the shards that are now this node's and drops the others.
-func (owner *owner) rebuild() {
+// updateShards adds the shards that this node now owns and drops the others.
+func (owner *owner) updateShards() {
 	if owner.configuration == nil {
 		return
 	}
@@ -166,7 +170,7 @@
 				continue
 			}
 			owned[shard] = true
-			owner.own(shard, pool)
+			owner.updateShard(shard, pool)
 		}
 	}
 	for _, shard := range sortedShards(owner.shards) {
@@ -179,49 +183,50 @@
 	owner.limits.tellOwners(owner.leavers.shardsWith)
 }
 
-// own takes up a shard, or what has changed of one that is owned already.
-func (owner *owner) own(shard messenger.Shard, pool *definer.Pool) {
+// updateShard adds a shard, or updates one that is already owned.
+func (owner *owner) updateShard(shard messenger.Shard, pool *definer.Pool) {
 	owned, ok := owner.shards[shard]
 	if !ok {
 		owned = owner.newOwnedShard(shard, pool)
 		owner.shards[shard] = owned
 		owner.log(EventShardOwned, "pool", shard.Pool, "index", shard.Index)
-		if owner.successor() {
-			owned.opens = owner.now.Add(owner.window)
-			owner.after(ownerPart, openTimer, owner.window)
+		if owner.mayHavePredecessor() {
+			owned.opensAt = owner.now.Add(owner.listenWindow)
+			owner.setTimer(ownerComponent, openTimer, owner.listenWindow)
 		}
 	}
 	upstreams := upstreamsOf(pool, shard)
 	owned.retain(upstreams)
 	owned.scheduler.Adjust(pool)
-	owner.tell(owned, owned.scheduler.Configure(owner.now, owner.leavers.serving(upstreams), owner.configuration.Classes()))
+	owner.sendDecisions(owned, owned.scheduler.Configure(owner.now, owner.leavers.serving(upstreams), owner.configuration.Classes()))
 	for _, name := range owner.limits.names() {
-		owner.tell(owned, owned.scheduler.SetLimit(owner.now, name, owner.limits.limited[name]))
+		owner.sendDecisions(owned, owned.scheduler.SetLimit(owner.now, name, owner.limits.limited[name]))
 	}
-	for _, vm := range sortedKeys(owner.early[shard]) {
-		early := owner.early[shard][vm]
+	for _, vm := range sortedKeys(owner.earlyReports[shard]) {
+		early := owner.earlyReports[shard][vm]
 		owner.adopt(owned, early.from, early.report)
 	}
-	delete(owner.early, shard)
+	delete(owner.earlyReports, shard)
 }
 
-// successor tells whether another member may have owned a shard before.
-func (owner *owner) successor() bool {
-	if owner.window == 0 {
+// mayHavePredecessor reports whether another member may have owned a shard
+// before.
+func (owner *owner) mayHavePredecessor() bool {
+	if owner.listenWindow == 0 {
 		return false
 	}
-	return !owner.roster.alone() || owner.roster.expecting() && owner.now.Sub(owner.began) < owner.window
+	return !owner.roster.neverMetOthers() || owner.roster.expectsOthers() && owner.now.Sub(owner.startedAt) < owner.listenWindow
 }
 
-// open begins to grant at the shards whose window is over. The asks that came
-// meanwhile go in by tier and arrival.
+// open starts to grant at the shards whose window is over. The asks received in
+// the window are submitted by tier and arrival.
 func (owner *owner) open() {
 	for _, shard := range sortedShards(owner.shards) {
 		owned := owner.shards[shard]
-		if owned.opens.IsZero() || owner.now.Before(owned.opens) {
+		if owned.opensAt.IsZero() || owner.now.Before(owned.opensAt) {
 			continue
 		}
-		owned.opens = time.Time{}
+		owned.opensAt = time.Time{}
 		pending := owned.takePending()
 		owner.log(EventShardOpened, "pool", shard.Pool, "index", shard.Index, "adopted", owned.scheduler.Running(), "waiting", len(pending))
 		for _, ask := range pending {
@@ -230,19 +235,19 @@
 	}
 }
 
-// forget drops what members that are gone asked for and held.
-func (owner *owner) forget(gone []definer.Member) {
-	owner.emergency.forget(gone)
+// forgetMembers drops the asks and grants of members that are gone.
+func (owner *owner) forgetMembers(gone []definer.Member) {
+	owner.emergency.forgetMembers(gone)
 	for _, shard := range sortedShards(owner.shards) {
 		owned := owner.shards[shard]
 		for _, member := range gone {
-			for _, grant := range owned.ledger.of(member) {
-				owner.orphans.add(owned.ledger.issues[grant], shard)
+			for _, grant := range owned.ledger.grantsOf(member) {
+				owner.orphans.add(owned.ledger.grants[grant], shard)
 				owned.ledger.remove(owner.now, grant)
 				owner.log(EventGrantReclaimed, "grant", grant, "vm", member.VM)
 			}
 			owned.forget(member)
-			owner.tell(owned, owned.scheduler.Forget(owner.now, member))
+			owner.sendDecisions(owned, owned.scheduler.Forget(owner.now, member))
 		}
 	}
 }
@@ -253,26 +258,26 @@
 	for _, shard := range sortedShards(owner.shards) {
 		owned := owner.shards[shard]
 		owned.ledger.prune(owner.now)
-		owner.reclaim(owned, owned.ledger.lapsed(owner.now))
-		owner.tell(owned, owned.scheduler.Expire(owner.now))
+		owner.reclaim(owned, owned.ledger.expired(owner.now))
+		owner.sendDecisions(owned, owned.scheduler.Expire(owner.now))
 	}
-	for shard, reports := range owner.early {
-		maps.DeleteFunc(reports, func(_ definer.VM, early earlyReport) bool { return owner.now.Sub(early.at) > earlyFor })
+	for shard, reports := range owner.earlyReports {
+		maps.DeleteFunc(reports, func(_ definer.VM, early earlyReport) bool { return owner.now.Sub(early.at) > earlyReportLifetime })
 		if len(reports) == 0 {
-			delete(owner.early, shard)
+			delete(owner.earlyReports, shard)
 		}
 	}
 	owner.orphans.cancel()
-	owner.after(ownerPart, expiryTimer, expiryEvery)
+	owner.setTimer(ownerComponent, expiryTimer, expiryInterval)
 }
 
-// ask takes in an ask. One for a shard that this node does not own gets no
+// handleAsk handles an ask. One for a shard that this node does not own gets no
 // answer, unless it is an emergency.
-func (owner *owner) ask(from definer.Member, message *messenger.GrantAsk) {
+func (owner *owner) handleAsk(from definer.Member, message *messenger.GrantAsk) {
 	owned, ok := owner.shards[message.Shard]
 	if !ok {
 		if message.Emergency {
-			owner.emergency.ask(from, message, owner.leavers, owner.limits)
+			owner.emergency.handleAsk(from, message, owner.leavers, owner.limits)
 		}
 		return
 	}
@@ -280,43 +285,44 @@
 	if !ok {
 		return
 	}
-	if !owned.opens.IsZero() {
-		owned.wait(ask)
-		owner.queued(owned, ask, owned.opens.Sub(owner.now))
+	if !owned.opensAt.IsZero() {
+		owned.addPending(ask)
+		owner.sendQueued(owned, ask, owned.opensAt.Sub(owner.now))
 		return
 	}
 	owner.submit(owned, ask)
 }
 
-// submit hands an ask to the scheduler and tells its entry VM if it has to wait.
+// submit passes an ask to the scheduler and tells its entry VM if the ask is
+// queued.
 func (owner *owner) submit(owned *ownedShard, ask scheduler.Ask) {
 	decisions := owned.scheduler.Ask(owner.now, ask)
-	owner.tell(owned, decisions)
+	owner.sendDecisions(owned, decisions)
 	decided := slices.ContainsFunc(decisions, func(decision scheduler.Decision) bool {
 		return decision.Ask.Request == ask.Request && decision.Ask.Attempt == ask.Attempt
 	})
 	if !decided {
-		owner.queued(owned, ask, owned.scheduler.ExpectedWait(owner.now, ask.Class))
+		owner.sendQueued(owned, ask, owned.scheduler.ExpectedWait(owner.now, ask.Class))
 	}
 }
 
-func (owner *owner) queued(owned *ownedShard, ask scheduler.Ask, wait time.Duration) {
+func (owner *owner) sendQueued(owned *ownedShard, ask scheduler.Ask, wait time.Duration) {
 	owner.send(ask.Entry.VM, &messenger.GrantAnswer{Shard: owned.shard, Request: ask.Request, Attempt: ask.Attempt, Queued: true, ExpectedWait: wait})
 }
 
-// report takes in what an entry VM says that it holds.
-func (owner *owner) report(from definer.Member, report *messenger.GrantReport) {
+// handleReport handles an entry VM's report of the grants that it holds.
+func (owner *owner) handleReport(from definer.Member, report *messenger.GrantReport) {
 	if owned, ok := owner.shards[report.Shard]; ok {
 		owner.adopt(owned, from, report)
 		return
 	}
-	if owner.early[report.Shard] == nil {
-		owner.early[report.Shard] = make(map[definer.VM]earlyReport)
+	if owner.earlyReports[report.Shard] == nil {
+		owner.earlyReports[report.Shard] = make(map[definer.VM]earlyReport)
 	}
-	owner.early[report.Shard][from.VM] = earlyReport{from: from, report: report, at: owner.now}
+	owner.earlyReports[report.Shard][from.VM] = earlyReport{from: from, report: report, at: owner.now}
 }
 
-// adopt makes the ledger and the slots agree with a report.
+// adopt reconciles the ledger and the slots with a report.
 func (owner *owner) adopt(owned *ownedShard, from definer.Member, report *messenger.GrantReport) {
 	for _, held := range report.Grants {
 		owned.ledger.renew(owner.now, held.Grant)
@@ -324,22 +330,23 @@
 		if !ok || !owned.ledger.adoptable(held.Grant) {
 			continue
 		}
-		owned.ledger.add(held.Grant, issue{entry: from, request: held.Request, attempt: held.Attempt, upstream: held.Upstream, since: owner.now})
+		owned.ledger.add(held.Grant, grantRecord{entry: from, request: held.Request, attempt: held.Attempt, upstream: held.Upstream, since: owner.now})
 		owned.scheduler.Adopt(owner.now, from, class, held)
 	}
 	owner.reclaim(owned, owned.ledger.missing(owner.now, from, report))
 }
 
-// reclaim frees the slots of grants that nobody uses.
+// reclaim releases the slots of unused grants.
 func (owner *owner) reclaim(owned *ownedShard, grants []definer.GrantID) {
 	for _, grant := range grants {
-		owner.log(EventGrantReclaimed, "grant", grant, "vm", owned.ledger.issues[grant].entry.VM)
+		owner.log(EventGrantReclaimed, "grant", grant, "vm", owned.ledger.grants[grant].entry.VM)
 		owned.ledger.remove(owner.now, grant)
-		owner.tell(owned, owned.scheduler.Release(owner.now, grant, messenger.Observation{}))
+		owner.sendDecisions(owned, owned.scheduler.Release(owner.now, grant, messenger.Observation{}))
 	}
 }
 
-// translate returns the scheduler's form of an ask, if its class still exists.
+// translate returns an ask in the scheduler's form, or false if its class no
+// longer exists.
 func (owner *owner) translate(from definer.Member, message *messenger.GrantAsk) (scheduler.Ask, bool) {
 	class, ok := owner.configuration.Class(message.Class)
 	if !ok {
@@ -368,10 +375,10 @@
 	return ask, true
 }
 
-// tell sends each decision to the entry that asked.
-func (owner *owner) tell(owned *ownedShard, decisions []scheduler.Decision) {
+// sendDecisions sends each decision to the entry VM that asked.
+func (owner *owner) sendDecisions(owned *ownedShard, decisions []scheduler.Decision) {
 	for _, decision := range decisions {
-		owned.note(owner.now, decision)
+		owned.recordGrant(owner.now, decision)
 		owner.send(decision.Ask.Entry.VM, &messenger.GrantAnswer{
 			Shard:        owned.shard,
 			Request:      decision.Ask.Request,
