--- a/decider/ownerloss_test.go
+++ b/decider/ownerloss_test.go
@@ -11,7 +11,7 @@
 )
 
 // limit is the number of slots in one data centre.
-const limit = 2 * slots
+const totalSlots = 2 * slots
 
 func TestOwnerKilled(t *testing.T) {
 	t.Parallel()
@@ -21,14 +21,14 @@
 			cluster.run(2 * time.Second)
 			owner := cluster.owner("dc0-vm0", "dc0")
 			entries := cluster.others("dc0", owner)
-			ids := cluster.load("r", "/", entries, 12, 50*time.Millisecond)
+			ids := cluster.sendRequests("r", "/", entries, 12, 50*time.Millisecond)
 			delete(cluster.nodes, owner)
 			killed := cluster.now
-			ids = append(ids, cluster.load("s", "/", entries, 12, 50*time.Millisecond)...)
-			cluster.finish(ids, 40*time.Second)
-			cluster.orderedAfter(killed)
-			assert.Assert(t, cluster.peak["dc0"] <= limit, "%d ran", cluster.peak["dc0"])
-			t.Logf("at most %d of %d slots", cluster.peak["dc0"], limit)
+			ids = append(ids, cluster.sendRequests("s", "/", entries, 12, 50*time.Millisecond)...)
+			cluster.checkFinished(ids, 40*time.Second)
+			cluster.checkOrderedAfter(killed)
+			assert.Assert(t, cluster.peak["dc0"] <= totalSlots, "%d ran", cluster.peak["dc0"])
+			t.Logf("at most %d of %d slots", cluster.peak["dc0"], totalSlots)
 		})
 	}
 }
@@ -76,17 +76,17 @@
 			cluster := newCluster(t, seed, 1, 4)
 			cluster.service = 10 * time.Second
 			for vm := range cluster.nodes {
-				cluster.ownerPartOf(vm).window = window
+				cluster.ownerOf(vm).listenWindow = window
 			}
 			cluster.run(2 * time.Second)
 			owner := cluster.owner("dc0-vm0", "dc0")
-			ids := cluster.load("r", "/", cluster.others("dc0", owner), 12, 50*time.Millisecond)
+			ids := cluster.sendRequests("r", "/", cluster.others("dc0", owner), 12, 50*time.Millisecond)
 			delete(cluster.nodes, owner)
-			cluster.finish(ids, 60*time.Second)
+			cluster.checkFinished(ids, 60*time.Second)
 			worst = max(worst, cluster.peak["dc0"])
 		}
-		t.Logf("window %v: at most %d of %d slots", window, worst, limit)
-		assert.Equal(t, worst <= limit, window > 0)
+		t.Logf("window %v: at most %d of %d slots", window, worst, totalSlots)
+		assert.Equal(t, worst <= totalSlots, window > 0)
 	}
 }
 
@@ -99,19 +99,19 @@
 			cluster.run(2 * time.Second)
 			owner := cluster.owner("dc0-vm0", "dc0")
 			entries := cluster.others("dc0", owner)
-			ids := cluster.load("r", "/", entries, 12, 50*time.Millisecond)
+			ids := cluster.sendRequests("r", "/", entries, 12, 50*time.Millisecond)
 			ids = append(ids, "f000")
 			cluster.request(owner, "f000", "/")
 			cluster.nodes[owner].frozen = true
 			cluster.run(freeze)
 			cluster.resume(owner)
-			ids = append(ids, cluster.load("s", "/", append(entries, owner), 12, 50*time.Millisecond)...)
+			ids = append(ids, cluster.sendRequests("s", "/", append(entries, owner), 12, 50*time.Millisecond)...)
 			resumed := cluster.now
-			cluster.finish(ids, 60*time.Second)
-			cluster.orderedAfter(resumed)
-			t.Logf("at most %d of %d slots", cluster.peak["dc0"], limit)
-			assert.Assert(t, cluster.peak["dc0"] <= 2*limit)
-			assert.Equal(t, cluster.ownerPartOf(owner).scheduled(), 0, "no slot is left behind")
+			cluster.checkFinished(ids, 60*time.Second)
+			cluster.checkOrderedAfter(resumed)
+			t.Logf("at most %d of %d slots", cluster.peak["dc0"], totalSlots)
+			assert.Assert(t, cluster.peak["dc0"] <= 2*totalSlots)
+			assert.Equal(t, cluster.ownerOf(owner).scheduled(), 0, "no slot is left behind")
 		})
 	}
 }
@@ -120,7 +120,7 @@
 func (owner *owner) scheduled() int {
 	sum := 0
 	for _, owned := range owner.shards {
-		sum += owned.scheduler.Running() + owned.scheduler.Waiting() + len(owned.pending) + len(owned.ledger.issues)
+		sum += owned.scheduler.Running() + owned.scheduler.Waiting() + len(owned.pending) + len(owned.ledger.grants)
 	}
 	return sum
 }
@@ -130,18 +130,18 @@
 	cluster.run(2 * time.Second)
 	owner := cluster.owner("dc0-vm0", "dc0")
 	entries := cluster.others("dc0", owner)
-	ids := cluster.load("r", "/", append(entries, owner), 16, 50*time.Millisecond)
+	ids := cluster.sendRequests("r", "/", append(entries, owner), 16, 50*time.Millisecond)
 	cluster.cut = func(from, to definer.VM) bool { return (from == owner) != (to == owner) }
-	ids = append(ids, cluster.load("s", "/", append(entries, owner), 32, 100*time.Millisecond)...)
+	ids = append(ids, cluster.sendRequests("s", "/", append(entries, owner), 32, 100*time.Millisecond)...)
 	cluster.run(5 * time.Second)
 	assert.Equal(t, cluster.owner(owner, "dc0"), owner)
 	assert.Assert(t, cluster.owner(entries[0], "dc0") != owner)
 	cluster.cut = nil
-	cluster.finish(ids, 90*time.Second)
-	t.Logf("at most %d of %d slots", cluster.peak["dc0"], limit)
-	assert.Assert(t, cluster.peak["dc0"] <= 2*limit)
+	cluster.checkFinished(ids, 90*time.Second)
+	t.Logf("at most %d of %d slots", cluster.peak["dc0"], totalSlots)
+	assert.Assert(t, cluster.peak["dc0"] <= 2*totalSlots)
 	for _, vm := range sortedKeys(cluster.nodes) {
-		assert.Equal(t, cluster.ownerPartOf(vm).scheduled(), 0, "%s", vm)
+		assert.Equal(t, cluster.ownerOf(vm).scheduled(), 0, "%s", vm)
 	}
 }
 
@@ -152,19 +152,19 @@
 	entries := cluster.others("dc0", owner)
 	delete(cluster.nodes, owner)
 	killed := cluster.now
-	ids := cluster.load("d", "/desk", entries, 1, 0)
-	ids = append(ids, cluster.load("b", "/", entries, 1, 0)...)
+	ids := cluster.sendRequests("d", "/desk", entries, 1, 0)
+	ids = append(ids, cluster.sendRequests("b", "/", entries, 1, 0)...)
 	cluster.run(time.Second)
 	assert.Equal(t, len(cluster.starts), 1, "only the protected request starts")
 	assert.Equal(t, cluster.starts[0].request, definer.RequestID("d000"))
 	t.Logf("served after %v", cluster.servedAfter(killed, "dc0"))
-	ids = append(ids, cluster.load("e", "/desk", entries, 10, 10*time.Millisecond)...)
-	cluster.finish(ids, 40*time.Second)
-	t.Logf("%d emergency grants, at most %d of %d slots", cluster.emergent, cluster.peak["dc0"], limit)
+	ids = append(ids, cluster.sendRequests("e", "/desk", entries, 10, 10*time.Millisecond)...)
+	cluster.checkFinished(ids, 40*time.Second)
+	t.Logf("%d emergency grants, at most %d of %d slots", cluster.emergencyGrants, cluster.peak["dc0"], totalSlots)
 	// One slot for each upstream at each member that was next in rank.
-	assert.Assert(t, cluster.peak["dc0"] <= limit+2*emergencySlots)
+	assert.Assert(t, cluster.peak["dc0"] <= totalSlots+2*emergencySlots)
 	for _, vm := range sortedKeys(cluster.nodes) {
-		assert.Equal(t, cluster.ownerPartOf(vm).scheduled(), 0, "%s", vm)
+		assert.Equal(t, cluster.ownerOf(vm).scheduled(), 0, "%s", vm)
 	}
 }
 
@@ -174,12 +174,12 @@
 	cluster.run(2 * time.Second)
 	owner := cluster.owner("dc0-vm0", "dc0")
 	entries := cluster.others("dc0", owner)
-	cluster.load("lost", "/", entries[:1], 6, 50*time.Millisecond)
-	ids := cluster.load("r", "/", entries[1:], 2, 50*time.Millisecond)
+	cluster.sendRequests("lost", "/", entries[:1], 6, 50*time.Millisecond)
+	ids := cluster.sendRequests("r", "/", entries[1:], 2, 50*time.Millisecond)
 	delete(cluster.nodes, entries[0])
 	cluster.run(4 * time.Second)
-	assert.Equal(t, len(cluster.canceled), limit, "the upstreams are told to stop")
-	cluster.finish(ids, 40*time.Second)
+	assert.Equal(t, len(cluster.canceled), totalSlots, "the upstreams are told to stop")
+	cluster.checkFinished(ids, 40*time.Second)
 }
 
 func TestMessagesLostLoseNoSlot(t *testing.T) {
@@ -188,11 +188,11 @@
 		cluster.service = 500 * time.Millisecond
 		cluster.run(2 * time.Second)
 		cluster.loss = 0.05
-		ids := cluster.load("r", "/", cluster.others("dc0", ""), 60, 100*time.Millisecond)
+		ids := cluster.sendRequests("r", "/", cluster.others("dc0", ""), 60, 100*time.Millisecond)
 		cluster.loss = 0
-		cluster.finish(ids, 60*time.Second)
+		cluster.checkFinished(ids, 60*time.Second)
 		for _, vm := range sortedKeys(cluster.nodes) {
-			assert.Equal(t, cluster.ownerPartOf(vm).scheduled(), 0, "%s", vm)
+			assert.Equal(t, cluster.ownerOf(vm).scheduled(), 0, "%s", vm)
 		}
 	}
 }
--- a/decider/peers.go
+++ b/decider/peers.go
@@ -7,8 +7,8 @@
 	"limpetcleat/definer"
 )
 
-// peers returns all live members of a data centre, this node and those that
-// draw back from work included, sorted.
+// peers returns all live members of a data centre, sorted, including this node
+// and members that are draining.
 func (roster *roster) peers(dataCentre definer.DataCentre) []definer.VM {
 	var vms []definer.VM
 	for vm, member := range roster.members {
--- a/decider/refusal.go
+++ b/decider/refusal.go
@@ -8,15 +8,15 @@
 	"limpetcleat/messenger"
 )
 
-// refusalForm is the status and the words of one reason.
-type refusalForm struct {
+// refusalTemplate is the HTTP status and the message of one reason.
+type refusalTemplate struct {
 	status  int
 	message string
 }
 
-// refusalForms returns how each reason is told to a caller.
-func refusalForms() map[messenger.RefusalReason]refusalForm {
-	return map[messenger.RefusalReason]refusalForm{
+// refusalTemplates returns the answer to a caller for each reason.
+func refusalTemplates() map[messenger.RefusalReason]refusalTemplate {
+	return map[messenger.RefusalReason]refusalTemplate{
 		messenger.NoUpstream:     {http.StatusServiceUnavailable, "no live upstream can serve the request"},
 		messenger.QueueFull:      {http.StatusTooManyRequests, "the request could not start within its bound"},
 		messenger.Shed:           {http.StatusTooManyRequests, "requests of higher precedence took the place"},
@@ -39,13 +39,13 @@
 		messenger.ClaimsFull:     {http.StatusServiceUnavailable, "there is no room to claim another key"},
 		messenger.HeldOff:        {http.StatusServiceUnavailable, "upstreams ended one after the other while they ran this request; it is sent to no other until the time given by Retry-After, or until an operator lifts this"},
 		messenger.UpstreamFailed: {http.StatusBadGateway, "the upstream did not give a whole answer"},
-		// The caller has gone; the status is only counted.
+		// The caller has disconnected; the status is only counted.
 		messenger.CallerGone: {http.StatusRequestTimeout, "the caller left"},
 	}
 }
 
-// refusalFor returns the answer for a reason.
+// refusalFor returns the refusal for a reason.
 func refusalFor(reason messenger.RefusalReason, outcome definer.Outcome, retryAfter time.Duration) Refusal {
-	form := refusalForms()[reason]
+	form := refusalTemplates()[reason]
 	return Refusal{Status: form.status, Reason: reason, Message: form.message, Outcome: outcome, RetryAfter: retryAfter}
 }
--- a/decider/reporting.go
+++ b/decider/reporting.go
@@ -8,14 +8,15 @@
 )
 
 const (
-	reportPart = "report"
-	// reportEvery is how often an entry VM tells owners what it holds, so that
-	// a lost release does not keep a slot for ever.
-	reportEvery = 15 * time.Second
+	reportComponent = "report"
+	// reportInterval is how often an entry VM reports to owners the grants that
+	// it holds, so that a lost release does not block a slot for ever.
+	reportInterval = 15 * time.Second
 )
 
-// membersMoved asks anew where the owner changed and reports what is held.
-func (requester *requester) membersMoved() {
+// handleMembersChanged sends the asks again whose owner changed and reports the
+// held grants to new owners.
+func (requester *requester) handleMembersChanged() {
 	tenures := make(map[messenger.Shard]tenure)
 	present := func(shard messenger.Shard) tenure {
 		if _, ok := tenures[shard]; !ok {
@@ -23,48 +24,49 @@
 		}
 		return tenures[shard]
 	}
-	for shard := range requester.reported {
+	for shard := range requester.reportedTenures {
 		present(shard)
 	}
-	// Others took this node for dead if its own sequence rose.
+	// If this node's own sequence number rose, others had declared it dead.
 	sequence := requester.roster.members[requester.self.VM].Sequence
-	missed := requester.sequence != sequence
-	requester.sequence = sequence
+	missed := requester.reportedSequence != sequence
+	requester.reportedSequence = sequence
 	for _, shard := range sortedShards(tenures) {
-		if missed || requester.reported[shard] != present(shard) {
-			requester.report(shard)
+		if missed || requester.reportedTenures[shard] != present(shard) {
+			requester.sendReport(shard)
 		}
 	}
 	for _, id := range sortedKeys(requester.requests) {
 		if request := requester.requests[id]; request.state == asking && request.tenure != present(request.shard) {
-			requester.ask(request)
+			requester.sendAsk(request)
 		}
 	}
 }
 
-// report tells the present owner of a shard every grant of it that is held.
-func (requester *requester) report(shard messenger.Shard) {
-	requester.reported[shard] = requester.roster.tenure(shard)
+// sendReport reports to the present owner of a shard every grant of the shard
+// that this node holds.
+func (requester *requester) sendReport(shard messenger.Shard) {
+	requester.reportedTenures[shard] = requester.roster.tenure(shard)
 	vm, ok := requester.roster.owner(shard)
 	if !ok {
 		return
 	}
-	requester.send(vm, &messenger.GrantReport{Shard: shard, Grants: requester.held(shard)})
+	requester.send(vm, &messenger.GrantReport{Shard: shard, Grants: requester.heldGrants(shard)})
 }
 
-// reportAll is the regular report; a shard of which nothing is held is reported
-// once more and then left out.
-func (requester *requester) reportAll() {
-	for _, shard := range sortedShards(requester.reported) {
-		requester.report(shard)
-		if len(requester.held(shard)) == 0 {
-			delete(requester.reported, shard)
+// sendReports sends the periodic reports. A shard of which no grant is held is
+// reported once more and then left out.
+func (requester *requester) sendReports() {
+	for _, shard := range sortedShards(requester.reportedTenures) {
+		requester.sendReport(shard)
+		if len(requester.heldGrants(shard)) == 0 {
+			delete(requester.reportedTenures, shard)
 		}
 	}
-	requester.after(reportPart, "", reportEvery)
+	requester.setTimer(reportComponent, "", reportInterval)
 }
 
-func (requester *requester) held(shard messenger.Shard) []messenger.HeldGrant {
+func (requester *requester) heldGrants(shard messenger.Shard) []messenger.HeldGrant {
 	var held []messenger.HeldGrant
 	for _, id := range sortedKeys(requester.requests) {
 		request := requester.requests[id]
@@ -85,26 +87,27 @@
 	return held
 }
 
-// noteGrant keeps where the grant came from. A present owner that did not give
-// it has to be told.
-func (requester *requester) noteGrant(request *request, issuer definer.Member) {
+// recordGrant records which member issued the request's grant. A present owner
+// that did not issue it is sent a report.
+func (requester *requester) recordGrant(request *request, issuer definer.Member) {
 	request.issuer = issuer
 	present := requester.roster.tenure(request.shard)
-	if _, ok := requester.reported[request.shard]; !ok {
-		requester.reported[request.shard] = present
+	if _, ok := requester.reportedTenures[request.shard]; !ok {
+		requester.reportedTenures[request.shard] = present
 	}
 	if present.member != issuer {
-		requester.report(request.shard)
+		requester.sendReport(request.shard)
 	}
 }
 
-// askNext asks the next in rank in the place of an owner that keeps silent.
-func (requester *requester) askNext(request *request) {
+// askSecondRanked sends an emergency ask to the member that ranks second, in
+// place of an owner that does not answer.
+func (requester *requester) askSecondRanked(request *request) {
 	ranked := requester.roster.ranked(request.shard)
-	if !request.class.Protected() || request.silent < emergencyAfter || len(ranked) < 2 {
+	if !request.class.Protected() || request.unansweredAsks < emergencyAfterAsks || len(ranked) < 2 {
 		return
 	}
-	ask := requester.askFor(request)
+	ask := requester.newGrantAsk(request)
 	ask.Emergency = true
 	requester.send(ranked[1], ask)
 }
--- a/decider/requester.go
+++ b/decider/requester.go
@@ -11,48 +11,53 @@
 )
 
 const (
-	requesterPart = "request"
-	// askAgainAfter is how long an ask waits for any word of the owner.
-	askAgainAfter = 150 * time.Millisecond
-	// queuedAgainAfter is how long a queued ask waits before it is repeated.
-	queuedAgainAfter = time.Second
-	// emergencyAfter is how many asks in a row go unanswered before a protected
-	// request also asks the next in rank.
-	emergencyAfter = 3
+	requesterComponent = "request"
+	// askRetryInterval is how long an ask waits for any answer of the owner
+	// before it is repeated.
+	askRetryInterval = 150 * time.Millisecond
+	// queuedAskRetryInterval is how long a queued ask waits before it is
+	// repeated.
+	queuedAskRetryInterval = time.Second
+	// emergencyAfterAsks is how many asks in a row go unanswered before a
+	// protected request also asks the member that ranks next.
+	emergencyAfterAsks = 3
 	// maxAttempts bounds the attempts of one request.
 	maxAttempts = 4
-	// retryAfterBusy is told when nothing better is known.
-	retryAfterBusy = time.Second
+	// defaultRetryAfter is the delay told to callers when no better estimate is
+	// known.
+	defaultRetryAfter = time.Second
 )
 
-// requester leads each caller's request from its arrival to its final answer.
+// requester handles each caller's request from its arrival to its final answer.
 type requester struct {
 	*core
-	// requests holds each open request once; core.open is its size.
+	// requests holds the open requests; core.openRequests is its size.
 	requests map[definer.RequestID]*request
 	budget   *budget
 	rates    *limiter.Rate
-	// suspicions are its own.
+	// suspicions is used by the requester alone.
 	suspicions *suspicions
 	admitter   *admitter.Admitter
-	// hinted holds, for each shard with hints, the tenure that they come from.
-	hinted map[messenger.Shard]tenure
-	// reported holds the tenure of the owner that knows what is held of a shard.
-	reported map[messenger.Shard]tenure
-	// sequence is this node's own one when it last reported.
-	sequence uint64
+	// hintTenures holds, for each shard with a known expected wait, the tenure
+	// of the owner that reported it.
+	hintTenures map[messenger.Shard]tenure
+	// reportedTenures holds, by shard, the tenure of the owner that was sent
+	// the last report of held grants.
+	reportedTenures map[messenger.Shard]tenure
+	// reportedSequence is this node's own sequence number at its last report.
+	reportedSequence uint64
 }
 
 func newRequester(core *core) *requester {
 	return &requester{
-		core:       core,
-		requests:   make(map[definer.RequestID]*request),
-		budget:     newBudget(),
-		rates:      limiter.NewRate(),
-		suspicions: newSuspicions(core),
-		admitter:   admitter.New(),
-		hinted:     make(map[messenger.Shard]tenure),
-		reported:   make(map[messenger.Shard]tenure),
+		core:            core,
+		requests:        make(map[definer.RequestID]*request),
+		budget:          newBudget(),
+		rates:           limiter.NewRate(),
+		suspicions:      newSuspicions(core),
+		admitter:        admitter.New(),
+		hintTenures:     make(map[messenger.Shard]tenure),
+		reportedTenures: make(map[messenger.Shard]tenure),
 	}
 }
 
@@ -61,51 +66,52 @@
 func (requester *requester) handle(event Event) {
 	switch event := event.(type) {
 	case started:
-		requester.after(reportPart, "", reportEvery)
+		requester.setTimer(reportComponent, "", reportInterval)
 	case RequestArrived:
-		requester.arrive(event)
+		requester.handleArrival(event)
 	case CallerLeft:
-		requester.leave(event)
+		requester.handleCallerLeft(event)
 	case claimDecided:
-		requester.claimed(event)
+		requester.handleClaim(event)
 	case CallForwarded:
-		requester.forwarded(event)
+		requester.handleForwarded(event)
 	case AttemptProgressed:
-		requester.progress(event)
+		requester.handleProgress(event)
 	case AttemptEnded:
-		requester.end(event)
+		requester.handleAttemptEnd(event)
 	case MessageReceived:
 		switch message := event.Message.(type) {
 		case *messenger.GrantAnswer:
-			requester.answered(event, message)
+			requester.handleGrantAnswer(event, message)
 		case *messenger.FallNotice:
 			requester.suspicions.learn(event.From, message)
 		}
 	case LiftRequested:
 		requester.suspicions.lift(event.Identity)
 	case TimerFired:
-		requester.due(event.Key)
+		requester.handleTimer(event.Key)
 	case membersChanged:
 		requester.forgetHints()
-		requester.membersMoved()
+		requester.handleMembersChanged()
 	}
-	requester.core.open = len(requester.requests)
+	requester.core.openRequests = len(requester.requests)
 }
 
-// due deals with a timer that came due.
-func (requester *requester) due(key TimerKey) {
-	switch key.Part {
-	case requesterPart:
-		requester.fired(definer.RequestID(key.ID))
-	case reportPart:
-		requester.reportAll()
-	case suspicionPart:
-		requester.suspicions.fired()
+// handleTimer handles a timer that is due.
+func (requester *requester) handleTimer(key TimerKey) {
+	switch key.Component {
+	case requesterComponent:
+		requester.handleRequestTimer(definer.RequestID(key.ID))
+	case reportComponent:
+		requester.sendReports()
+	case suspicionComponent:
+		requester.suspicions.handleTimer()
 	}
 }
 
-// arrive matches a new request and asks for a slot.
-func (requester *requester) arrive(event RequestArrived) {
+// handleArrival matches a new request to its rule and asks for a slot, or for
+// its claim first.
+func (requester *requester) handleArrival(event RequestArrived) {
 	request := &request{
 		id:           event.Request,
 		organisation: event.Organisation,
@@ -117,21 +123,22 @@
 		arrived:      requester.now,
 	}
 	if refusal, ok := requester.match(request); !ok {
-		refusal.Outcome = beforeClaim(request.key)
-		requester.turnAway(request, refusal)
+		refusal.Outcome = outcomeBeforeClaim(request.key)
+		requester.refuseOnArrival(request, refusal)
 		return
 	}
 	request.setDeadline(event.Deadline)
 	requester.requests[request.id] = request
 	if request.keyed() {
-		requester.claim(request, event.Forwarded)
+		requester.requestClaim(request, event.Forwarded)
 		return
 	}
-	request.untried = requester.candidates(request)
-	requester.next(request, messenger.NoUpstream, retryAfterBusy)
+	request.untriedShards = requester.candidateShards(request)
+	requester.askNextShard(request, messenger.NoUpstream, defaultRetryAfter)
 }
 
-// setDeadline takes the nearer of the caller's and the rule's bound.
+// setDeadline sets the deadline to the nearer of the caller's and the rule's
+// bound.
 func (request *request) setDeadline(callers time.Duration) {
 	bound := request.rule.Deadline()
 	if callers > 0 && (bound == 0 || callers < bound) {
@@ -142,13 +149,14 @@
 	}
 }
 
-// match gives the request its rule, class and pool, or a refusal.
+// match sets the rule, class and pool of the request. It returns false with the
+// refusal when the request cannot be accepted.
 func (requester *requester) match(request *request) (Refusal, bool) {
 	if requester.draining {
-		return refusalFor(messenger.Draining, definer.NotRun, retryAfterBusy), false
+		return refusalFor(messenger.Draining, definer.NotRun, defaultRetryAfter), false
 	}
 	if requester.configuration == nil {
-		return refusalFor(messenger.NotReady, definer.NotRun, retryAfterBusy), false
+		return refusalFor(messenger.NotReady, definer.NotRun, defaultRetryAfter), false
 	}
 	rule, err := requester.matcher.Match(request.properties)
 	if err != nil {
@@ -168,46 +176,47 @@
 	return requester.withinRate(request)
 }
 
-// offers tells whether some upstream of the pool holds the model.
+// offers reports whether some upstream of the pool serves the model.
 func offers(pool *definer.Pool, model string) bool {
 	return slices.ContainsFunc(pool.Upstreams(), func(upstream *definer.Upstream) bool { return upstream.Serves(model) })
 }
 
-// next asks the next shard that was not tried, or gives the request up.
-func (requester *requester) next(request *request, reason messenger.RefusalReason, retryAfter time.Duration) {
-	if len(request.untried) == 0 {
+// askNextShard asks the next shard that has not been tried, or refuses the
+// request when none is left.
+func (requester *requester) askNextShard(request *request, reason messenger.RefusalReason, retryAfter time.Duration) {
+	if len(request.untriedShards) == 0 {
 		requester.refuse(request, reason, retryAfter)
 		return
 	}
-	if requester.isHeldOff(request) {
+	if requester.holdOff(request) {
 		return
 	}
-	request.shard = request.untried[0]
-	request.untried = request.untried[1:]
-	if verdict, ok := requester.hopeless(request); ok {
-		requester.next(request, verdict.Reason, verdict.RetryAfter)
+	request.shard = request.untriedShards[0]
+	request.untriedShards = request.untriedShards[1:]
+	if verdict, ok := requester.earlyRejection(request); ok {
+		requester.askNextShard(request, verdict.Reason, verdict.RetryAfter)
 		return
 	}
 	request.attempt++
-	request.silent = 0
+	request.unansweredAsks = 0
 	request.state = asking
-	requester.ask(request)
+	requester.sendAsk(request)
 }
 
-// ask sends the request's ask to the owner of its shard.
-func (requester *requester) ask(request *request) {
+// sendAsk sends the request's ask to the owner of its shard.
+func (requester *requester) sendAsk(request *request) {
 	vm, ok := requester.roster.owner(request.shard)
 	if !ok {
-		requester.next(request, messenger.OwnerLost, retryAfterBusy)
+		requester.askNextShard(request, messenger.OwnerLost, defaultRetryAfter)
 		return
 	}
-	request.silent++
+	request.unansweredAsks++
 	request.tenure = requester.roster.tenure(request.shard)
-	requester.askAgain(request, askAgainAfter)
-	requester.send(vm, requester.askFor(request))
+	requester.setAskTimer(request, askRetryInterval)
+	requester.send(vm, requester.newGrantAsk(request))
 }
 
-func (requester *requester) askFor(request *request) *messenger.GrantAsk {
+func (requester *requester) newGrantAsk(request *request) *messenger.GrantAsk {
 	return &messenger.GrantAsk{
 		Shard:        request.shard,
 		Request:      request.id,
@@ -224,65 +233,66 @@
 	}
 }
 
-// askAgain sets when the ask is repeated, its deadline at the latest.
-func (requester *requester) askAgain(request *request, gap time.Duration) {
+// setAskTimer sets when the ask is repeated, at the latest at the request's
+// deadline.
+func (requester *requester) setAskTimer(request *request, gap time.Duration) {
 	if !request.deadline.IsZero() {
 		gap = min(gap, request.remaining(requester.now))
 	}
-	requester.after(requesterPart, string(request.id), gap)
+	requester.setTimer(requesterComponent, string(request.id), gap)
 }
 
-// fired deals with a request whose timer came due.
-func (requester *requester) fired(id definer.RequestID) {
+// handleRequestTimer handles the timer of a request.
+func (requester *requester) handleRequestTimer(id definer.RequestID) {
 	request, ok := requester.requests[id]
 	if !ok || request.state != asking && request.state != settling {
 		return
 	}
 	if request.overdue(requester.now) {
 		requester.withdraw(request)
-		requester.refuse(request, messenger.DeadlineMissed, retryAfterBusy)
+		requester.refuse(request, messenger.DeadlineMissed, defaultRetryAfter)
 		return
 	}
 	if request.state == settling {
-		requester.next(request, messenger.NoUpstream, retryAfterBusy)
+		requester.askNextShard(request, messenger.NoUpstream, defaultRetryAfter)
 		return
 	}
 	waited := requester.now.Sub(request.arrived)
 	if waited > request.class.LongestWait() {
 		requester.withdraw(request)
-		requester.refuse(request, messenger.WaitExceeded, retryAfterBusy)
+		requester.refuse(request, messenger.WaitExceeded, defaultRetryAfter)
 		return
 	}
-	requester.ask(request)
-	requester.askNext(request)
+	requester.sendAsk(request)
+	requester.askSecondRanked(request)
 }
 
-// answered deals with an owner's answer.
-func (requester *requester) answered(event MessageReceived, answer *messenger.GrantAnswer) {
-	requester.hear(event.From, answer)
+// handleGrantAnswer handles an owner's answer to an ask.
+func (requester *requester) handleGrantAnswer(event MessageReceived, answer *messenger.GrantAnswer) {
+	requester.recordExpectedWait(event.From, answer)
 	request, ok := requester.requests[answer.Request]
 	current := ok && request.state == asking && request.attempt == answer.Attempt
 	vm, owned := requester.roster.owner(answer.Shard)
 	if current && owned && vm == event.From.VM {
-		request.silent = 0
+		request.unansweredAsks = 0
 	}
 	switch {
 	case !current && answer.Grant != "" && (!ok || request.grant != answer.Grant):
 		requester.send(event.From.VM, &messenger.GrantRelease{Shard: answer.Shard, Grant: answer.Grant, Request: answer.Request, Upstream: answer.Upstream})
 	case !current:
 	case answer.Grant == "" && vm != event.From.VM:
-		// Only the present owner may queue or refuse.
+		// Only the present owner may queue or refuse an ask.
 	case answer.Queued:
-		requester.askAgain(request, queuedAgainAfter)
+		requester.setAskTimer(request, queuedAskRetryInterval)
 	case answer.Grant != "":
-		requester.start(request, event.From, answer)
+		requester.startAttempt(request, event.From, answer)
 	default:
-		requester.next(request, answer.Reason, answer.RetryAfter)
+		requester.askNextShard(request, answer.Reason, answer.RetryAfter)
 	}
 }
 
-// start begins an attempt under a grant.
-func (requester *requester) start(request *request, issuer definer.Member, answer *messenger.GrantAnswer) {
+// startAttempt starts an attempt under a grant.
+func (requester *requester) startAttempt(request *request, issuer definer.Member, answer *messenger.GrantAnswer) {
 	request.grant = answer.Grant
 	request.issuer = issuer
 	request.upstream = nil
@@ -291,21 +301,21 @@
 			request.upstream = upstream
 		}
 	}
-	if request.late(requester.now) {
+	if request.pastStartBy(requester.now) {
 		requester.release(request, messenger.Observation{})
-		requester.refuse(request, messenger.WaitExceeded, retryAfterBusy)
+		requester.refuse(request, messenger.WaitExceeded, defaultRetryAfter)
 		return
 	}
 	if request.upstream == nil {
 		requester.release(request, messenger.Observation{})
-		requester.next(request, messenger.NoUpstream, retryAfterBusy)
+		requester.askNextShard(request, messenger.NoUpstream, defaultRetryAfter)
 		return
 	}
-	requester.clear(requesterPart, string(request.id))
+	requester.clearTimer(requesterComponent, string(request.id))
 	request.state = running
 	request.attemptStarted = requester.now
-	requester.noteGrant(request, issuer)
-	requester.act(StartAttempt{
+	requester.recordGrant(request, issuer)
+	requester.emit(StartAttempt{
 		Request:     request.id,
 		Attempt:     request.attemptID(),
 		Upstream:    request.upstream,
@@ -320,8 +330,8 @@
 	})
 }
 
-// progress notes how far a running answer has come.
-func (requester *requester) progress(event AttemptProgressed) {
+// handleProgress records how many tokens of a running attempt were delivered.
+func (requester *requester) handleProgress(event AttemptProgressed) {
 	request, ok := requester.requests[event.Request]
 	if !ok || request.attemptID() != event.Attempt {
 		return
@@ -332,18 +342,18 @@
 	request.delivered = max(request.delivered, event.Delivered)
 }
 
-// leave ends a request whose caller has gone.
-func (requester *requester) leave(event CallerLeft) {
+// handleCallerLeft ends a request whose caller has disconnected.
+func (requester *requester) handleCallerLeft(event CallerLeft) {
 	request, ok := requester.requests[event.Request]
 	if !ok {
 		return
 	}
 	if request.state == running && request.keyed() {
-		// The run goes on, so that its answer is there for a repeat.
+		// The attempt continues so that its answer is stored for a repeat.
 		return
 	}
 	if request.state == running {
-		requester.act(CancelAttempt{Request: request.id, Attempt: request.attemptID(), Upstream: request.upstream})
+		requester.emit(CancelAttempt{Request: request.id, Attempt: request.attemptID(), Upstream: request.upstream})
 		return
 	}
 	requester.withdraw(request)
@@ -356,8 +366,8 @@
 	}
 }
 
-// release gives a grant back to the present owner, and to the member that made
-// it if that is another and lives.
+// release returns a grant to the present owner, and to the member that issued
+// it if that is another and still alive.
 func (requester *requester) release(request *request, observation messenger.Observation) {
 	if request.grant == "" {
 		return
--- a/decider/roster.go
+++ b/decider/roster.go
@@ -14,32 +14,33 @@
 )
 
 const (
-	rosterPart = "member"
-	rosterTick = "tick"
+	rosterComponent = "member"
+	rosterTick      = "tick"
 )
 
-// roster keeps the members of the system and who owns which shard.
+// roster keeps the members of the system and ranks them for the ownership of
+// shards.
 type roster struct {
 	*core
 	detector *detector.Detector
 	// members holds the live members by name, this node's included.
 	members map[definer.VM]messenger.MemberChange
-	// listed holds the platform's list of the system's VMs by name; it only
-	// proposes members and addresses.
+	// listed holds the platform's list of this system's VMs by name. The list
+	// only proposes members and addresses; the detector decides who is alive.
 	listed map[definer.VM]ListedVM
-	// rankings holds the results of ranked since members changed last.
+	// rankings caches the results of ranked until the members change.
 	rankings map[messenger.Shard][]definer.VM
-	// leavers are the upstream VMs that the platform lists as leaving.
-	leavers []ListedVM
-	// pauses counts how often this process found that it was not running for
-	// a while.
+	// leavingVMs are the upstream VMs that the platform lists as leaving.
+	leavingVMs []ListedVM
+	// pauses counts how often this process detected that it had not been
+	// running for a while.
 	pauses int
 }
 
 func newRoster(core *core) *roster {
 	roster := &roster{core: core, listed: make(map[definer.VM]ListedVM)}
 	roster.detector = detector.New(core.self, core.dataCentre, core.address)
-	// A node without a configuration owns nothing yet.
+	// A node without a configuration must not own shards yet.
 	roster.detector.Draining(time.Time{}, true)
 	roster.refresh()
 	return roster
@@ -48,41 +49,41 @@
 func (roster *roster) priority() int { return rosterPriority }
 
 func (roster *roster) handle(event Event) {
-	roster.carry(roster.detector.Check(roster.now))
+	roster.apply(roster.detector.Check(roster.now))
 	switch event := event.(type) {
 	case started:
-		roster.carry(roster.detector.Start(roster.now))
-		roster.take(roster.core.seeds)
-		roster.after(rosterPart, rosterTick, roster.detector.Interval())
+		roster.apply(roster.detector.Start(roster.now))
+		roster.setListed(roster.core.bootstrapVMs)
+		roster.setTimer(rosterComponent, rosterTick, roster.detector.Interval())
 	case configurationChanged, drainBegan:
 		draining := roster.core.draining || roster.configuration == nil
-		roster.carry(roster.detector.Draining(roster.now, draining))
+		roster.apply(roster.detector.Draining(roster.now, draining))
 	case drainEnded:
-		roster.carry(roster.detector.Leave(roster.now))
+		roster.apply(roster.detector.Leave(roster.now))
 	case VMsListed:
-		roster.take(event.VMs)
-		roster.notify(membersChanged{})
+		roster.setListed(event.VMs)
+		roster.enqueue(membersChanged{})
 	case MessageReceived:
 		if event.From.VM != roster.self.VM {
-			roster.carry(roster.detector.Receive(roster.now, event.From, event.Message))
+			roster.apply(roster.detector.Receive(roster.now, event.From, event.Message))
 		}
 	case TimerFired:
-		if event.Key.Part == rosterPart {
-			roster.carry(roster.detector.Tick(roster.now))
-			roster.after(rosterPart, rosterTick, roster.detector.Interval())
+		if event.Key.Component == rosterComponent {
+			roster.apply(roster.detector.Tick(roster.now))
+			roster.setTimer(rosterComponent, rosterTick, roster.detector.Interval())
 		}
 	}
 }
 
-// take takes in the platform's list.
-func (roster *roster) take(vms []ListedVM) {
+// setListed replaces the platform's list.
+func (roster *roster) setListed(vms []ListedVM) {
 	clear(roster.listed)
-	roster.leavers = nil
+	roster.leavingVMs = nil
 	var proposals []detector.Proposal
 	for _, vm := range vms {
 		switch {
 		case vm.Upstream && vm.Leaving:
-			roster.leavers = append(roster.leavers, vm)
+			roster.leavingVMs = append(roster.leavingVMs, vm)
 		case !vm.Upstream:
 			roster.listed[definer.VM(vm.Name)] = vm
 		}
@@ -90,13 +91,13 @@
 			proposals = append(proposals, detector.Proposal{VM: definer.VM(vm.Name), DataCentre: vm.DataCentre, Address: vm.Address})
 		}
 	}
-	roster.carry(roster.detector.Propose(roster.now, proposals))
+	roster.apply(roster.detector.Propose(roster.now, proposals))
 }
 
-// carry carries out what the detector asks for and tells.
-func (roster *roster) carry(output detector.Output) {
+// apply carries out the output of the detector.
+func (roster *roster) apply(output detector.Output) {
 	for _, outgoing := range output.Messages {
-		roster.act(SendMessage{To: outgoing.To, Address: outgoing.Address, Message: roster.stamp(outgoing.Message)})
+		roster.emit(SendMessage{To: outgoing.To, Address: outgoing.Address, Message: roster.addVersion(outgoing.Message)})
 	}
 	for _, change := range output.Came {
 		roster.log(EventMemberAlive, "vm", change.Member.VM, "incarnation", change.Member.Incarnation)
@@ -112,12 +113,12 @@
 	}
 	if output.Changed {
 		roster.refresh()
-		roster.notify(membersChanged{gone: gone})
+		roster.enqueue(membersChanged{gone: gone})
 	}
 }
 
-// stamp adds the version of the configuration in force to a heartbeat.
-func (roster *roster) stamp(message messenger.Message) messenger.Message {
+// addVersion adds the version of the configuration in force to a heartbeat.
+func (roster *roster) addVersion(message messenger.Message) messenger.Message {
 	if roster.configuration == nil {
 		return message
 	}
@@ -138,8 +139,8 @@
 	}
 }
 
-// address returns where a member takes the inner protocol. One that is not
-// known to live is looked up in the platform's list.
+// address returns the address at which a member accepts messages of peers. For
+// a member that is not known to be alive, it is that of the platform's list.
 func (roster *roster) address(vm definer.VM) (string, bool) {
 	if member, ok := roster.members[vm]; ok {
 		return member.Address, true
@@ -148,15 +149,15 @@
 	return listed.Address, ok
 }
 
-// alive tells whether that very run of a process lives.
+// alive reports whether that incarnation of a member is alive.
 func (roster *roster) alive(member definer.Member) bool {
 	return roster.members[member.VM].Member == member
 }
 
-// ranked returns the live members of the shard's data centre, or of all if it
-// names none, in the order in which they are to own it, by rendezvous hash.
-// Members that are stopping count only while there are no others. The caller
-// must not change the result.
+// ranked returns the live members of the shard's data centre, or of all data
+// centres if it names none, in their order of precedence as its owner, by
+// rendezvous hashing. Draining members count only if there are no others. The
+// caller must not change the result.
 func (roster *roster) ranked(shard messenger.Shard) []definer.VM {
 	if vms, ok := roster.rankings[shard]; ok {
 		return vms
@@ -197,9 +198,9 @@
 	return vms
 }
 
-// unheard returns how many VMs of the shard's data centre the platform lists,
-// and ranked does not have yet, would come before this node.
-func (roster *roster) unheard(shard messenger.Shard) int {
+// unseenAhead returns how many VMs of the shard's data centre would rank before
+// this node that the platform lists and ranked does not contain yet.
+func (roster *roster) unseenAhead(shard messenger.Shard) int {
 	own := score(roster.self.VM, shard)
 	ranked := roster.ranked(shard)
 	before := 0
@@ -220,14 +221,16 @@
 	return vms[0], true
 }
 
-// tenure names one time of ownership: another run of a process, or the same one
-// after it was out of touch, begins a new one.
+// tenure identifies one period of ownership, like a term or an epoch. A new one
+// begins when another process owns the shard, and when the same process does so
+// again after it was unreachable.
 type tenure struct {
 	member   definer.Member
 	sequence uint64
 }
 
-// tenure returns the present one of a shard; it is zero when there is no owner.
+// tenure returns the present tenure of a shard; it is zero when there is no
+// owner.
 func (roster *roster) tenure(shard messenger.Shard) tenure {
 	vm, ok := roster.owner(shard)
 	if !ok {
@@ -237,12 +240,13 @@
 	return tenure{member: member.Member, sequence: member.Sequence}
 }
 
-// alone tells whether no other member was ever heard of, so that no one else
-// can have owned anything.
-func (roster *roster) alone() bool { return !roster.detector.Met() }
+// neverMetOthers reports whether no other member was ever heard of, so that no
+// other can have owned anything.
+func (roster *roster) neverMetOthers() bool { return !roster.detector.Met() }
 
-// expecting tells whether the platform names others that may yet answer.
-func (roster *roster) expecting() bool {
+// expectsOthers reports whether the platform lists other VMs that may yet
+// answer.
+func (roster *roster) expectsOthers() bool {
 	_, self := roster.listed[roster.self.VM]
 	return len(roster.listed) > 1 || len(roster.listed) == 1 && !self
 }
--- a/decider/scheduling.go
+++ b/decider/scheduling.go
@@ -8,15 +8,15 @@
 	"limpetcleat/scheduler"
 )
 
-// WithPolicy sets the policy by which shards are scheduled; the default is
+// WithPolicy sets the scheduling policy of all shards; the default is
 // scheduler.ServiceLevels.
 func WithPolicy(policy scheduler.Policy) Option {
 	return func(core *core) { core.policy = policy }
 }
 
-// newOwnedShard returns a shard that this node begins to own, with the default
-// set of policies. The lengths of answers are learnt for the whole node, the
-// limits of upstreams for the shard.
+// newOwnedShard returns a shard that this node starts to own. The lengths of
+// answers are learned for the whole node, the limits of upstreams for each
+// shard.
 func (owner *owner) newOwnedShard(shard messenger.Shard, pool *definer.Pool) *ownedShard {
 	if owner.lengths == nil {
 		owner.lengths = estimator.New()
--- a/decider/sharder.go
+++ b/decider/sharder.go
@@ -9,11 +9,11 @@
 	"limpetcleat/messenger"
 )
 
-// shardSize is how many upstreams a shard has at most on average.
+// shardSize is the most upstreams that a shard of a pool has on average.
 const shardSize = 64
 
-// shardsOf returns the shards that a pool's upstreams in a data centre are cut
-// into; none if it has none there.
+// shardsOf returns the shards into which a pool's upstreams in a data centre
+// are divided; none if the pool has none there.
 func shardsOf(pool *definer.Pool, dataCentre definer.DataCentre) []messenger.Shard {
 	count := (len(pool.UpstreamsIn(dataCentre)) + shardSize - 1) / shardSize
 	shards := make([]messenger.Shard, 0, count)
@@ -23,8 +23,9 @@
 	return shards
 }
 
-// upstreamsOf returns the upstreams of one shard. Each upstream is in exactly
-// one, by rendezvous hash, so that few move when the number of shards changes.
+// upstreamsOf returns the upstreams of one shard. Rendezvous hashing assigns
+// each upstream to exactly one shard, so that few move when the number of
+// shards changes.
 func upstreamsOf(pool *definer.Pool, shard messenger.Shard) []*definer.Upstream {
 	local := pool.UpstreamsIn(shard.DataCentre)
 	count := (len(local) + shardSize - 1) / shardSize
--- a/decider/spreader.go
+++ b/decider/spreader.go
@@ -9,31 +9,36 @@
 )
 
 const (
-	// configurationBranches is how many peers a node tells of a new version in
-	// a fixed tree over its data centre's members.
-	configurationBranches = 2
-	// rememberedListings is for how many versions back a peer gets only the
-	// differing part of the list of sections.
-	rememberedListings = 16
-	// crossCompare is one in how many ticks also compares with a member of
-	// another data centre that is no holder, in case the holders are dead.
-	crossCompare = 8
+	// announceFanout is how many peers a node announces a new version to in a
+	// fixed tree over the members of its data centre.
+	announceFanout = 2
+	// maxListings is for how many versions back a peer is sent only the
+	// difference between the lists of sections.
+	maxListings = 16
+	// remoteCompareTicks is the average number of ticks between two comparisons
+	// with another data centre by a node that does not watch the platform. They
+	// cover the case that all members that watch it are dead.
+	remoteCompareTicks = 8
 )
 
-// configurationShard is what the members of a data centre are ranked by.
+// configurationShard returns the key by which the members of a data centre are
+// ranked for watching the platform.
 func configurationShard(dataCentre definer.DataCentre) messenger.Shard {
-	return messenger.Shard{DataCentre: dataCentre, Pool: configurerPart}
+	return messenger.Shard{DataCentre: dataCentre, Pool: configurerComponent}
 }
 
-// view is what the configurer needs of the members. It stands until they change.
+// view is the configurer's view of the members, valid until they change.
 type view struct {
-	// line holds all members of this node's data centre in an order that all of
-	// them agree on, those that may hold the watches first.
-	line []definer.VM
-	// rank is this node's place among those that may hold the watches.
+	// order holds all members of this node's data centre in an order that is
+	// the same on all of them; the members that may watch the platform come
+	// first.
+	order []definer.VM
+	// rank is this node's position among the members that may watch the
+	// platform.
 	rank int
-	// elsewhere holds those that may in each other data centre, by rank.
-	elsewhere [][]definer.VM
+	// remote holds, for each other data centre, its members that may watch the
+	// platform, by rank.
+	remote [][]definer.VM
 }
 
 // members returns the present view.
@@ -42,52 +47,52 @@
 		return configurer.view
 	}
 	ranked := configurer.roster.ranked(configurationShard(configurer.dataCentre))
-	view := &view{line: slices.Clone(ranked), rank: len(ranked)}
+	view := &view{order: slices.Clone(ranked), rank: len(ranked)}
 	if index := slices.Index(ranked, configurer.self.VM); index >= 0 {
 		view.rank = index
 	}
-	view.rank += configurer.unheard()
+	view.rank += configurer.unseenAhead()
 	for _, vm := range configurer.roster.peers(configurer.dataCentre) {
 		if !slices.Contains(ranked, vm) {
-			view.line = append(view.line, vm)
+			view.order = append(view.order, vm)
 		}
 	}
 	for _, dataCentre := range configurer.roster.dataCentres() {
 		ranked := configurer.roster.ranked(configurationShard(dataCentre))
 		if dataCentre != configurer.dataCentre && len(ranked) > 0 {
-			view.elsewhere = append(view.elsewhere, ranked)
+			view.remote = append(view.remote, ranked)
 		}
 	}
 	configurer.view = view
 	return view
 }
 
-// unheard returns how many listed VMs would come before this node. In the first
-// seconds of a node's life they count as if they lived: when all start at once
-// each knows few others, and too many would turn to the platform.
-func (configurer *configurer) unheard() int {
-	if configurer.now.Sub(configurer.began) >= configurationYouth {
+// unseenAhead returns how many listed VMs would rank before this node. In the
+// first seconds after its start a node counts them as alive: when all nodes
+// start at once, each knows few others, and too many would watch the platform.
+func (configurer *configurer) unseenAhead() int {
+	if configurer.now.Sub(configurer.startedAt) >= bootstrapFor {
 		return 0
 	}
-	return configurer.roster.unheard(configurationShard(configurer.dataCentre))
+	return configurer.roster.unseenAhead(configurationShard(configurer.dataCentre))
 }
 
-// spread tells a few peers of the version in force: the next ones in the tree,
-// one at random in case of a gap in the tree, and, from a holder of the
-// watches, one holder in each other data centre. What this misses, compare
-// finds.
-func (configurer *configurer) spread() {
+// announceToPeers announces the version in force to a few peers: the next ones
+// in the tree, a random one in case of a gap in the tree, and, if this node
+// watches the platform, one such member in each other data centre. Peers that
+// miss the announcement find the version by compareWithPeers.
+func (configurer *configurer) announceToPeers() {
 	view := configurer.members()
-	own := slices.Index(view.line, configurer.self.VM)
-	first := configurationBranches*own + 1
-	for index := first; own >= 0 && index < first+configurationBranches && index < len(view.line); index++ {
-		configurer.announce(view.line[index])
+	own := slices.Index(view.order, configurer.self.VM)
+	first := announceFanout*own + 1
+	for index := first; own >= 0 && index < first+announceFanout && index < len(view.order); index++ {
+		configurer.announce(view.order[index])
 	}
-	if peer, ok := configurer.any(view.line); ok {
+	if peer, ok := configurer.randomPeer(view.order); ok {
 		configurer.announce(peer)
 	}
-	if view.rank < configurationHolders {
-		for _, ranked := range view.elsewhere {
+	if view.rank < platformWatchers {
+		for _, ranked := range view.remote {
 			configurer.announce(ranked[min(view.rank, len(ranked)-1)])
 		}
 	}
@@ -97,8 +102,8 @@
 	configurer.send(to, &messenger.ConfigurationAnnounce{Version: configurer.head.Version, Digest: configurer.digest})
 }
 
-// any returns a member of the list at random, not this node.
-func (configurer *configurer) any(vms []definer.VM) (definer.VM, bool) {
+// randomPeer returns a random member of the list other than this node.
+func (configurer *configurer) randomPeer(vms []definer.VM) (definer.VM, bool) {
 	others := slices.DeleteFunc(slices.Clone(vms), func(vm definer.VM) bool { return vm == configurer.self.VM })
 	if len(others) == 0 {
 		return "", false
@@ -106,58 +111,58 @@
 	return others[configurer.random.IntN(len(others))], true
 }
 
-// compare tells a peer at random what is in force here; the one that is behind
-// then fetches. Holders of the watches do so across data centres as well, the
-// others now and then.
-func (configurer *configurer) compare() {
+// compareWithPeers sends the version in force to a random peer; whichever of
+// the two is behind then fetches it. Members that watch the platform also
+// compare across data centres on each tick, the others now and then.
+func (configurer *configurer) compareWithPeers() {
 	view := configurer.members()
-	if peer, ok := configurer.any(view.line); ok {
+	if peer, ok := configurer.randomPeer(view.order); ok {
 		configurer.ask(peer, nil, 0)
 	}
-	if view.rank >= configurationHolders && configurer.random.IntN(crossCompare) > 0 {
+	if view.rank >= platformWatchers && configurer.random.IntN(remoteCompareTicks) > 0 {
 		return
 	}
-	if peer, ok := configurer.any(slices.Concat(view.elsewhere...)); ok {
+	if peer, ok := configurer.randomPeer(slices.Concat(view.remote...)); ok {
 		configurer.ask(peer, nil, 0)
 	}
 }
 
-// receive takes in what a peer says of its configuration.
-func (configurer *configurer) receive(event MessageReceived) {
+// handleMessage handles what a peer reports about its configuration.
+func (configurer *configurer) handleMessage(event MessageReceived) {
 	if event.From.VM == configurer.self.VM {
 		return
 	}
-	configurer.heard = configurer.now
+	configurer.lastHeard = configurer.now
 	switch message := event.Message.(type) {
 	case *messenger.Heartbeat:
-		configurer.learn(event.From.VM, message.Configuration, "")
+		configurer.learnVersion(event.From.VM, message.Configuration, "")
 	case *messenger.HeartbeatAnswer:
-		configurer.learn(event.From.VM, message.Configuration, "")
+		configurer.learnVersion(event.From.VM, message.Configuration, "")
 	case *messenger.ConfigurationAnnounce:
-		configurer.learn(event.From.VM, message.Version, message.Digest)
+		configurer.learnVersion(event.From.VM, message.Version, message.Digest)
 	case *messenger.ConfigurationAsk:
-		configurer.learn(event.From.VM, message.Version, message.Digest)
+		configurer.learnVersion(event.From.VM, message.Version, message.Digest)
 		if message.Version < configurer.head.Version {
 			configurer.send(event.From.VM, configurer.answer(message))
 		}
 	case *messenger.ConfigurationAnswer:
-		configurer.answered(event.From.VM, message)
+		configurer.handleAnswer(event.From.VM, message)
 	}
 }
 
-// remember keeps the lists of the latest versions in force.
-func (configurer *configurer) remember(listing listing) {
-	configurer.earlier = append(configurer.earlier, listing)
-	if surplus := len(configurer.earlier) - rememberedListings; surplus > 0 {
-		configurer.earlier = slices.Clone(configurer.earlier[surplus:])
+// rememberListing keeps the section lists of the latest versions in force.
+func (configurer *configurer) rememberListing(listing listing) {
+	configurer.listings = append(configurer.listings, listing)
+	if surplus := len(configurer.listings) - maxListings; surplus > 0 {
+		configurer.listings = slices.Clone(configurer.listings[surplus:])
 	}
 }
 
-// answer tells an asker how the list of sections differs from its own, and adds
-// as many of the sections it wants as fit.
+// answer returns the difference between the asker's list of sections and the
+// one in force, with as many of the wanted sections as fit.
 func (configurer *configurer) answer(ask *messenger.ConfigurationAsk) *messenger.ConfigurationAnswer {
 	answer := &messenger.ConfigurationAnswer{Version: configurer.head.Version, Digest: configurer.digest, Changed: configurer.head.Sections}
-	for _, listing := range configurer.earlier {
+	for _, listing := range configurer.listings {
 		if listing.digest == ask.Digest {
 			answer.Base = listing.digest
 			answer.Changed, answer.Removed = sectioner.Difference(listing.sums, configurer.head.Sections)
--- a/decider/status.go
+++ b/decider/status.go
@@ -7,7 +7,7 @@
 	"limpetcleat/quarantiner"
 )
 
-// Status is what a node knows of itself, for operators.
+// Status is the state of a node, for operators.
 type Status struct {
 	VM            definer.VM          `json:"vm"`
 	Incarnation   definer.Incarnation `json:"incarnation"`
@@ -22,7 +22,7 @@
 // memberDraining is the state of a live member that takes no new requests.
 const memberDraining = "draining"
 
-// MemberStatus is what a node believes of one member.
+// MemberStatus is the state of one member as the node sees it.
 type MemberStatus struct {
 	VM         definer.VM         `json:"vm"`
 	DataCentre definer.DataCentre `json:"dataCentre"`
@@ -38,22 +38,23 @@
 	Running int              `json:"running"`
 }
 
-// describer is a part that has something to tell operators.
+// describer is a component that adds to the status.
 type describer interface {
 	describe(status *Status)
 }
 
-// Suspicions returns what is known of requests under which upstreams ended.
+// Suspicions returns the requests that upstreams ended with, as this node knows
+// them.
 func (decider *Decider) Suspicions(now time.Time) []quarantiner.Suspicion {
-	for _, part := range decider.parts {
-		if requester, ok := part.(*requester); ok {
+	for _, component := range decider.components {
+		if requester, ok := component.(*requester); ok {
 			return requester.suspicions.quarantiner.List(now)
 		}
 	}
 	return nil
 }
 
-// Status returns what the node knows of itself now.
+// Status returns the present state of the node.
 func (decider *Decider) Status() Status {
 	core := decider.core
 	status := Status{
@@ -61,13 +62,13 @@
 		Incarnation:  core.self.Incarnation,
 		DataCentre:   core.dataCentre,
 		Draining:     core.draining,
-		OpenRequests: core.open,
+		OpenRequests: core.openRequests,
 	}
 	if core.configuration != nil {
 		status.Configuration = core.configuration.Version()
 	}
-	for _, part := range decider.parts {
-		if describer, ok := part.(describer); ok {
+	for _, component := range decider.components {
+		if describer, ok := component.(describer); ok {
 			describer.describe(&status)
 		}
 	}
--- a/decider/suspicions.go
+++ b/decider/suspicions.go
@@ -9,22 +9,24 @@
 )
 
 const (
-	suspicionPart = "suspicion"
-	// suspicionGather is how long facts are gathered before they are told: the requests of an
-	// upstream that ends break off within milliseconds.
-	suspicionGather = 100 * time.Millisecond
-	// suspicionRefresh is the time between two looks while nothing is to be told.
-	suspicionRefresh = time.Second
+	suspicionComponent = "suspicion"
+	// noticeBatchDelay is how long facts are collected before they are sent:
+	// when an upstream ends, its requests break off within milliseconds.
+	noticeBatchDelay = 100 * time.Millisecond
+	// noticeCheckInterval is the time between two checks for new facts while
+	// none is to be sent.
+	noticeCheckInterval = time.Second
 )
 
-// suspicions are the requests that make upstreams end, as this node knows and tells them. In
-// each data centre one member, the relay, takes in what the others there have found, tells
-// the relays elsewhere and all its members. It is the requester's.
+// suspicions tracks the requests that make upstreams end and shares them with
+// other members. In each data centre one member, the relay, collects what the
+// others there have found, and sends it to the relays of the other data centres
+// and to all its members. The requester owns it.
 type suspicions struct {
 	*core
 	quarantiner *quarantiner.Quarantiner
-	// due is when the timer comes due; zero while it is not set.
-	due time.Time
+	// timerDue is when the timer is due; zero while it is not set.
+	timerDue time.Time
 }
 
 func newSuspicions(core *core) *suspicions {
@@ -41,71 +43,74 @@
 	return suspicions
 }
 
-// ended takes in how an attempt ended.
-func (suspicions *suspicions) ended(request *request, event AttemptEnded) {
+// handleAttemptEnd records how an attempt ended.
+func (suspicions *suspicions) handleAttemptEnd(request *request, event AttemptEnded) {
 	switch {
 	case event.UpstreamEnded && request.upstream != nil && !request.upstream.Leaving():
 		suspicions.quarantiner.Fell(suspicions.now, definer.UpstreamStart{Upstream: request.upstream.Name()}, request.identity)
 	case event.Result == Complete:
 		suspicions.quarantiner.Served(suspicions.now, request.identity)
 	}
-	suspicions.armToTell()
+	suspicions.armNextTimer()
 }
 
-// mayTryAgain tells whether a request may be tried again behind an attempt that failed.
-func (suspicions *suspicions) mayTryAgain(request *request, event AttemptEnded) bool {
+// mayRetry reports whether a request may be sent again after a failed attempt.
+func (suspicions *suspicions) mayRetry(request *request, event AttemptEnded) bool {
 	return !event.UpstreamEnded || suspicions.quarantiner.MayRepeat(request.identity)
 }
 
-// lift lets a request be tried again.
+// lift allows a request to be sent again that was held off.
 func (suspicions *suspicions) lift(identity definer.RequestIdentity) {
 	suspicions.quarantiner.Lift(suspicions.now, identity)
-	suspicions.armToTell()
+	suspicions.armNextTimer()
 }
 
-// learn takes in what a member told.
+// learn records what a member reported.
 func (suspicions *suspicions) learn(from definer.Member, notice *messenger.FallNotice) {
 	suspicions.quarantiner.Learn(suspicions.now, from.VM, notice.Scope, notice.Falls)
-	suspicions.armToTell()
+	suspicions.armNextTimer()
 }
 
-// arm sets the timer, if there is anything to look after and it would come due later.
-func (suspicions *suspicions) arm(wait time.Duration) {
+// armTimer sets the timer if there are suspicions and it is not already due
+// sooner.
+func (suspicions *suspicions) armTimer(wait time.Duration) {
 	due := suspicions.now.Add(wait)
-	sooner := suspicions.due.IsZero() || due.Before(suspicions.due)
+	sooner := suspicions.timerDue.IsZero() || due.Before(suspicions.timerDue)
 	if !sooner || suspicions.quarantiner.Count() == 0 {
 		return
 	}
-	suspicions.due = due
-	suspicions.after(suspicionPart, "", wait)
+	suspicions.timerDue = due
+	suspicions.setTimer(suspicionComponent, "", wait)
 }
 
-// armToTell sets the timer for what is still to be told, or for the next look.
-func (suspicions *suspicions) armToTell() {
+// armNextTimer sets the timer for facts still to be sent, or else for the next
+// check.
+func (suspicions *suspicions) armNextTimer() {
 	if suspicions.quarantiner.IsTelling() {
-		suspicions.arm(suspicionGather)
+		suspicions.armTimer(noticeBatchDelay)
 		return
 	}
-	suspicions.arm(suspicionRefresh)
+	suspicions.armTimer(noticeCheckInterval)
 }
 
-// fired tells what is to be told.
-func (suspicions *suspicions) fired() {
-	suspicions.due = time.Time{}
+// handleTimer sends the collected facts.
+func (suspicions *suspicions) handleTimer() {
+	suspicions.timerDue = time.Time{}
 	relay, _ := suspicions.relay(suspicions.dataCentre)
-	up := suspicions.tell(messenger.MemberLoad)
-	over := suspicions.tell(messenger.GroupLoad)
-	down := suspicions.tell(messenger.FleetLoad)
+	up := suspicions.newNotice(messenger.MemberLoad)
+	over := suspicions.newNotice(messenger.GroupLoad)
+	down := suspicions.newNotice(messenger.FleetLoad)
 	if relay != suspicions.self.VM {
 		suspicions.sendTo(relay, up)
 	} else {
-		suspicions.relayOn(over, down)
+		suspicions.sendAsRelay(over, down)
 	}
-	suspicions.armToTell()
+	suspicions.armNextTimer()
 }
 
-// relayOn tells the relays of the other data centres, and the members of this one.
-func (suspicions *suspicions) relayOn(over, down *messenger.FallNotice) {
+// sendAsRelay sends facts to the relays of the other data centres and to the
+// members of this one.
+func (suspicions *suspicions) sendAsRelay(over, down *messenger.FallNotice) {
 	for _, dataCentre := range suspicions.roster.dataCentres() {
 		if relay, ok := suspicions.relay(dataCentre); ok && dataCentre != suspicions.dataCentre {
 			suspicions.sendTo(relay, over)
@@ -118,8 +123,9 @@
 	}
 }
 
-// tell returns what members of the scope are told, or nil for nothing.
-func (suspicions *suspicions) tell(scope messenger.LoadScope) *messenger.FallNotice {
+// newNotice returns the notice to members of the scope, or nil if there is
+// nothing to send.
+func (suspicions *suspicions) newNotice(scope messenger.LoadScope) *messenger.FallNotice {
 	falls := suspicions.quarantiner.Tell(suspicions.now, scope)
 	if len(falls) == 0 {
 		return nil
@@ -135,12 +141,12 @@
 
 // relay returns the relay of a data centre, as this node sees its members.
 func (suspicions *suspicions) relay(dataCentre definer.DataCentre) (definer.VM, bool) {
-	return suspicions.roster.owner(messenger.Shard{DataCentre: dataCentre, Pool: suspicionPart})
+	return suspicions.roster.owner(messenger.Shard{DataCentre: dataCentre, Pool: suspicionComponent})
 }
 
-// isHeldOff refuses a request that is held off, or has it wait while that is not settled, and
-// tells whether it did.
-func (requester *requester) isHeldOff(request *request) bool {
+// holdOff refuses a request that is held off, or makes it wait while that is
+// not decided, and reports whether it did either.
+func (requester *requester) holdOff(request *request) bool {
 	verdict := requester.suspicions.quarantiner.Check(requester.now, request.identity)
 	switch {
 	case verdict.Left == 0:
@@ -150,6 +156,6 @@
 		return true
 	}
 	request.state = settling
-	requester.askAgain(request, verdict.Wait)
+	requester.setAskTimer(request, verdict.Wait)
 	return true
 }
--- a/decider/suspicions_test.go
+++ b/decider/suspicions_test.go
@@ -25,10 +25,10 @@
 )
 
 // askEnding lets the request come to a VM under another id, and returns what became of it.
-func (cluster *cluster) askEnding(vm definer.VM, number int) string {
+func (cluster *cluster) sendEndingRequest(vm definer.VM, number int) string {
 	id := definer.RequestID(fmt.Sprintf("ending-%03d", number))
-	cluster.ending[id] = true
-	cluster.tell(cluster.nodes[vm], RequestArrived{
+	cluster.endsUpstream[id] = true
+	cluster.handle(cluster.nodes[vm], RequestArrived{
 		Request: id, Organisation: "o", Identity: endingIdentity,
 		Properties: matcher.Properties{Model: "m", Path: "/rest", PromptTokens: 100, MaxTokens: tokens},
 	})
@@ -43,15 +43,15 @@
 	for _, loss := range []float64{0, 0.05} {
 		t.Run(fmt.Sprint(loss), func(t *testing.T) {
 			cluster := newCluster(t, 1, 3, 3)
-			cluster.ending = make(map[definer.RequestID]bool)
+			cluster.endsUpstream = make(map[definer.RequestID]bool)
 			cluster.run(5 * time.Second)
 			cluster.loss = loss
 			for number := range 18 {
 				vm := cluster.listed[(4*number)%len(cluster.listed)].Name
-				how := cluster.askEnding(definer.VM(vm), number)
+				how := cluster.sendEndingRequest(definer.VM(vm), number)
 				assert.Assert(t, number < 2*endingsAllowed || how == string(messenger.HeldOff), "%d at %s: %s", number, vm, how)
 			}
-			assert.Assert(t, cluster.endings >= endingsAllowed && cluster.endings <= endingsAllowed+int(20*loss), "%d upstreams ended", cluster.endings)
+			assert.Assert(t, cluster.endedUpstreams >= endingsAllowed && cluster.endedUpstreams <= endingsAllowed+int(20*loss), "%d upstreams ended", cluster.endedUpstreams)
 
 			cluster.loss = 0
 			relay := cluster.relay("dc1")
@@ -63,7 +63,7 @@
 				}
 			}
 			cluster.run(toldWithin)
-			assert.Equal(t, cluster.askEnding(relay, 100), string(messenger.HeldOff))
+			assert.Equal(t, cluster.sendEndingRequest(relay, 100), string(messenger.HeldOff))
 		})
 	}
 }
@@ -71,6 +71,6 @@
 // relay returns the relay of a data centre, as its members see it.
 func (cluster *cluster) relay(dataCentre definer.DataCentre) definer.VM {
 	seenBy := cluster.others(dataCentre, "")[0]
-	vm, _ := cluster.nodes[seenBy].decider.core.roster.owner(messenger.Shard{DataCentre: dataCentre, Pool: suspicionPart})
+	vm, _ := cluster.nodes[seenBy].decider.core.roster.owner(messenger.Shard{DataCentre: dataCentre, Pool: suspicionComponent})
 	return vm
 }
