--- a/decider/capacity_test.go
+++ b/decider/capacity_test.go
@@ -16,7 +16,7 @@
 	"limpetcleat/standin/measurer"
 )
 
-// wire counts what every node sends and gets.
+// wire counts the bytes and messages that each node sends and receives.
 type wire struct {
 	*measurer.Wire
 	b *testing.B
@@ -26,7 +26,7 @@
 	assert.NilError(wire.b, wire.Count(from, to, "d0", message))
 }
 
-// over runs the fleet and reports what a node sent and got a second.
+// measure runs the fleet and reports what a node sent and received per second.
 func (wire *wire) measure(fleet *fleet, name string, length time.Duration) {
 	wire.Reset()
 	fleet.Run(length)
@@ -71,8 +71,9 @@
 	}
 }
 
-// BenchmarkApply measures the checks and the applying of one change at the full
-// size, the memory that an applied configuration takes, and its sections.
+// BenchmarkApply measures the time to check and apply one change at full size,
+// the memory that an applied configuration takes, and the sizes of its
+// sections.
 func BenchmarkApply(b *testing.B) {
 	document := largeDocument()
 	node := decider.New(definer.Member{VM: "v001", Incarnation: 1}, "d0", "v001")
@@ -112,8 +113,8 @@
 	runtime.KeepAlive(first)
 }
 
-// BenchmarkColdStart counts the nodes that hold the platform's watch while a
-// data centre of 24 restarts at once; each of them reads the configuration.
+// BenchmarkColdStart counts the nodes that watch the platform while a data
+// centre of 24 restarts at once; each of them reads the configuration.
 func BenchmarkColdStart(b *testing.B) {
 	for b.Loop() {
 		fleet := newFleet(b, 1, 2, 24)
--- a/decider/claims_property_test.go
+++ b/decider/claims_property_test.go
@@ -14,15 +14,16 @@
 	"limpetcleat/definer"
 )
 
-// The states of a key in the sequential model besides the answer of its run.
+// The states of a key in the sequential model. Any other state is the answer of
+// the key's one run.
 const (
 	unrun = ""
-	// lostRun says that it ran and that nobody has its answer yet.
+	// lostRun means that the key ran and that no caller has its answer yet.
 	lostRun = "?"
 )
 
-// keyModel is a key as callers may see it: it runs at most once, and every
-// answer is that run's.
+// keyModel is the sequential model of a key as its callers see it: it runs at
+// most once, and every answer is the answer of that run.
 func keyModel() porcupine.Model {
 	step := func(state, _, output any) []any {
 		end := output.(end)
@@ -53,8 +54,8 @@
 	return nil
 }
 
-// scenario drives three nodes through random steps and faults and returns what
-// was found wrong.
+// runScenario drives three nodes through random steps and faults. It returns a
+// description of the first violation, or an empty string.
 func runScenario(t *testing.T, steps []int, seed uint64, credulous bool) string {
 	world := newWorld(t, seed, "a", "b", "c")
 	world.lossRate, world.treatsLostAsDone = 0.05, credulous
@@ -91,7 +92,8 @@
 	return world.verify(sent)
 }
 
-// unreliable loses a share of the platform's answers, with effect and without.
+// unreliable loses a share of the platform's answers, with and without effect
+// of the call.
 func (world *world) unreliable(definer.VM, CallPlatform) callFate {
 	fate := callFate{effect: true, delay: time.Duration(2+world.random.IntN(20)) * time.Millisecond}
 	switch world.random.IntN(10) {
@@ -103,7 +105,7 @@
 	return fate
 }
 
-// judge compares what callers were told with the service's own count.
+// verify checks the answers to callers against the service's own count of runs.
 func (world *world) verify(sent map[definer.RequestID]time.Time) string {
 	for key, runs := range world.runs {
 		if runs > 1 {
@@ -111,12 +113,12 @@
 		}
 	}
 	if len(world.falseNotRuns) > 0 {
-		return fmt.Sprintf("%s were told notRun", world.falseNotRuns)
+		return fmt.Sprintf("%s were answered notRun after their key had run", world.falseNotRuns)
 	}
 	histories := make(map[string][]porcupine.Operation)
 	for request, at := range sent {
-		told, ok := world.ends[request]
-		operation := porcupine.Operation{Input: request, Call: at.UnixNano(), Output: told, Return: told.at.UnixNano()}
+		answered, ok := world.ends[request]
+		operation := porcupine.Operation{Input: request, Call: at.UnixNano(), Output: answered, Return: answered.at.UnixNano()}
 		if !ok {
 			operation.Return = math.MaxInt64
 		}
@@ -125,7 +127,7 @@
 	}
 	for key, history := range histories {
 		if porcupine.CheckOperationsTimeout(keyModel(), history, 10*time.Second) != porcupine.Ok {
-			return "no order explains what the callers of " + key + " were told"
+			return "no sequential order explains the answers to the callers of " + key
 		}
 	}
 	return ""
@@ -136,23 +138,24 @@
 	rapid.Check(t, func(check *rapid.T) {
 		steps := rapid.SliceOfN(rapid.IntRange(0, 99), 5, 60).Draw(check, "steps")
 		seed := rapid.Uint64().Draw(check, "seed")
-		if wrong := runScenario(t, steps, seed, false); wrong != "" {
-			check.Fatal(wrong)
+		if violation := runScenario(t, steps, seed, false); violation != "" {
+			check.Fatal(violation)
 		}
 	})
 }
 
-// TestCredulousShellIsCaught shows that the check above can fail: a shell that
-// takes a lost write for a done one lets a key run twice.
+// TestCredulousShellIsCaught shows that the check of
+// TestKeyedCallsUnderRandomFaults can fail: a shell that reports a lost write
+// as done lets a key run twice.
 func TestCredulousShellIsCaught(t *testing.T) {
 	t.Parallel()
 	caught := 0
-	// Seed 311 had a step given up while its write was under way.
-	found := append(make([]uint64, 0, 31), 311)
+	// With seed 311 a step was given up while its write was still under way.
+	seeds := append(make([]uint64, 0, 31), 311)
 	for seed := range uint64(30) {
-		found = append(found, seed)
+		seeds = append(seeds, seed)
 	}
-	for _, seed := range found {
+	for _, seed := range seeds {
 		random := rand.New(rand.NewPCG(seed, 3))
 		steps := make([]int, 60)
 		for index := range steps {
@@ -163,6 +166,6 @@
 			caught++
 		}
 	}
-	t.Logf("%d of %d runs with the fault were caught", caught, len(found))
+	t.Logf("%d of %d runs with the fault were caught", caught, len(seeds))
 	assert.Check(t, caught > 0)
 }
--- a/decider/claims_test.go
+++ b/decider/claims_test.go
@@ -12,7 +12,8 @@
 	"limpetcleat/definer"
 )
 
-// told puts what a caller was told in one word.
+// resultOf returns what a caller was answered: "nothing", "answer", "replay",
+// or the reason and outcome of a refusal.
 func (world *world) resultOf(request definer.RequestID) string {
 	end, ok := world.ends[request]
 	switch {
@@ -107,7 +108,7 @@
 			w.send("a", "r1", key)
 			w.Run(5 * time.Second)
 			w.platform.away = false
-			// The caller comes again when it was told to.
+			// The caller retries after the time in RetryAfter.
 			w.Run(w.ends["r1"].refusal.RetryAfter)
 			w.send("b", "r2", key)
 			w.Run(5 * time.Second)
@@ -168,7 +169,7 @@
 
 func (world *world) requester(vm definer.VM) *requester { return componentOf[*requester](world, vm) }
 
-// partOf returns one component of a node.
+// componentOf returns one component of a node.
 func componentOf[Component component](world *world, vm definer.VM) Component {
 	var none Component
 	for _, component := range world.nodes[vm].decider.components {
@@ -195,8 +196,9 @@
 	}
 }
 
-// TestHolderFaultAtEachStep ends, freezes or cuts the holder from the platform
-// at each millisecond of a call, and repeats the call elsewhere.
+// TestHolderFaultAtEachStep ends or freezes the node that holds a claim, or
+// cuts it off from the platform, at each millisecond of a call, and repeats the
+// call on another node: the key runs at most once.
 func TestHolderFaultAtEachStep(t *testing.T) {
 	t.Parallel()
 	const key = "org/k1/b"
@@ -230,8 +232,8 @@
 				world.Run(3 * time.Second)
 				assert.Check(t, world.runs[key] <= 1, "%d runs", world.runs[key])
 				assert.Check(t, len(world.falseNotRuns) == 0, "%s", world.falseNotRuns)
-				told := world.resultOf("repeat4")
-				assert.Check(t, told == "replay" || told == "answer" || told == "keyUnknown unknown", "%s", told)
+				result := world.resultOf("repeat4")
+				assert.Check(t, result == "replay" || result == "answer" || result == "keyUnknown unknown", "%s", result)
 			})
 		}
 	}
@@ -246,7 +248,7 @@
 		request definer.RequestID
 		vm      definer.VM
 		key     string
-		told    string
+		result  string
 	}{
 		{"here", "a", key, "answer"},
 		{"again", "a", key, "replay"},
@@ -261,7 +263,7 @@
 	for _, step := range steps {
 		world.send(step.vm, step.request, step.key)
 		world.Run(3 * time.Second)
-		assert.Equal(t, world.resultOf(step.request), step.told, string(step.request))
+		assert.Equal(t, world.resultOf(step.request), step.result, string(step.request))
 	}
 	assert.Equal(t, world.runs[key], 1)
 	assert.Equal(t, world.ends["elsewhere"].answer, world.ends["here"].answer)
@@ -282,7 +284,8 @@
 	assert.Equal(t, world.resultOf("offered"), "answer")
 }
 
-// TestClaimEndsAtTheDeadline has a deadline nearer than the bound on a claim.
+// TestClaimEndsAtTheDeadline checks that a claim ends at the request's deadline
+// if that comes before the claim's timeout.
 func TestClaimEndsAtTheDeadline(t *testing.T) {
 	world := newWorld(t, 1, "a", "b")
 	world.platform.away = true
@@ -295,8 +298,8 @@
 	assert.Check(t, world.ends["r1"].at.Sub(started) <= event.Deadline)
 }
 
-// TestKnownOutageRefusesAtOnce has a first call find the platform away; those
-// after it are told at once until one gets through.
+// TestKnownOutageRefusesAtOnce checks that calls are refused at once after a
+// first call found the platform unavailable, until one succeeds.
 func TestKnownOutageRefusesAtOnce(t *testing.T) {
 	world := newWorld(t, 1, "a", "b")
 	world.platform.away = true
@@ -320,7 +323,8 @@
 	assert.Equal(t, world.runs["org/k1/b"], 1)
 }
 
-// TestDrainStoresEnds has a node stop while an end waits to be stored.
+// TestDrainStoresEnds stops a node while the end of a claimed request is still
+// to be stored: the node stores it before it stops.
 func TestDrainStoresEnds(t *testing.T) {
 	world := newWorld(t, 1, "a", "b")
 	world.send("a", "r1", "org/k/b")
@@ -333,7 +337,8 @@
 	assert.Equal(t, world.resultOf("r2"), "replay")
 }
 
-// TestClaimWritesAreBounded drives many keys and counts the platform's calls.
+// TestClaimWritesAreBounded claims many keys and checks that the calls to the
+// platform are batched and that old claims are removed.
 func TestClaimWritesAreBounded(t *testing.T) {
 	t.Parallel()
 	world := newWorld(t, 1, "a", "b", "c")
@@ -349,10 +354,10 @@
 	}
 	writes := world.platform.calls[UpdateObject] + world.platform.calls[CreateObject]
 	t.Logf("%d keyed requests in 30 s: %d writes, %d reads, largest %d bytes", requests, writes, world.platform.calls[ReadObject], world.platform.largest)
-	// One writer a bucket, five writes a second and a burst of four.
+	// Each bucket has one writer with five writes a second and a burst of four.
 	assert.Check(t, writes <= 40*5*claimer.Buckets+4*claimer.Buckets, "%d writes", writes)
 	assert.Check(t, world.platform.largest < 1<<20)
-	// A day later the claims are forgotten, and so are their objects.
+	// An hour later the claims have expired, and their objects are removed.
 	world.Run(time.Hour)
 	for index := range 400 {
 		world.send("a", definer.RequestID(fmt.Sprintf("late%d", index)), fmt.Sprintf("org/late%d/b", index))
--- a/decider/claims_world_test.go
+++ b/decider/claims_world_test.go
@@ -16,27 +16,31 @@
 	"limpetcleat/standin/clock"
 )
 
-// world is two or more nodes, a platform and a service under one stepped clock.
+// world runs two or more nodes, a platform and a service under one simulated
+// clock.
 type world struct {
 	*clock.Clock
 	random   *rand.Rand
 	nodes    map[definer.VM]*node
 	vms      []definer.VM
 	platform platform
-	// runs counts runs by key, as the service itself saw them.
+	// runs counts the runs of each key, as the service saw them.
 	runs map[string]int
-	// ends holds what each request's caller was told.
+	// ends holds the final answer to each request's caller.
 	ends map[definer.RequestID]end
 	keys map[definer.RequestID]string
-	// fate tells how an attempt goes; nil is always well.
+	// fate decides the result of an attempt; with nil all succeed.
 	fate func(StartAttempt) attemptFate
-	// onCall tells how a platform call goes; nil is always well.
+	// onCall decides the result of a call to the platform; with nil all
+	// succeed.
 	onCall func(definer.VM, CallPlatform) callFate
-	// lossy drops this share of messages between nodes.
+	// lossRate is the share of messages between nodes that is dropped.
 	lossRate float64
-	// credulous takes a lost write for a done one: a broken variant.
+	// treatsLostAsDone makes the shell report lost writes as done, which is a
+	// deliberate fault.
 	treatsLostAsDone bool
-	// lies lists requests told that they did not run after their key had.
+	// falseNotRuns lists the requests that were answered notRun although their
+	// key had run.
 	falseNotRuns []definer.RequestID
 	answers      map[definer.RequestID]string
 	issued       map[definer.RequestID]string
@@ -55,20 +59,22 @@
 	largest int
 }
 
-// callFate is what becomes of one call: whether it takes effect, and its answer.
+// callFate is the result of one call to the platform: whether it takes effect,
+// and whether its answer is lost.
 type callFate struct {
 	effect, lost bool
 	delay        time.Duration
 }
 
-// fate is what becomes of one attempt.
+// attemptFate is the result of one attempt.
 type attemptFate struct {
 	runs   bool
 	result AttemptResult
 	delay  time.Duration
 }
 
-// end is what a caller was told; answer is set when it got a whole one.
+// end is the final answer to a caller; answer is set when the caller got a
+// whole one.
 type end struct {
 	at      time.Time
 	answer  string
@@ -87,7 +93,7 @@
 	for _, vm := range vms {
 		world.boot(t, vm, 1)
 	}
-	// The nodes find each other and settle who owns what.
+	// The nodes discover each other and agree on the owners.
 	world.Run(5 * time.Second)
 	return world
 }
@@ -120,7 +126,8 @@
 	world.handle(node, VMsListed{VMs: listed})
 }
 
-// restart ends a process and boots the VM's next; others hear of it.
+// restart ends a process and starts the next one of its VM; the others are
+// told.
 func (world *world) restart(t *testing.T, vm definer.VM) {
 	t.Helper()
 	old := world.nodes[vm].decider.Self()
@@ -134,7 +141,7 @@
 	}
 }
 
-// deliver hands a node an event, or holds it while the node is frozen.
+// handle passes an event to a node, or delays it while the node is frozen.
 func (world *world) handle(node *node, event Event) {
 	if world.nodes[node.decider.Self().VM] != node {
 		return
@@ -189,26 +196,26 @@
 	world.ends[request] = end
 }
 
-// forward hands a call to a peer and its answer back.
+// forward passes a call to a peer, and the peer's answer back to the caller.
 func (world *world) forward(node *node, action ForwardCall) {
 	holder := world.nodes[action.To]
 	inner := action.Request + "-forwarded"
 	world.keys[inner] = world.keys[action.Request]
 	world.handle(holder, arrival(inner, world.keys[action.Request], true))
 	world.After(time.Second, func() {
-		told, ok := world.ends[inner]
+		answered, ok := world.ends[inner]
 		if ok {
-			world.recordEnd(action.Request, told)
-			world.answers[action.Request] = told.answer
+			world.recordEnd(action.Request, answered)
+			world.answers[action.Request] = answered.answer
 		}
 		world.handle(node, CallForwarded{Request: action.Request, Answered: ok})
 		if ok {
-			world.recordEnd(action.Request, told)
+			world.recordEnd(action.Request, answered)
 		}
 	})
 }
 
-// attempt is the dispatcher and the service behind it.
+// attempt stands for the dispatcher and the service behind it.
 func (world *world) attempt(node *node, action StartAttempt) {
 	if world.nodes[node.decider.Self().VM] != node {
 		return
@@ -289,8 +296,8 @@
 	return platform.objects[name]
 }
 
-// arrival is a caller's request. A key of the form organisation/key/body sets
-// all three.
+// arrival returns a caller's request. A key of the form organisation/key/body
+// sets all three.
 func arrival(request definer.RequestID, key string, forwarded bool) RequestArrived {
 	organisation, rest, _ := strings.Cut(key, "/")
 	rest, body, _ := strings.Cut(rest, "/")
@@ -300,7 +307,7 @@
 	}
 }
 
-// send hands a request to a node.
+// send sends a caller's request to a node.
 func (world *world) send(vm definer.VM, request definer.RequestID, key string) {
 	world.keys[request] = key
 	world.handle(world.nodes[vm], arrival(request, key, false))
--- a/decider/cluster_test.go
+++ b/decider/cluster_test.go
@@ -15,14 +15,14 @@
 	"limpetcleat/sectioner"
 )
 
-// testingT is what a test and a drawn case have in common.
+// testingT is the common interface of testing.T and rapid.T.
 type testingT interface {
 	assert.TestingT
 	Helper()
 }
 
-// cluster joins Deciders under a stepped clock. Messages are delayed and may be
-// lost or cut off; nodes may be killed and frozen; upstreams take their time.
+// cluster runs Deciders under a simulated clock. Messages are delayed and may
+// be lost or cut off, nodes may be killed and frozen, and attempts take time.
 type cluster struct {
 	t          testingT
 	now        time.Time
@@ -34,14 +34,15 @@
 	data       []messenger.Section
 	loss       float64
 	cut        func(from, to definer.VM) bool
-	// ending are requests under which each upstream ends, endings counts these ends.
+	// endsUpstream holds the requests that end every upstream that runs them;
+	// endedUpstreams counts these ends.
 	endsUpstream   map[definer.RequestID]bool
 	endedUpstreams int
 	// service is how long an attempt runs.
 	service time.Duration
 	running map[definer.UpstreamName]map[definer.AttemptID]bool
-	// peak is the most attempts that ever ran at once on all upstreams of a
-	// data centre.
+	// peak is the largest number of attempts that ran at once on all upstreams
+	// of a data centre.
 	peak            map[definer.DataCentre]int
 	starts          []start
 	arrived         map[definer.RequestID]time.Time
@@ -70,18 +71,19 @@
 	to    definer.VM
 	run   definer.Member
 	event Event
-	// then happens outside of any node.
+	// then is called at delivery, whether or not the node is running.
 	then func()
 }
 
 const (
 	clusterStep = 5 * time.Millisecond
 	slots       = 2
-	// tokens is the length of every answer.
+	// tokens is the length of every answer in tokens.
 	tokens = 300
 )
 
-// clusterDocument has two engines of two slots in each data centre.
+// clusterDocument returns a configuration with two engines of two slots in each
+// data centre.
 func clusterDocument(dataCentres int) definer.Document {
 	pool := definer.PoolDocument{Name: "models", Kind: "engine"}
 	for d := range dataCentres {
@@ -140,7 +142,7 @@
 	return node
 }
 
-// tell hands an event to a node, or keeps it while the node is frozen.
+// handle passes an event to a node, or keeps it while the node is frozen.
 func (cluster *cluster) handle(node *clusterNode, event Event) {
 	if node.frozen {
 		node.backlog = append(node.backlog, event)
@@ -179,9 +181,9 @@
 	}
 }
 
-// end notes a final answer; a request has exactly one.
+// recordEnd records a final answer; a request has exactly one.
 func (cluster *cluster) recordEnd(request definer.RequestID, how string) {
-	assert.Equal(cluster.t, cluster.ended[request], "", "%s ended twice", request)
+	assert.Equal(cluster.t, cluster.ended[request], "", "%s got two final answers", request)
 	cluster.ended[request] = how
 }
 
@@ -193,7 +195,8 @@
 	cluster.deliveries = append(cluster.deliveries, delivery{at: cluster.now.Add(delay), to: action.To, event: MessageReceived{From: from, DataCentre: dataCentre, Message: action.Message}})
 }
 
-// begin runs an attempt on its upstream, which goes on without the entry VM.
+// startAttempt runs an attempt on its upstream, which continues if the entry VM
+// ends.
 func (cluster *cluster) startAttempt(entry definer.Member, action StartAttempt) {
 	name := action.Upstream.Name()
 	if cluster.running[name] == nil {
@@ -219,7 +222,8 @@
 	}, then: func() { delete(cluster.running[name], action.Attempt) }})
 }
 
-// endUpstream ends an upstream with an attempt on it, some time later.
+// endUpstream ends an upstream while it runs an attempt, a short time after the
+// start.
 func (cluster *cluster) endUpstream(entry definer.Member, action StartAttempt) {
 	cluster.deliveries = append(cluster.deliveries, delivery{at: cluster.now.Add(40 * time.Millisecond), to: entry.VM, run: entry, event: AttemptEnded{
 		Request: action.Request, Attempt: action.Attempt, Result: Cut, UpstreamEnded: true,
@@ -274,7 +278,7 @@
 	}
 	slices.SortFunc(keys, func(a, b TimerKey) int { return cmp.Or(cmp.Compare(a.Component, b.Component), cmp.Compare(a.ID, b.ID)) })
 	for _, key := range keys {
-		// One that fired before may have cleared or moved it.
+		// A timer that fired before may have cleared or moved this one.
 		if at, set := node.timers[key]; !set || at.After(cluster.now) {
 			continue
 		}
@@ -293,20 +297,21 @@
 	}
 }
 
-// request lets a caller come to a VM.
+// request sends a caller's request to a VM.
 func (cluster *cluster) request(vm definer.VM, id, path string) {
 	request := definer.RequestID(id)
 	cluster.arrived[request] = cluster.now
 	cluster.handle(cluster.nodes[vm], RequestArrived{Request: request, Organisation: "o", Properties: matcher.Properties{Model: "m", Path: path, PromptTokens: 100, MaxTokens: tokens}})
 }
 
-// owner returns who owns the pool's shard in a data centre as a node sees it.
+// owner returns the owner of the pool's shard in a data centre, as one node
+// sees it.
 func (cluster *cluster) owner(seenBy definer.VM, dataCentre definer.DataCentre) definer.VM {
 	vm, _ := cluster.nodes[seenBy].decider.core.roster.owner(messenger.Shard{DataCentre: dataCentre, Pool: "models"})
 	return vm
 }
 
-// others returns the VMs of a data centre but one.
+// others returns the VMs of a data centre except one.
 func (cluster *cluster) others(dataCentre definer.DataCentre, but definer.VM) []definer.VM {
 	var vms []definer.VM
 	for _, vm := range sortedKeys(cluster.nodes) {
@@ -317,7 +322,7 @@
 	return vms
 }
 
-// ownerPartOf returns the owner part of a node, to look at or to break it.
+// ownerOf returns the owner component of a node.
 func (cluster *cluster) ownerOf(vm definer.VM) *owner {
 	for _, component := range cluster.nodes[vm].decider.components {
 		if owner, ok := component.(*owner); ok {
@@ -327,7 +332,7 @@
 	return nil
 }
 
-// load lets requests come to the VMs in turn.
+// sendRequests sends requests to the VMs in turn.
 func (cluster *cluster) sendRequests(prefix, path string, vms []definer.VM, count int, every time.Duration) []definer.RequestID {
 	var ids []definer.RequestID
 	for index := range count {
@@ -339,7 +344,8 @@
 	return ids
 }
 
-// finish runs until all requests ended and checks that each was finished.
+// checkFinished runs for the given time and checks that each request was
+// finished.
 func (cluster *cluster) checkFinished(ids []definer.RequestID, within time.Duration) {
 	cluster.t.Helper()
 	cluster.run(within)
@@ -348,8 +354,8 @@
 	}
 }
 
-// orderedAfter checks that requests which started after an instant did so in
-// the order in which they came.
+// checkOrderedAfter checks that the requests that started after an instant
+// started in the order of their arrival.
 func (cluster *cluster) checkOrderedAfter(at time.Time) {
 	cluster.t.Helper()
 	var last start
@@ -358,7 +364,7 @@
 			continue
 		}
 		if last.request != "" {
-			assert.Assert(cluster.t, !cluster.arrived[start.request].Before(cluster.arrived[last.request]) || start.at.Equal(last.at), "%s came before %s and started after", start.request, last.request)
+			assert.Assert(cluster.t, !cluster.arrived[start.request].Before(cluster.arrived[last.request]) || start.at.Equal(last.at), "%s arrived before %s and started after it", start.request, last.request)
 		}
 		last = start
 	}
--- a/decider/configurer.go
+++ b/decider/configurer.go
@@ -192,7 +192,7 @@
 	}
 }
 
-// checkDivergence logs an error when the version in force has another content
+// checkDivergence logs an event when the version in force has another content
 // elsewhere. This happens after the platform was rolled back and assigned
 // version numbers a second time.
 func (configurer *configurer) checkDivergence(version uint64, digest string) {
--- a/decider/configurer_bench_test.go
+++ b/decider/configurer_bench_test.go
@@ -15,8 +15,8 @@
 	"limpetcleat/messenger"
 )
 
-// BenchmarkWholeFleet measures how long a change takes to be in force on all of
-// 390 nodes in 5 data centres, by the stepped clock.
+// BenchmarkWholeFleet measures, in simulated time, how long a change takes to
+// be in force on all of 390 nodes in 5 data centres.
 func BenchmarkWholeFleet(b *testing.B) {
 	fleet := newFleet(b, 1, 5, 78)
 	fleet.bootAll()
@@ -35,8 +35,8 @@
 	b.ReportMetric(float64(times[len(times)-1].Milliseconds()), "ms-most")
 }
 
-// largeDocument has the size of today's whole: 1,900 organisations, 21 models
-// and 2,800 upstreams, and 50 rules.
+// largeDocument returns a configuration of the full size: 1,900 organisations,
+// 21 models, 2,800 upstreams and 50 rules.
 func largeDocument() definer.Document {
 	document := definer.Document{Limits: definer.LimitsDocument{RetryShare: 0.1, ClaimKeepMs: 600_000}}
 	for index := range 5 {
@@ -66,7 +66,7 @@
 	return document
 }
 
-// meter counts the bytes of messages as they cross a connection that is in use.
+// meter counts the bytes of messages as encoded on an established connection.
 type meter struct {
 	buffer  bytes.Buffer
 	encoder *gob.Encoder
@@ -75,7 +75,7 @@
 func newMeter(b *testing.B) *meter {
 	meter := &meter{}
 	meter.encoder = gob.NewEncoder(&meter.buffer)
-	// The first message carries the descriptions of all types.
+	// The first message also carries the descriptions of all types.
 	meter.bytes(b, &messenger.ConfigurationAnswer{})
 	return meter
 }
@@ -87,8 +87,8 @@
 	return meter.buffer.Len()
 }
 
-// BenchmarkBytesPerChange measures the encoded size of all configuration
-// messages that one change of each kind causes, by node.
+// BenchmarkBytesPerChange measures the encoded size, per node, of all
+// configuration messages that one change of each kind causes.
 func BenchmarkBytesPerChange(b *testing.B) {
 	changes := map[string]func(*definer.Document, int){
 		"rule": func(document *definer.Document, number int) { document.Rules[7].Then.DeadlineMs = number },
--- a/decider/configurer_test.go
+++ b/decider/configurer_test.go
@@ -127,7 +127,8 @@
 		fleet.waitApplied(inForceWithin, 1)
 		fleet.store(2, document, false)
 		fleet.Run(30 * time.Second)
-		// One line from each of the holders, not one at each poll.
+		// Each node that watches the platform logs the version once, not at
+		// each poll.
 		assert.Equal(t, fleet.logged[decider.EventConfigurationRejected], 4)
 		fleet.store(3, smallDocument(3), true)
 		fleet.waitApplied(inForceWithin, 3)
@@ -150,9 +151,9 @@
 	fleet.waitApplied(inForceWithin, 10)
 }
 
-// TestRandomFaults puts versions, good and bad, while nodes restart, messages
-// are lost and links and the platform come and go. That versions only grow and
-// that none is unchecked is asserted with each step.
+// TestRandomFaults stores valid and invalid versions while nodes restart,
+// messages are lost, and links and the platform fail and recover. Each step
+// asserts that versions only grow and that no invalid one is applied.
 func TestRandomFaults(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(40) {
@@ -195,7 +196,8 @@
 	}
 }
 
-// TestLargeSectionsComeInPieces has a section far larger than one answer.
+// TestLargeSectionsComeInPieces checks that a section far larger than one
+// answer is sent in pieces.
 func TestLargeSectionsComeInPieces(t *testing.T) {
 	t.Parallel()
 	document := smallDocument(1)
--- a/decider/core.go
+++ b/decider/core.go
@@ -87,7 +87,7 @@
 // drainBegan reports that a planned stop has begun.
 type drainBegan struct{}
 
-// drainEnded reports that the stopping node has no open request left.
+// drainEnded reports that the stopping node has no open request or claim left.
 type drainEnded struct{}
 
 func (drainBegan) isEvent()           {}
--- a/decider/deadline_test.go
+++ b/decider/deadline_test.go
@@ -13,10 +13,11 @@
 	"limpetcleat/sectioner"
 )
 
-// TestDeadlineWithoutOwner asks owners that never answer: the request must end
-// at its deadline, as not run, and not at its class's longest wait.
+// TestDeadlineWithoutOwner checks that a request whose owners never answer is
+// refused at its deadline, as not run, and not only at its class's longest
+// wait.
 func TestDeadlineWithoutOwner(t *testing.T) {
-	// The owners are not yet taken for dead when the deadline comes.
+	// The deadline comes before the owners are declared dead.
 	const deadline, slack = time.Second, 500 * time.Millisecond
 	document := claimDocument()
 	document.Classes[0].LongestWaitMs = 60000
--- a/decider/drain_test.go
+++ b/decider/drain_test.go
@@ -27,7 +27,7 @@
 			assert.Equal(t, cluster.ended["late"], "draining")
 			ids = append(ids, cluster.sendRequests("s", "/", others, 6, 50*time.Millisecond)...)
 			if who == "owner" {
-				assert.Assert(t, cluster.owner(others[0], "dc0") != stopping, "the others rank anew at once")
+				assert.Assert(t, cluster.owner(others[0], "dc0") != stopping, "the others rank another owner first at once")
 			}
 			cluster.checkFinished(ids, 40*time.Second)
 			assert.DeepEqual(t, cluster.stopped, []definer.VM{stopping})
@@ -107,15 +107,15 @@
 			cluster.run(2 * time.Second)
 			ids := cluster.sendRequests("r", "/", cluster.others("dc0", ""), 10, 50*time.Millisecond)
 			tell(cluster)
-			told := cluster.now
-			// The word outlives the owner that got it.
+			announced := cluster.now
+			// The mark is kept when the owner that received it is lost.
 			cluster.run(500 * time.Millisecond)
 			delete(cluster.nodes, cluster.owner("dc0-vm0", "dc0"))
 			cluster.run(3 * time.Second)
 			ids = append(ids, cluster.sendRequests("s", "/", cluster.others("dc0", ""), 20, 50*time.Millisecond)...)
 			cluster.checkFinished(ids[10:], 10*time.Second)
 			for _, start := range cluster.starts {
-				assert.Assert(t, start.upstream != "dc0-engine0" || start.at.Before(told.Add(100*time.Millisecond)), "%v", start)
+				assert.Assert(t, start.upstream != "dc0-engine0" || start.at.Before(announced.Add(100*time.Millisecond)), "%v", start)
 			}
 		})
 	}
--- a/decider/faults_test.go
+++ b/decider/faults_test.go
@@ -13,9 +13,9 @@
 	"limpetcleat/messenger"
 )
 
-// TestFaultsInAnyOrder drives a data centre through random faults and checks
-// what must hold once they are over: every request of an entry VM that lives
-// has exactly one final answer, and no slot is left behind.
+// TestFaultsInAnyOrder drives a data centre through random faults. Once they
+// are over, every request of a live entry VM must have exactly one final
+// answer, and no slot may stay in use.
 func TestFaultsInAnyOrder(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(draw *rapid.T) {
@@ -57,8 +57,8 @@
 	return int64(rapid.IntRange(0, below-1).Draw(draw, label))
 }
 
-// interrupted tells whether the work of a request was cancelled at its upstream
-// while its entry VM was out of touch.
+// interrupted reports whether the work of a request was cancelled at its
+// upstream while its entry VM was unreachable.
 func (cluster *cluster) interrupted(id definer.RequestID) bool {
 	for attempt := range 10 {
 		if slices.Contains(cluster.canceled, attemptID(id, attempt)) {
@@ -68,7 +68,7 @@
 	return false
 }
 
-// fault does one thing to one node.
+// injectFault applies one random fault.
 func (cluster *cluster) injectFault(draw *rapid.T, round int) {
 	vms := sortedKeys(cluster.nodes)
 	vm := vms[int64Of(draw, "node", len(vms))]
--- a/decider/fleet_test.go
+++ b/decider/fleet_test.go
@@ -15,30 +15,31 @@
 	"limpetcleat/standin/clock"
 )
 
-// fleet is many nodes, a carrier of their messages and a platform, under one
-// stepped clock. Every applied version is checked as it comes.
+// fleet runs many nodes, their network and a platform under one simulated
+// clock. Every version is checked when it is applied.
 type fleet struct {
 	t testing.TB
 	*clock.Clock
 	random *rand.Rand
 	nodes  map[definer.VM]*fleetNode
 	listed []decider.ListedVM
-	// loss is the share of messages dropped; cut tells whether two data centres
-	// are apart, away whether a node's is apart from the platform.
+	// loss is the share of messages dropped; cut reports whether two data
+	// centres are disconnected, platformAway whether a data centre is
+	// disconnected from the platform.
 	loss         float64
 	cut          func(from, to definer.DataCentre) bool
 	platformAway func(definer.DataCentre) bool
-	// head and contents are the platform's; accepted holds the digest of each
-	// version that passed its checks.
+	// head and contents are the platform's configuration; accepted holds the
+	// digest of each version that passes its checks.
 	head     decider.Head
 	contents []messenger.Section
 	accepted map[uint64]string
-	// carried sees every message that is sent.
+	// onMessage is called with every message that is sent.
 	onMessage func(from definer.VM, message messenger.Message)
 	logged    map[int]int
 	// served counts the attempts at each upstream.
 	served map[definer.UpstreamName]int
-	// sent, when set, sees every message with its two ends.
+	// onDelivery, if set, is called with every message and its two ends.
 	onDelivery func(from, to definer.VM, message messenger.Message)
 }
 
@@ -67,7 +68,7 @@
 
 func dataCentreOf(index int) definer.DataCentre { return definer.DataCentre(fmt.Sprintf("d%d", index)) }
 
-// boot starts a node that knows the given VMs; an earlier run of it is dead.
+// boot starts a node that knows the given VMs; an earlier process of it ends.
 func (fleet *fleet) boot(index int, seeds []decider.ListedVM) {
 	vm := fleet.listed[index]
 	node := &fleetNode{vm: vm, timers: make(clock.Timers[decider.TimerKey])}
@@ -135,7 +136,8 @@
 	})
 }
 
-// applied checks that versions only grow and that only accepted ones apply.
+// applied checks that versions only grow and that only accepted ones are
+// applied.
 func (fleet *fleet) applied(node *fleetNode, configuration *definer.Configuration) {
 	version := configuration.Version()
 	assert.Assert(fleet.t, version > node.version, "%s went from %d to %d", node.vm.Name, node.version, version)
@@ -145,7 +147,8 @@
 	node.version, node.appliedAt = version, fleet.Now()
 }
 
-// put stores a version past the checks and tells those that hold the watch.
+// store writes a version to the platform without any check and notifies the
+// nodes that watch it.
 func (fleet *fleet) store(version uint64, document definer.Document, accepted bool) {
 	sums, sections, err := sectioner.Cut(document)
 	assert.NilError(fleet.t, err)
@@ -156,7 +159,7 @@
 	fleet.notifyWatchers()
 }
 
-// wake tells all that hold the watch what the platform has.
+// notifyWatchers sends the platform's state to all nodes that watch it.
 func (fleet *fleet) notifyWatchers() {
 	for _, vm := range fleet.listed {
 		if node, ok := fleet.nodes[definer.VM(vm.Name)]; ok {
@@ -165,7 +168,8 @@
 	}
 }
 
-// watch tells a node that holds the watch what the platform has.
+// notifyWatcher sends the platform's state to a node if it watches the
+// platform.
 func (fleet *fleet) notifyWatcher(node *fleetNode) {
 	fleet.After(time.Millisecond+time.Duration(fleet.random.Int64N(int64(20*time.Millisecond))), func() {
 		if !node.watching || fleet.platformAway(node.vm.DataCentre) {
@@ -178,7 +182,8 @@
 	})
 }
 
-// everywhere tells whether each of the nodes has the version in force.
+// appliedEverywhere returns a function that reports whether all nodes have
+// applied the version.
 func (fleet *fleet) appliedEverywhere(version uint64) func() bool {
 	return func() bool {
 		for _, node := range fleet.nodes {
@@ -190,8 +195,8 @@
 	}
 }
 
-// within runs until the version is in force everywhere, and fails if it is not
-// by then.
+// waitApplied runs until the version is in force everywhere, fails if that
+// takes too long, and returns how long it took.
 func (fleet *fleet) waitApplied(length time.Duration, version uint64) time.Duration {
 	fleet.t.Helper()
 	stored := fleet.Now()
@@ -202,11 +207,11 @@
 			behind++
 		}
 	}
-	assert.Assert(fleet.t, done, "%d of %d nodes have not version %d after %v", behind, len(fleet.nodes), version, length)
+	assert.Assert(fleet.t, done, "%d of %d nodes do not have version %d after %v", behind, len(fleet.nodes), version, length)
 	return fleet.Now().Sub(stored)
 }
 
-// smallDocument differs with its number.
+// smallDocument returns a small configuration that differs for each number.
 func smallDocument(number int) definer.Document {
 	return definer.Document{
 		Classes: []definer.ClassDocument{{Name: "desk", Attainment: 0.99, LongestWaitMs: 1000 + number}},
--- a/decider/limits_test.go
+++ b/decider/limits_test.go
@@ -11,8 +11,9 @@
 	"limpetcleat/standin/measurer"
 )
 
-// TestLimitOutlivesTheOwnerThatKeepsToIt has an answer tell some node, which does not own the
-// upstream's shard, of a limit: the owner keeps to it, and so does the next one.
+// TestLimitOutlivesTheOwnerThatKeepsToIt announces the limit of an upstream to
+// a node that does not own its shard: the owner must enforce the limit, and so
+// must the next owner after that one is killed.
 func TestLimitOutlivesTheOwnerThatKeepsToIt(t *testing.T) {
 	const limited, perSecond, window = definer.UpstreamName("dc0-engine0"), 2.0, 4 * time.Second
 	cluster := newCluster(t, 1, 1, 3)
@@ -35,7 +36,7 @@
 	}
 	most := measurer.Busiest(sends, window)
 	allowed := int(1.5*perSecond*window.Seconds()) + 5
-	assert.Assert(t, most <= allowed, "%d in %v; allowed are %d", most, window, allowed)
+	assert.Assert(t, most <= allowed, "%d sends in %v, want at most %d", most, window, allowed)
 	assert.Assert(t, len(sends) >= 12, "%d sends", len(sends))
 
 	lifted := cluster.now
@@ -48,5 +49,5 @@
 			count++
 		}
 	}
-	assert.Assert(t, count > allowed, "%d sends behind the end of the limit: %s", count, fmt.Sprint(cluster.starts[len(cluster.starts)-3:]))
+	assert.Assert(t, count > allowed, "%d sends after the end of the limit: %s", count, fmt.Sprint(cluster.starts[len(cluster.starts)-3:]))
 }
--- a/decider/listedleavers_test.go
+++ b/decider/listedleavers_test.go
@@ -12,8 +12,9 @@
 	"limpetcleat/matcher"
 )
 
-// TestListedLeaverGetsNoWorkFromAnyOwner has only the holders of the platform's
-// watches see that upstreams leave: the owners of their shards may be others.
+// TestListedLeaverGetsNoWorkFromAnyOwner checks that leaving upstreams get no
+// work although only the nodes that watch the platform see its list, and the
+// owners of the shards may be others.
 func TestListedLeaverGetsNoWorkFromAnyOwner(t *testing.T) {
 	const pools = 8
 	document := smallDocument(1)
@@ -37,7 +38,7 @@
 	}
 	fleet.notifyWatchers()
 	fleet.Run(3 * time.Second)
-	// Ten minutes later it still holds, since the list has not changed.
+	// This still holds ten minutes later, since the list has not changed.
 	for round := range 20 {
 		clear(fleet.served)
 		for index, vm := range entries {
--- a/decider/main_test.go
+++ b/decider/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the property tests, so that their verdict is the
-// same every time.
+// TestMain fixes the seed of the property tests, so that their result is the
+// same in every run.
 func TestMain(m *testing.M) {
 	if flag.Set("rapid.seed", "20261202") == nil {
 		os.Exit(m.Run())
--- a/decider/memory_test.go
+++ b/decider/memory_test.go
@@ -10,7 +10,8 @@
 	"limpetcleat/messenger"
 )
 
-// TestLimitsGoWithTheirUpstream takes an upstream out and brings it back.
+// TestLimitsGoWithTheirUpstream checks that an upstream that is removed and
+// added again starts with a new adapted limit.
 func TestLimitsGoWithTheirUpstream(t *testing.T) {
 	cluster := newCluster(t, 1, 1, 1)
 	cluster.run(2 * time.Second)
@@ -34,11 +35,12 @@
 	}
 	configure(all[1:])
 	configure(all)
-	assert.Equal(t, adapted.Limit(first), slots, "it starts anew")
-	assert.Equal(t, adapted.Limit(second), 1, "it stayed")
+	assert.Equal(t, adapted.Limit(first), slots, "the limit of an upstream that was removed starts again")
+	assert.Equal(t, adapted.Limit(second), 1, "the limit of an upstream that stayed is kept")
 }
 
-// TestHintsGoWithTheirOwner checks whose word on a wait counts, and until when.
+// TestHintsGoWithTheirOwner checks that only the owner's expected wait is used,
+// and only until another member owns the shard.
 func TestHintsGoWithTheirOwner(t *testing.T) {
 	cluster := newCluster(t, 1, 1, 3)
 	cluster.run(2 * time.Second)
@@ -63,7 +65,7 @@
 	assert.Equal(t, len(requester.hintTenures), 0)
 }
 
-// requesterPartOf returns the requester part of a node.
+// requesterOf returns the requester component of a node.
 func (cluster *cluster) requesterOf(vm definer.VM) *requester {
 	for _, component := range cluster.nodes[vm].decider.components {
 		if requester, ok := component.(*requester); ok {
--- a/decider/operations_test.go
+++ b/decider/operations_test.go
@@ -11,8 +11,9 @@
 	"limpetcleat/definer"
 )
 
-// TestOperationsPageHasEveryRefusal holds the page's table and the reasons
-// together: each has one row, with its status and an outcome that exists.
+// TestOperationsPageHasEveryRefusal checks the table of the page against the
+// refusal reasons: each reason has one row, with its status and a valid
+// outcome.
 func TestOperationsPageHasEveryRefusal(t *testing.T) {
 	page, err := os.ReadFile("../docs/OPERATIONS.md")
 	assert.NilError(t, err)
@@ -20,12 +21,12 @@
 	outcomes := []string{string(definer.NotRun), string(definer.Unknown), string(definer.Ran)}
 	rows := make(map[string]string)
 	for _, found := range row.FindAllStringSubmatch(string(page), -1) {
-		assert.Equal(t, rows[found[1]], "", "%s stands twice", found[1])
+		assert.Equal(t, rows[found[1]], "", "%s has two rows", found[1])
 		rows[found[1]] = found[2]
 		assert.Assert(t, found[3] == outcomes[0] || found[3] == outcomes[1] || found[3] == outcomes[2], found[0])
 	}
-	for reason, form := range refusalTemplates() {
-		assert.Equal(t, rows[string(reason)], strconv.Itoa(form.status), reason)
+	for reason, template := range refusalTemplates() {
+		assert.Equal(t, rows[string(reason)], strconv.Itoa(template.status), reason)
 	}
 	assert.Equal(t, len(rows), len(refusalTemplates()))
 }
--- a/decider/ownedshard.go
+++ b/decider/ownedshard.go
@@ -39,8 +39,8 @@
 	owned.pending = append(owned.pending, ask)
 }
 
-// takePending returns and removes the pending asks, ordered by tier and then by
-// arrival.
+// takePending returns and removes the pending asks, those of the highest tier
+// first and within a tier in the order of arrival.
 func (owned *ownedShard) takePending() []scheduler.Ask {
 	pending := owned.pending
 	owned.pending = nil
--- a/decider/owner.go
+++ b/decider/owner.go
@@ -219,7 +219,7 @@
 }
 
 // open starts to grant at the shards whose window is over. The asks received in
-// the window are submitted by tier and arrival.
+// the window are submitted by tier and then by arrival.
 func (owner *owner) open() {
 	for _, shard := range sortedShards(owner.shards) {
 		owned := owner.shards[shard]
--- a/decider/ownerloss_test.go
+++ b/decider/ownerloss_test.go
@@ -10,7 +10,7 @@
 	"limpetcleat/definer"
 )
 
-// limit is the number of slots in one data centre.
+// totalSlots is the number of slots in one data centre.
 const totalSlots = 2 * slots
 
 func TestOwnerKilled(t *testing.T) {
@@ -33,8 +33,8 @@
 	}
 }
 
-// TestTimeToServeAgain lets a request come just after the owner was lost while
-// slots are free.
+// TestTimeToServeAgain sends a request just after the owner was lost, while
+// slots are free, and bounds the time until it starts.
 func TestTimeToServeAgain(t *testing.T) {
 	t.Parallel()
 	losses := map[string]func(cluster *cluster, owner definer.VM){
@@ -66,8 +66,9 @@
 	}
 }
 
-// TestWindowBoundsOverCommitment shows that the window is what keeps a new owner
-// from granting slots that are in use: without it the bound is broken.
+// TestWindowBoundsOverCommitment shows that the window is what keeps a new
+// owner from granting slots that are still in use: without it, more attempts
+// run than there are slots.
 func TestWindowBoundsOverCommitment(t *testing.T) {
 	t.Parallel()
 	for _, window := range []time.Duration{rebuildWindow, 0} {
@@ -111,12 +112,13 @@
 			cluster.checkOrderedAfter(resumed)
 			t.Logf("at most %d of %d slots", cluster.peak["dc0"], totalSlots)
 			assert.Assert(t, cluster.peak["dc0"] <= 2*totalSlots)
-			assert.Equal(t, cluster.ownerOf(owner).scheduled(), 0, "no slot is left behind")
+			assert.Equal(t, cluster.ownerOf(owner).scheduled(), 0, "all slots are free again")
 		})
 	}
 }
 
-// scheduled counts what the schedulers and ledgers of a node still hold.
+// scheduled counts the asks and grants that the schedulers and ledgers of a
+// node still hold.
 func (owner *owner) scheduled() int {
 	sum := 0
 	for _, owned := range owner.shards {
@@ -161,7 +163,8 @@
 	ids = append(ids, cluster.sendRequests("e", "/desk", entries, 10, 10*time.Millisecond)...)
 	cluster.checkFinished(ids, 40*time.Second)
 	t.Logf("%d emergency grants, at most %d of %d slots", cluster.emergencyGrants, cluster.peak["dc0"], totalSlots)
-	// One slot for each upstream at each member that was next in rank.
+	// Each member that ranked second may have granted one slot for each
+	// upstream.
 	assert.Assert(t, cluster.peak["dc0"] <= totalSlots+2*emergencySlots)
 	for _, vm := range sortedKeys(cluster.nodes) {
 		assert.Equal(t, cluster.ownerOf(vm).scheduled(), 0, "%s", vm)
--- a/decider/refusal.go
+++ b/decider/refusal.go
@@ -46,6 +46,6 @@
 
 // refusalFor returns the refusal for a reason.
 func refusalFor(reason messenger.RefusalReason, outcome definer.Outcome, retryAfter time.Duration) Refusal {
-	form := refusalTemplates()[reason]
-	return Refusal{Status: form.status, Reason: reason, Message: form.message, Outcome: outcome, RetryAfter: retryAfter}
+	template := refusalTemplates()[reason]
+	return Refusal{Status: template.status, Reason: reason, Message: template.message, Outcome: outcome, RetryAfter: retryAfter}
 }
--- a/decider/suspicions_test.go
+++ b/decider/suspicions_test.go
@@ -13,18 +13,22 @@
 )
 
 const (
-	// endingIdentity is that of the request under which upstreams end.
+	// endingIdentity is the identity of the request that ends upstreams.
 	endingIdentity = definer.RequestIdentity("0123456789abcdef")
-	// endingsAllowed is how many may end: the third is told before the next attempt.
+	// endingsAllowed is how many upstreams may end: the third end is known to
+	// all before the next attempt.
 	endingsAllowed = 3
-	// endingEvery is the time between two attempts, above the second within which two ends
-	// of an upstream that does not tell its starts count as one.
+	// endingEvery is the time between two attempts. It exceeds the second
+	// within which two ends of an upstream that does not report its starts
+	// count as one.
 	endingEvery = 1200 * time.Millisecond
-	// toldWithin is how soon a member that has started must know, the users' bound.
+	// toldWithin is how soon a member that has started must know the
+	// suspicions; the users require this bound.
 	toldWithin = 3 * time.Second
 )
 
-// askEnding lets the request come to a VM under another id, and returns what became of it.
+// sendEndingRequest sends the request to a VM under another id and returns how
+// it ended.
 func (cluster *cluster) sendEndingRequest(vm definer.VM, number int) string {
 	id := definer.RequestID(fmt.Sprintf("ending-%03d", number))
 	cluster.endsUpstream[id] = true
@@ -36,9 +40,9 @@
 	return cluster.ended[id]
 }
 
-// TestEndingRequestAcrossDataCentres has a request that ends its upstreams come to members of
-// three data centres in turn, with messages lost, and then to a relay that has just started
-// again: all members hold it off.
+// TestEndingRequestAcrossDataCentres sends a request that ends its upstreams to
+// members of three data centres in turn, with messages lost, and then to a
+// relay that has just restarted: all members must hold the request off.
 func TestEndingRequestAcrossDataCentres(t *testing.T) {
 	for _, loss := range []float64{0, 0.05} {
 		t.Run(fmt.Sprint(loss), func(t *testing.T) {
