--- a/decider/claims_property_test.go
+++ b/decider/claims_property_test.go
@@ -127,12 +127,14 @@
 	}
 	for key, history := range histories {
 		if porcupine.CheckOperationsTimeout(keyModel(), history, 10*time.Second) != porcupine.Ok {
-			return "no sequential order explains the answers to the callers of " + key
+			return "no sequential order of the calls with key " + key + " explains their answers"
 		}
 	}
 	return ""
 }
 
+// TestKeyedCallsUnderRandomFaults checks under random faults that each key runs
+// at most once and that the answers to callers are linearizable.
 func TestKeyedCallsUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(check *rapid.T) {
--- a/decider/claims_test.go
+++ b/decider/claims_test.go
@@ -28,6 +28,8 @@
 	}
 }
 
+// TestKeyedCalls sends two requests under one key, with a fault around the
+// first, and checks how often the key ran and what both callers were answered.
 func TestKeyedCalls(t *testing.T) {
 	t.Parallel()
 	slowly := func(StartAttempt) attemptFate {
@@ -180,6 +182,8 @@
 	return none
 }
 
+// TestTwoEntriesAtOnce sends two requests under one key to two nodes within a
+// few milliseconds: the key must run once.
 func TestTwoEntriesAtOnce(t *testing.T) {
 	for gap := range 12 {
 		world := newWorld(t, 1, "a", "b", "c")
@@ -239,6 +243,8 @@
 	}
 }
 
+// TestLocalKeys uses keys bound to a process while the platform is unavailable,
+// on the same and on other nodes, and after the process has ended.
 func TestLocalKeys(t *testing.T) {
 	world := newWorld(t, 1, "a", "b")
 	world.platform.away = true
--- a/decider/configurer_test.go
+++ b/decider/configurer_test.go
@@ -16,6 +16,8 @@
 // inForceWithin is how soon an accepted change must be in force everywhere.
 const inForceWithin = 5 * time.Second
 
+// TestChangeIsInForceEverywhere bounds the time until a change is in force on
+// all nodes, with messages lost, data centres cut off and nodes dead.
 func TestChangeIsInForceEverywhere(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
@@ -115,6 +117,8 @@
 	assert.Equal(t, holders, 10)
 }
 
+// TestUncheckedVersionIsNeverApplied stores versions that fail their checks: each
+// node that watches the platform logs them once, and none is applied.
 func TestUncheckedVersionIsNeverApplied(t *testing.T) {
 	invalid := smallDocument(2)
 	invalid.Classes[0].LongestWaitMs = 0
@@ -135,6 +139,8 @@
 	}
 }
 
+// TestPlatformSetBackIsSeenAndNotFollowed rolls the platform back to an older
+// version and reuses a version number: both are logged and not applied.
 func TestPlatformSetBackIsSeenAndNotFollowed(t *testing.T) {
 	fleet := newFleet(t, 6, 2, 4)
 	fleet.bootAll()
--- a/decider/drain_test.go
+++ b/decider/drain_test.go
@@ -10,6 +10,8 @@
 	"limpetcleat/definer"
 )
 
+// TestDrainUnderLoadLosesNothing stops an owner or an entry VM under load:
+// every request finishes, and the node stops.
 func TestDrainUnderLoadLosesNothing(t *testing.T) {
 	for _, who := range []string{"owner", "entry"} {
 		t.Run(who, func(t *testing.T) {
@@ -87,6 +89,8 @@
 	assert.Assert(t, cluster.peak["dc0"] <= totalSlots, "%d ran", cluster.peak["dc0"])
 }
 
+// TestLeavingUpstreamGetsNoNewWork checks that an upstream that is leaving gets
+// no new work, even after the owner that was told is lost.
 func TestLeavingUpstreamGetsNoNewWork(t *testing.T) {
 	tell := map[string]func(cluster *cluster){
 		"its own word, at any entry VM": func(cluster *cluster) {
--- a/decider/ownerloss_test.go
+++ b/decider/ownerloss_test.go
@@ -13,6 +13,8 @@
 // totalSlots is the number of slots in one data centre.
 const totalSlots = 2 * slots
 
+// TestOwnerKilled kills the owner of a shard under load: all requests must
+// finish, later ones in order, without more attempts than slots.
 func TestOwnerKilled(t *testing.T) {
 	t.Parallel()
 	for seed := range int64(5) {
@@ -91,6 +93,8 @@
 	}
 }
 
+// TestOwnerFrozenAndBack freezes the owner and resumes it: for a time two
+// members may grant the same slots, and none may stay in use.
 func TestOwnerFrozenAndBack(t *testing.T) {
 	t.Parallel()
 	for _, freeze := range []time.Duration{600 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second, 20 * time.Second} {
@@ -127,6 +131,8 @@
 	return sum
 }
 
+// TestTwoOwnersAtOnce disconnects the owner, so that both sides grant the same
+// slots, and checks that they agree again after the network heals.
 func TestTwoOwnersAtOnce(t *testing.T) {
 	cluster := newCluster(t, 1, 1, 4)
 	cluster.run(2 * time.Second)
@@ -147,6 +153,8 @@
 	}
 }
 
+// TestProtectedRequestGoesPastASilentOwner checks that a protected request is
+// served by an emergency grant while its owner does not answer.
 func TestProtectedRequestGoesPastASilentOwner(t *testing.T) {
 	cluster := newCluster(t, 1, 1, 4)
 	cluster.run(2 * time.Second)
@@ -171,6 +179,8 @@
 	}
 }
 
+// TestEntryKilledGivesItsSlotsBack checks that the slots of a killed entry VM
+// are freed and that its work is cancelled at the upstreams.
 func TestEntryKilledGivesItsSlotsBack(t *testing.T) {
 	cluster := newCluster(t, 1, 1, 4)
 	cluster.service = 30 * time.Second
@@ -185,6 +195,7 @@
 	cluster.checkFinished(ids, 40*time.Second)
 }
 
+// TestMessagesLostLoseNoSlot checks that lost messages leave no slot in use.
 func TestMessagesLostLoseNoSlot(t *testing.T) {
 	for seed := range int64(3) {
 		cluster := newCluster(t, seed, 1, 4)
