--- a/decider/cluster_test.go
+++ b/decider/cluster_test.go
@@ -15,40 +15,41 @@
 	"limpetcleat/sectioner"
 )
 
-// testingT is what a test and a drawn case have in common.
+// testingT is the common interface of testing.T and rapid.T.
 type testingT interface {
 	assert.TestingT
 	Helper()
 }
 
-// cluster joins Deciders under a stepped clock. Messages are delayed and may be
-// lost or cut off; nodes may be killed and frozen; upstreams take their time.
+// cluster runs Deciders under a simulated clock. Messages are delayed and may
+// be lost or cut off, nodes may be killed and frozen, and attempts take time.
 type cluster struct {
-	t      testingT
-	now    time.Time
-	random *rand.Rand
-	nodes  map[definer.VM]*clusterNode
-	due    []delivery
-	listed []ListedVM
-	head   Head
-	data   []messenger.Section
-	loss   float64
-	cut    func(from, to definer.VM) bool
-	// ending are requests under which each upstream ends, endings counts these ends.
-	ending  map[definer.RequestID]bool
-	endings int
+	t          testingT
+	now        time.Time
+	random     *rand.Rand
+	nodes      map[definer.VM]*clusterNode
+	deliveries []delivery
+	listed     []ListedVM
+	head       Head
+	data       []messenger.Section
+	loss       float64
+	cut        func(from, to definer.VM) bool
+	// endsUpstream holds the requests that end every upstream that runs them;
+	// endedUpstreams counts these ends.
+	endsUpstream   map[definer.RequestID]bool
+	endedUpstreams int
 	// service is how long an attempt runs.
 	service time.Duration
 	running map[definer.UpstreamName]map[definer.AttemptID]bool
-	// peak is the most attempts that ever ran at once on all upstreams of a
-	// data centre.
-	peak     map[definer.DataCentre]int
-	starts   []start
-	arrived  map[definer.RequestID]time.Time
-	ended    map[definer.RequestID]string
-	canceled []definer.AttemptID
-	stopped  []definer.VM
-	emergent int
+	// peak is the largest number of attempts that ran at once on all upstreams
+	// of a data centre.
+	peak            map[definer.DataCentre]int
+	starts          []start
+	arrived         map[definer.RequestID]time.Time
+	ended           map[definer.RequestID]string
+	canceled        []definer.AttemptID
+	stopped         []definer.VM
+	emergencyGrants int
 }
 
 type start struct {
@@ -70,18 +71,19 @@
 	to    definer.VM
 	run   definer.Member
 	event Event
-	// then happens outside of any node.
+	// then is called at delivery, whether or not the node is running.
 	then func()
 }
 
 const (
 	clusterStep = 5 * time.Millisecond
 	slots       = 2
-	// tokens is the length of every answer.
+	// tokens is the length of every answer in tokens.
 	tokens = 300
 )
 
-// clusterDocument has two engines of two slots in each data centre.
+// clusterDocument returns a configuration with two engines of two slots in each
+// data centre.
 func clusterDocument(dataCentres int) definer.Document {
 	pool := definer.PoolDocument{Name: "models", Kind: "engine"}
 	for d := range dataCentres {
@@ -134,22 +136,22 @@
 	node := &clusterNode{dataCentre: vm.DataCentre, timers: make(map[TimerKey]time.Time)}
 	node.decider = New(definer.Member{VM: definer.VM(vm.Name), Incarnation: incarnation}, vm.DataCentre, vm.Address, WithVMs(cluster.listed))
 	cluster.nodes[definer.VM(vm.Name)] = node
-	cluster.carry(node, node.decider.Start(cluster.now))
-	cluster.tell(node, ConfigurationFound{Head: cluster.head, Contents: cluster.data})
+	cluster.carryOut(node, node.decider.Start(cluster.now))
+	cluster.handle(node, ConfigurationFound{Head: cluster.head, Contents: cluster.data})
 	assert.Assert(cluster.t, node.decider.Configuration() != nil)
 	return node
 }
 
-// tell hands an event to a node, or keeps it while the node is frozen.
-func (cluster *cluster) tell(node *clusterNode, event Event) {
+// handle passes an event to a node, or keeps it while the node is frozen.
+func (cluster *cluster) handle(node *clusterNode, event Event) {
 	if node.frozen {
 		node.backlog = append(node.backlog, event)
 		return
 	}
-	cluster.carry(node, node.decider.Handle(cluster.now, event))
+	cluster.carryOut(node, node.decider.Handle(cluster.now, event))
 }
 
-func (cluster *cluster) carry(node *clusterNode, actions []Action) {
+func (cluster *cluster) carryOut(node *clusterNode, actions []Action) {
 	self := node.decider.Self()
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -160,28 +162,28 @@
 		case ClearTimer:
 			delete(node.timers, action.Key)
 		case StartAttempt:
-			cluster.begin(self, action)
+			cluster.startAttempt(self, action)
 		case CancelUpstreamWork:
 			cluster.canceled = append(cluster.canceled, action.Attempt)
 			delete(cluster.running[action.Upstream.Name()], action.Attempt)
 		case FinishRequest:
-			cluster.end(action.Request, "finished")
+			cluster.recordEnd(action.Request, "finished")
 		case RefuseRequest:
-			cluster.end(action.Request, string(action.Refusal.Reason))
+			cluster.recordEnd(action.Request, string(action.Refusal.Reason))
 		case Stopped:
 			cluster.stopped = append(cluster.stopped, self.VM)
 			delete(cluster.nodes, self.VM)
 		case LogEvent:
 			if action.Number == EventEmergencyGrant {
-				cluster.emergent++
+				cluster.emergencyGrants++
 			}
 		}
 	}
 }
 
-// end notes a final answer; a request has exactly one.
-func (cluster *cluster) end(request definer.RequestID, how string) {
-	assert.Equal(cluster.t, cluster.ended[request], "", "%s ended twice", request)
+// recordEnd records a final answer; a request has exactly one.
+func (cluster *cluster) recordEnd(request definer.RequestID, how string) {
+	assert.Equal(cluster.t, cluster.ended[request], "", "%s got two final answers", request)
 	cluster.ended[request] = how
 }
 
@@ -190,11 +192,12 @@
 		return
 	}
 	delay := time.Duration(1+cluster.random.Intn(4)) * time.Millisecond
-	cluster.due = append(cluster.due, delivery{at: cluster.now.Add(delay), to: action.To, event: MessageReceived{From: from, DataCentre: dataCentre, Message: action.Message}})
+	cluster.deliveries = append(cluster.deliveries, delivery{at: cluster.now.Add(delay), to: action.To, event: MessageReceived{From: from, DataCentre: dataCentre, Message: action.Message}})
 }
 
-// begin runs an attempt on its upstream, which goes on without the entry VM.
-func (cluster *cluster) begin(entry definer.Member, action StartAttempt) {
+// startAttempt runs an attempt on its upstream, which continues if the entry VM
+// ends.
+func (cluster *cluster) startAttempt(entry definer.Member, action StartAttempt) {
 	name := action.Upstream.Name()
 	if cluster.running[name] == nil {
 		cluster.running[name] = make(map[definer.AttemptID]bool)
@@ -207,43 +210,44 @@
 			sum += len(attempts)
 		}
 	}
-	if cluster.ending[action.Request] {
+	if cluster.endsUpstream[action.Request] {
 		cluster.endUpstream(entry, action)
 		return
 	}
 	dataCentre := action.Upstream.DataCentre()
 	cluster.peak[dataCentre] = max(cluster.peak[dataCentre], sum)
-	cluster.due = append(cluster.due, delivery{at: cluster.now.Add(cluster.service), to: entry.VM, run: entry, event: AttemptEnded{
+	cluster.deliveries = append(cluster.deliveries, delivery{at: cluster.now.Add(cluster.service), to: entry.VM, run: entry, event: AttemptEnded{
 		Request: action.Request, Attempt: action.Attempt, Result: Complete, Delivered: tokens, Begun: true,
 		Observation: messenger.Observation{FirstToken: time.Second, BetweenTokens: 20 * time.Millisecond, Tokens: tokens, Total: cluster.service},
 	}, then: func() { delete(cluster.running[name], action.Attempt) }})
 }
 
-// endUpstream ends an upstream with an attempt on it, some time later.
+// endUpstream ends an upstream while it runs an attempt, a short time after the
+// start.
 func (cluster *cluster) endUpstream(entry definer.Member, action StartAttempt) {
-	cluster.due = append(cluster.due, delivery{at: cluster.now.Add(40 * time.Millisecond), to: entry.VM, run: entry, event: AttemptEnded{
+	cluster.deliveries = append(cluster.deliveries, delivery{at: cluster.now.Add(40 * time.Millisecond), to: entry.VM, run: entry, event: AttemptEnded{
 		Request: action.Request, Attempt: action.Attempt, Result: Cut, UpstreamEnded: true,
 	}, then: func() {
 		delete(cluster.running[action.Upstream.Name()], action.Attempt)
-		cluster.endings++
+		cluster.endedUpstreams++
 	}})
 }
 
 func (cluster *cluster) run(length time.Duration) {
 	for end := cluster.now.Add(length); cluster.now.Before(end); {
 		cluster.now = cluster.now.Add(clusterStep)
-		due := cluster.due
-		cluster.due = nil
+		due := cluster.deliveries
+		cluster.deliveries = nil
 		for _, delivery := range due {
 			if delivery.at.After(cluster.now) {
-				cluster.due = append(cluster.due, delivery)
+				cluster.deliveries = append(cluster.deliveries, delivery)
 				continue
 			}
 			cluster.deliver(delivery)
 		}
 		for _, vm := range sortedKeys(cluster.nodes) {
 			if node := cluster.nodes[vm]; !node.frozen {
-				cluster.fire(node)
+				cluster.fireTimers(node)
 			}
 		}
 	}
@@ -262,24 +266,24 @@
 		ended.Result, ended.Resumable = Cut, true
 		event = ended
 	}
-	cluster.tell(node, event)
+	cluster.handle(node, event)
 }
 
-func (cluster *cluster) fire(node *clusterNode) {
+func (cluster *cluster) fireTimers(node *clusterNode) {
 	var keys []TimerKey
 	for key, at := range node.timers {
 		if !at.After(cluster.now) {
 			keys = append(keys, key)
 		}
 	}
-	slices.SortFunc(keys, func(a, b TimerKey) int { return cmp.Or(cmp.Compare(a.Part, b.Part), cmp.Compare(a.ID, b.ID)) })
+	slices.SortFunc(keys, func(a, b TimerKey) int { return cmp.Or(cmp.Compare(a.Component, b.Component), cmp.Compare(a.ID, b.ID)) })
 	for _, key := range keys {
-		// One that fired before may have cleared or moved it.
+		// A timer that fired before may have cleared or moved this one.
 		if at, set := node.timers[key]; !set || at.After(cluster.now) {
 			continue
 		}
 		delete(node.timers, key)
-		cluster.tell(node, TimerFired{Key: key})
+		cluster.handle(node, TimerFired{Key: key})
 	}
 }
 
@@ -289,24 +293,25 @@
 	backlog := node.backlog
 	node.backlog = nil
 	for _, event := range backlog {
-		cluster.tell(node, event)
+		cluster.handle(node, event)
 	}
 }
 
-// request lets a caller come to a VM.
+// request sends a caller's request to a VM.
 func (cluster *cluster) request(vm definer.VM, id, path string) {
 	request := definer.RequestID(id)
 	cluster.arrived[request] = cluster.now
-	cluster.tell(cluster.nodes[vm], RequestArrived{Request: request, Organisation: "o", Properties: matcher.Properties{Model: "m", Path: path, PromptTokens: 100, MaxTokens: tokens}})
+	cluster.handle(cluster.nodes[vm], RequestArrived{Request: request, Organisation: "o", Properties: matcher.Properties{Model: "m", Path: path, PromptTokens: 100, MaxTokens: tokens}})
 }
 
-// owner returns who owns the pool's shard in a data centre as a node sees it.
+// owner returns the owner of the pool's shard in a data centre, as one node
+// sees it.
 func (cluster *cluster) owner(seenBy definer.VM, dataCentre definer.DataCentre) definer.VM {
 	vm, _ := cluster.nodes[seenBy].decider.core.roster.owner(messenger.Shard{DataCentre: dataCentre, Pool: "models"})
 	return vm
 }
 
-// others returns the VMs of a data centre but one.
+// others returns the VMs of a data centre except one.
 func (cluster *cluster) others(dataCentre definer.DataCentre, but definer.VM) []definer.VM {
 	var vms []definer.VM
 	for _, vm := range sortedKeys(cluster.nodes) {
@@ -317,18 +322,18 @@
 	return vms
 }
 
-// ownerPartOf returns the owner part of a node, to look at or to break it.
-func (cluster *cluster) ownerPartOf(vm definer.VM) *owner {
-	for _, part := range cluster.nodes[vm].decider.parts {
-		if owner, ok := part.(*owner); ok {
+// ownerOf returns the owner component of a node.
+func (cluster *cluster) ownerOf(vm definer.VM) *owner {
+	for _, component := range cluster.nodes[vm].decider.components {
+		if owner, ok := component.(*owner); ok {
 			return owner
 		}
 	}
 	return nil
 }
 
-// load lets requests come to the VMs in turn.
-func (cluster *cluster) load(prefix, path string, vms []definer.VM, count int, every time.Duration) []definer.RequestID {
+// sendRequests sends requests to the VMs in turn.
+func (cluster *cluster) sendRequests(prefix, path string, vms []definer.VM, count int, every time.Duration) []definer.RequestID {
 	var ids []definer.RequestID
 	for index := range count {
 		id := fmt.Sprintf("%s%03d", prefix, index)
@@ -339,8 +344,9 @@
 	return ids
 }
 
-// finish runs until all requests ended and checks that each was finished.
-func (cluster *cluster) finish(ids []definer.RequestID, within time.Duration) {
+// checkFinished runs for the given time and checks that each request was
+// finished.
+func (cluster *cluster) checkFinished(ids []definer.RequestID, within time.Duration) {
 	cluster.t.Helper()
 	cluster.run(within)
 	for _, id := range ids {
@@ -348,9 +354,9 @@
 	}
 }
 
-// orderedAfter checks that requests which started after an instant did so in
-// the order in which they came.
-func (cluster *cluster) orderedAfter(at time.Time) {
+// checkOrderedAfter checks that the requests that started after an instant
+// started in the order of their arrival.
+func (cluster *cluster) checkOrderedAfter(at time.Time) {
 	cluster.t.Helper()
 	var last start
 	for _, start := range cluster.starts {
@@ -358,7 +364,7 @@
 			continue
 		}
 		if last.request != "" {
-			assert.Assert(cluster.t, !cluster.arrived[start.request].Before(cluster.arrived[last.request]) || start.at.Equal(last.at), "%s came before %s and started after", start.request, last.request)
+			assert.Assert(cluster.t, !cluster.arrived[start.request].Before(cluster.arrived[last.request]) || start.at.Equal(last.at), "%s arrived before %s and started after it", start.request, last.request)
 		}
 		last = start
 	}
--- a/decider/configurer_bench_test.go
+++ b/decider/configurer_bench_test.go
@@ -15,19 +15,19 @@
 	"limpetcleat/messenger"
 )
 
-// BenchmarkWholeFleet measures how long a change takes to be in force on all of
-// 390 nodes in 5 data centres, by the stepped clock.
+// BenchmarkWholeFleet measures, in simulated time, how long a change takes to
+// be in force on all of 390 nodes in 5 data centres.
 func BenchmarkWholeFleet(b *testing.B) {
 	fleet := newFleet(b, 1, 5, 78)
 	fleet.bootAll()
-	fleet.put(1, smallDocument(1), true)
-	fleet.within(inForceWithin, 1)
+	fleet.store(1, smallDocument(1), true)
+	fleet.waitApplied(inForceWithin, 1)
 	fleet.Run(10 * time.Second)
 	var times []time.Duration
 	for b.Loop() {
 		version := uint64(len(times) + 2)
-		fleet.put(version, smallDocument(int(version)), true)
-		times = append(times, fleet.within(inForceWithin, version))
+		fleet.store(version, smallDocument(int(version)), true)
+		times = append(times, fleet.waitApplied(inForceWithin, version))
 		fleet.Run(time.Second)
 	}
 	slices.Sort(times)
@@ -35,8 +35,8 @@
 	b.ReportMetric(float64(times[len(times)-1].Milliseconds()), "ms-most")
 }
 
-// largeDocument has the size of today's whole: 1,900 organisations, 21 models
-// and 2,800 upstreams, and 50 rules.
+// largeDocument returns a configuration of the full size: 1,900 organisations,
+// 21 models, 2,800 upstreams and 50 rules.
 func largeDocument() definer.Document {
 	document := definer.Document{Limits: definer.LimitsDocument{RetryShare: 0.1, ClaimKeepMs: 600_000}}
 	for index := range 5 {
@@ -66,7 +66,7 @@
 	return document
 }
 
-// meter counts the bytes of messages as they cross a connection that is in use.
+// meter counts the bytes of messages as encoded on an established connection.
 type meter struct {
 	buffer  bytes.Buffer
 	encoder *gob.Encoder
@@ -75,7 +75,7 @@
 func newMeter(b *testing.B) *meter {
 	meter := &meter{}
 	meter.encoder = gob.NewEncoder(&meter.buffer)
-	// The first message carries the descriptions of all types.
+	// The first message also carries the descriptions of all types.
 	meter.bytes(b, &messenger.ConfigurationAnswer{})
 	return meter
 }
@@ -87,8 +87,8 @@
 	return meter.buffer.Len()
 }
 
-// BenchmarkBytesPerChange measures the encoded size of all configuration
-// messages that one change of each kind causes, by node.
+// BenchmarkBytesPerChange measures the encoded size, per node, of all
+// configuration messages that one change of each kind causes.
 func BenchmarkBytesPerChange(b *testing.B) {
 	changes := map[string]func(*definer.Document, int){
 		"rule": func(document *definer.Document, number int) { document.Rules[7].Then.DeadlineMs = number },
@@ -102,12 +102,12 @@
 			fleet := newFleet(b, 1, 2, 12)
 			document := largeDocument()
 			fleet.bootAll()
-			fleet.put(1, document, true)
-			fleet.within(inForceWithin, 1)
+			fleet.store(1, document, true)
+			fleet.waitApplied(inForceWithin, 1)
 			fleet.Run(20 * time.Second)
 			total, steady := 0, 0
 			meter := newMeter(b)
-			fleet.carried = func(_ definer.VM, message messenger.Message) {
+			fleet.onMessage = func(_ definer.VM, message messenger.Message) {
 				if strings.Contains(fmt.Sprintf("%T", message), "Configuration") {
 					total += meter.bytes(b, message)
 				}
@@ -119,8 +119,8 @@
 			for b.Loop() {
 				count++
 				change(&document, 20+count)
-				fleet.put(uint64(count+1), document, true)
-				fleet.within(inForceWithin, uint64(count+1))
+				fleet.store(uint64(count+1), document, true)
+				fleet.waitApplied(inForceWithin, uint64(count+1))
 				fleet.Run(length)
 			}
 			nodes := float64(len(fleet.nodes))
--- a/decider/faults_test.go
+++ b/decider/faults_test.go
@@ -13,9 +13,9 @@
 	"limpetcleat/messenger"
 )
 
-// TestFaultsInAnyOrder drives a data centre through random faults and checks
-// what must hold once they are over: every request of an entry VM that lives
-// has exactly one final answer, and no slot is left behind.
+// TestFaultsInAnyOrder drives a data centre through random faults. Once they
+// are over, every request of a live entry VM must have exactly one final
+// answer, and no slot may stay in use.
 func TestFaultsInAnyOrder(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(draw *rapid.T) {
@@ -25,7 +25,7 @@
 		cluster.run(2 * time.Second)
 		taken := make(map[definer.RequestID]definer.Member)
 		for round := range int(int64Of(draw, "rounds", 8)) + 1 {
-			cluster.fault(draw, round)
+			cluster.injectFault(draw, round)
 			for index, vm := range sortedKeys(cluster.nodes) {
 				id := fmt.Sprintf("r%02d-%d", round, index)
 				if node := cluster.nodes[vm]; !node.frozen {
@@ -46,8 +46,8 @@
 			}
 		}
 		for _, vm := range sortedKeys(cluster.nodes) {
-			assert.Equal(draw, cluster.ownerPartOf(vm).scheduled(), 0, "%s", vm)
-			assert.Equal(draw, cluster.nodes[vm].decider.core.open, 0, "%s", vm)
+			assert.Equal(draw, cluster.ownerOf(vm).scheduled(), 0, "%s", vm)
+			assert.Equal(draw, cluster.nodes[vm].decider.core.openRequests, 0, "%s", vm)
 			assert.Equal(draw, len(cluster.nodes[vm].decider.core.roster.members), len(cluster.nodes), "%s", vm)
 		}
 	})
@@ -57,8 +57,8 @@
 	return int64(rapid.IntRange(0, below-1).Draw(draw, label))
 }
 
-// interrupted tells whether the work of a request was cancelled at its upstream
-// while its entry VM was out of touch.
+// interrupted reports whether the work of a request was cancelled at its
+// upstream while its entry VM was unreachable.
 func (cluster *cluster) interrupted(id definer.RequestID) bool {
 	for attempt := range 10 {
 		if slices.Contains(cluster.canceled, attemptID(id, attempt)) {
@@ -68,8 +68,8 @@
 	return false
 }
 
-// fault does one thing to one node.
-func (cluster *cluster) fault(draw *rapid.T, round int) {
+// injectFault applies one random fault.
+func (cluster *cluster) injectFault(draw *rapid.T, round int) {
 	vms := sortedKeys(cluster.nodes)
 	vm := vms[int64Of(draw, "node", len(vms))]
 	node := cluster.nodes[vm]
--- a/decider/listedleavers_test.go
+++ b/decider/listedleavers_test.go
@@ -12,8 +12,9 @@
 	"limpetcleat/matcher"
 )
 
-// TestListedLeaverGetsNoWorkFromAnyOwner has only the holders of the platform's
-// watches see that upstreams leave: the owners of their shards may be others.
+// TestListedLeaverGetsNoWorkFromAnyOwner checks that leaving upstreams get no
+// work although only the nodes that watch the platform see its list, and the
+// owners of the shards may be others.
 func TestListedLeaverGetsNoWorkFromAnyOwner(t *testing.T) {
 	const pools = 8
 	document := smallDocument(1)
@@ -28,22 +29,22 @@
 	}
 	fleet := newFleet(t, 8, 1, 8)
 	fleet.bootAll()
-	fleet.put(1, document, true)
-	fleet.within(inForceWithin, 1)
+	fleet.store(1, document, true)
+	fleet.waitApplied(inForceWithin, 1)
 	fleet.Run(5 * time.Second)
 	entries := fleet.listed
 	for index := range pools {
 		fleet.listed = append(fleet.listed, decider.ListedVM{Name: fmt.Sprint("leaving", index), DataCentre: "d0", Address: fmt.Sprintf("10.0.%d.0:80", index), Upstream: true, Leaving: true})
 	}
-	fleet.wake()
+	fleet.notifyWatchers()
 	fleet.Run(3 * time.Second)
-	// Ten minutes later it still holds, since the list has not changed.
+	// This still holds ten minutes later, since the list has not changed.
 	for round := range 20 {
 		clear(fleet.served)
 		for index, vm := range entries {
 			for pool := range pools {
 				id := definer.RequestID(fmt.Sprint(round, "-", index, "-", pool))
-				fleet.tell(fleet.nodes[definer.VM(vm.Name)], decider.RequestArrived{Request: id, Properties: matcher.Properties{Path: fmt.Sprint("p", pool)}})
+				fleet.handle(fleet.nodes[definer.VM(vm.Name)], decider.RequestArrived{Request: id, Properties: matcher.Properties{Path: fmt.Sprint("p", pool)}})
 			}
 		}
 		fleet.Run(30 * time.Second)
--- a/decider/memory_test.go
+++ b/decider/memory_test.go
@@ -10,11 +10,12 @@
 	"limpetcleat/messenger"
 )
 
-// TestLimitsGoWithTheirUpstream takes an upstream out and brings it back.
+// TestLimitsGoWithTheirUpstream checks that an upstream that is removed and
+// added again starts with a new adapted limit.
 func TestLimitsGoWithTheirUpstream(t *testing.T) {
 	cluster := newCluster(t, 1, 1, 1)
 	cluster.run(2 * time.Second)
-	owner := cluster.ownerPartOf("dc0-vm0")
+	owner := cluster.ownerOf("dc0-vm0")
 	shard := messenger.Shard{DataCentre: "dc0", Pool: "models"}
 	adapted := owner.shards[shard].limiter
 	document := clusterDocument(1)
@@ -24,7 +25,7 @@
 		configuration, err := definer.Build(2, document)
 		assert.NilError(t, err)
 		owner.core.configuration = configuration
-		owner.rebuild()
+		owner.updateShards()
 	}
 	pool, _ := owner.configuration.Pool("models")
 	first, second := pool.Upstreams()[0], pool.Upstreams()[1]
@@ -34,24 +35,25 @@
 	}
 	configure(all[1:])
 	configure(all)
-	assert.Equal(t, adapted.Limit(first), slots, "it starts anew")
-	assert.Equal(t, adapted.Limit(second), 1, "it stayed")
+	assert.Equal(t, adapted.Limit(first), slots, "the limit of an upstream that was removed starts again")
+	assert.Equal(t, adapted.Limit(second), 1, "the limit of an upstream that stayed is kept")
 }
 
-// TestHintsGoWithTheirOwner checks whose word on a wait counts, and until when.
+// TestHintsGoWithTheirOwner checks that only the owner's expected wait is used,
+// and only until another member owns the shard.
 func TestHintsGoWithTheirOwner(t *testing.T) {
 	cluster := newCluster(t, 1, 1, 3)
 	cluster.run(2 * time.Second)
 	owner := cluster.owner("dc0-vm0", "dc0")
 	others := cluster.others("dc0", owner)
-	requester := cluster.requesterPartOf(others[0])
+	requester := cluster.requesterOf(others[0])
 	shard := messenger.Shard{DataCentre: "dc0", Pool: "models"}
 	class, _ := requester.configuration.Class("batch")
 	heard := requester.now
 	hear := func(from definer.VM, wait time.Duration) time.Duration {
 		requester.requests["r"] = &request{id: "r", class: class}
 		defer delete(requester.requests, "r")
-		requester.hear(requester.roster.members[from].Member, &messenger.GrantAnswer{Shard: shard, Request: "r", ExpectedWait: wait})
+		requester.recordExpectedWait(requester.roster.members[from].Member, &messenger.GrantAnswer{Shard: shard, Request: "r", ExpectedWait: wait})
 		return requester.admitter.Wait(heard, shard, class.Name())
 	}
 	assert.Equal(t, hear(owner, time.Minute), time.Minute)
@@ -60,13 +62,13 @@
 	cluster.run(10 * time.Second)
 	assert.Assert(t, cluster.owner(others[0], "dc0") != owner)
 	assert.Equal(t, requester.admitter.Wait(heard, shard, class.Name()), time.Duration(0))
-	assert.Equal(t, len(requester.hinted), 0)
+	assert.Equal(t, len(requester.hintTenures), 0)
 }
 
-// requesterPartOf returns the requester part of a node.
-func (cluster *cluster) requesterPartOf(vm definer.VM) *requester {
-	for _, part := range cluster.nodes[vm].decider.parts {
-		if requester, ok := part.(*requester); ok {
+// requesterOf returns the requester component of a node.
+func (cluster *cluster) requesterOf(vm definer.VM) *requester {
+	for _, component := range cluster.nodes[vm].decider.components {
+		if requester, ok := component.(*requester); ok {
 			return requester
 		}
 	}
--- a/decider/suspicions_test.go
+++ b/decider/suspicions_test.go
@@ -13,22 +13,26 @@
 )
 
 const (
-	// endingIdentity is that of the request under which upstreams end.
+	// endingIdentity is the identity of the request that ends upstreams.
 	endingIdentity = definer.RequestIdentity("0123456789abcdef")
-	// endingsAllowed is how many may end: the third is told before the next attempt.
+	// endingsAllowed is how many upstreams may end: the third end is known to
+	// all before the next attempt.
 	endingsAllowed = 3
-	// endingEvery is the time between two attempts, above the second within which two ends
-	// of an upstream that does not tell its starts count as one.
+	// endingEvery is the time between two attempts. It exceeds the second
+	// within which two ends of an upstream that does not report its starts
+	// count as one.
 	endingEvery = 1200 * time.Millisecond
-	// toldWithin is how soon a member that has started must know, the users' bound.
+	// toldWithin is how soon a member that has started must know the
+	// suspicions; the users require this bound.
 	toldWithin = 3 * time.Second
 )
 
-// askEnding lets the request come to a VM under another id, and returns what became of it.
-func (cluster *cluster) askEnding(vm definer.VM, number int) string {
+// sendEndingRequest sends the request to a VM under another id and returns how
+// it ended.
+func (cluster *cluster) sendEndingRequest(vm definer.VM, number int) string {
 	id := definer.RequestID(fmt.Sprintf("ending-%03d", number))
-	cluster.ending[id] = true
-	cluster.tell(cluster.nodes[vm], RequestArrived{
+	cluster.endsUpstream[id] = true
+	cluster.handle(cluster.nodes[vm], RequestArrived{
 		Request: id, Organisation: "o", Identity: endingIdentity,
 		Properties: matcher.Properties{Model: "m", Path: "/rest", PromptTokens: 100, MaxTokens: tokens},
 	})
@@ -36,22 +40,22 @@
 	return cluster.ended[id]
 }
 
-// TestEndingRequestAcrossDataCentres has a request that ends its upstreams come to members of
-// three data centres in turn, with messages lost, and then to a relay that has just started
-// again: all members hold it off.
+// TestEndingRequestAcrossDataCentres sends a request that ends its upstreams to
+// members of three data centres in turn, with messages lost, and then to a
+// relay that has just restarted: all members must hold the request off.
 func TestEndingRequestAcrossDataCentres(t *testing.T) {
 	for _, loss := range []float64{0, 0.05} {
 		t.Run(fmt.Sprint(loss), func(t *testing.T) {
 			cluster := newCluster(t, 1, 3, 3)
-			cluster.ending = make(map[definer.RequestID]bool)
+			cluster.endsUpstream = make(map[definer.RequestID]bool)
 			cluster.run(5 * time.Second)
 			cluster.loss = loss
 			for number := range 18 {
 				vm := cluster.listed[(4*number)%len(cluster.listed)].Name
-				how := cluster.askEnding(definer.VM(vm), number)
+				how := cluster.sendEndingRequest(definer.VM(vm), number)
 				assert.Assert(t, number < 2*endingsAllowed || how == string(messenger.HeldOff), "%d at %s: %s", number, vm, how)
 			}
-			assert.Assert(t, cluster.endings >= endingsAllowed && cluster.endings <= endingsAllowed+int(20*loss), "%d upstreams ended", cluster.endings)
+			assert.Assert(t, cluster.endedUpstreams >= endingsAllowed && cluster.endedUpstreams <= endingsAllowed+int(20*loss), "%d upstreams ended", cluster.endedUpstreams)
 
 			cluster.loss = 0
 			relay := cluster.relay("dc1")
@@ -63,7 +67,7 @@
 				}
 			}
 			cluster.run(toldWithin)
-			assert.Equal(t, cluster.askEnding(relay, 100), string(messenger.HeldOff))
+			assert.Equal(t, cluster.sendEndingRequest(relay, 100), string(messenger.HeldOff))
 		})
 	}
 }
@@ -71,6 +75,6 @@
 // relay returns the relay of a data centre, as its members see it.
 func (cluster *cluster) relay(dataCentre definer.DataCentre) definer.VM {
 	seenBy := cluster.others(dataCentre, "")[0]
-	vm, _ := cluster.nodes[seenBy].decider.core.roster.owner(messenger.Shard{DataCentre: dataCentre, Pool: suspicionPart})
+	vm, _ := cluster.nodes[seenBy].decider.core.roster.owner(messenger.Shard{DataCentre: dataCentre, Pool: suspicionComponent})
 	return vm
 }
