--- a/accountant/accountant.go
+++ b/accountant/accountant.go
@@ -1,5 +1,6 @@
-// Package accountant keeps account of the calls to the platform's store by what they
-// asked for, why and how they ended: each is billed, and an ailing store is asked least.
+// Package accountant counts the calls to the platform's store by the feed that they
+// read, their reason and their outcome, and logs the sums. Each call is billed, and the
+// sums show whether a store in trouble is spared.
 package accountant
 
 import (
@@ -14,31 +15,31 @@
 	"limpetcleat/timer"
 )
 
-// sumInterval is the time between two sums in the log: as long as the watch on upstreams
-// waits, so that each sum of a quiet node holds at most a few calls. At 390 nodes it
-// makes 39 lines a second in all.
+// sumInterval is the time between two log lines with sums. It is as long as a watch on
+// upstreams waits, so that on a quiet node few calls end between two lines. With 390
+// nodes, 39 lines a second are logged in all.
 const sumInterval = 10 * time.Second
 
-// Accountant counts calls. It is safe for concurrent use.
+// Accountant counts calls to the store. It is safe for concurrent use.
 type Accountant struct {
 	log   func(number int, pairs ...any)
 	count func(call follower.Call)
-	// done is closed by Run.
+	// done is closed when Run ends.
 	done chan struct{}
 	// mutex guards sums; no other lock is taken under it.
 	mutex sync.Mutex
-	// sums counts the calls since the start of the process; at most one entry for each
-	// feed, reason and outcome, some 150.
+	// sums counts the calls since the start of the process. It has at most one entry
+	// for each combination of feed, reason and outcome, about 150.
 	sums map[follower.Call]int
 }
 
-// New returns an Accountant that logs sums as numbered events and passes each call on;
-// neither may block.
+// New returns an Accountant that logs the sums with log and passes each call to count.
+// Neither function may block.
 func New(log func(number int, pairs ...any), count func(call follower.Call)) *Accountant {
 	return &Accountant{log: log, count: count, done: make(chan struct{}), sums: make(map[follower.Call]int)}
 }
 
-// Count takes in a call that is over.
+// Count adds a finished call to its sum and passes it on.
 func (accountant *Accountant) Count(call follower.Call) {
 	accountant.count(call)
 	accountant.mutex.Lock()
@@ -46,28 +47,30 @@
 	accountant.sums[call]++
 }
 
-// Done is closed once Run has ended.
+// Done returns a channel that is closed when Run has ended.
 func (accountant *Accountant) Done() <-chan struct{} { return accountant.done }
 
-// Run logs the sums at each interval until the context ends, and then once more.
+// Run logs the sums at each sumInterval until the context ends, and then once more.
 func (accountant *Accountant) Run(ctx context.Context) {
 	defer close(accountant.done)
 	for {
 		ended := timer.Sleep(ctx, sumInterval) != nil
-		accountant.Tell()
+		accountant.LogSums()
 		if ended {
 			return
 		}
 	}
 }
 
-// Tell logs the sums since the start of the process, the largest first.
-func (accountant *Accountant) Tell() {
-	total, pairs := accountant.pairs()
+// LogSums logs the sums since the start of the process, the largest first.
+func (accountant *Accountant) LogSums() {
+	total, pairs := accountant.logPairs()
 	accountant.log(logger.EventStoreCalls, append([]any{"total", total}, pairs...)...)
 }
 
-func (accountant *Accountant) pairs() (total int, pairs []any) {
+// logPairs returns the number of all calls, and the key and value of each sum, the
+// largest first.
+func (accountant *Accountant) logPairs() (total int, pairs []any) {
 	accountant.mutex.Lock()
 	defer accountant.mutex.Unlock()
 	var calls []follower.Call
@@ -76,15 +79,15 @@
 		total += sum
 	}
 	slices.SortFunc(calls, func(left, right follower.Call) int {
-		return cmp.Or(cmp.Compare(accountant.sums[right], accountant.sums[left]), cmp.Compare(name(left), name(right)))
+		return cmp.Or(cmp.Compare(accountant.sums[right], accountant.sums[left]), cmp.Compare(logKey(left), logKey(right)))
 	})
 	for _, call := range calls {
-		pairs = append(pairs, name(call), accountant.sums[call])
+		pairs = append(pairs, logKey(call), accountant.sums[call])
 	}
 	return total, pairs
 }
 
-// name returns the name of a sum in the log.
-func name(call follower.Call) string {
+// logKey returns the key of the sum of a call in the log line.
+func logKey(call follower.Call) string {
 	return call.Feed + "." + string(call.Reason) + "." + string(call.Outcome)
 }
--- a/accountant/accountant_test.go
+++ b/accountant/accountant_test.go
@@ -13,8 +13,8 @@
 	"limpetcleat/logger"
 )
 
-// TestSumsAreToldByReason holds the line that a node's calls make, the largest sum first,
-// and that one is told at the end of Run too.
+// TestSumsAreToldByReason checks the logged line of sums, the largest first, and that Run
+// logs the sums when its context has ended.
 func TestSumsAreToldByReason(t *testing.T) {
 	var lines []string
 	log := func(number int, pairs ...any) {
@@ -31,7 +31,7 @@
 	assert.DeepEqual(t, passed, []follower.Call{again, watch, watch})
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	account.Tell()
+	account.LogSums()
 	account.Count(again)
 	account.Count(again)
 	go account.Run(ctx)
--- a/estimator/doc.go
+++ b/estimator/doc.go
@@ -1,4 +1,4 @@
-// Package estimator learns how long answers are, for each class and model, and
-// foretells the length of new and running ones. It is free of input, output,
-// clocks and goroutines.
+// Package estimator predicts the number of output tokens of requests from the
+// lengths of earlier answers of the same class and model. It does no input or
+// output, starts no goroutines and reads no clock: callers pass the time.
 package estimator
--- a/estimator/estimator.go
+++ b/estimator/estimator.go
@@ -9,113 +9,120 @@
 )
 
 const (
-	// longest is the longest answer that is told apart, in tokens.
-	longest = 1 << 17
-	// figures is the precision of a histogram in decimal digits.
-	figures = 1
-	// usual is what is expected before anything was learnt, in tokens.
-	usual = 256
-	// trusted is the number of answers after which the usual length no longer
-	// counts.
-	trusted = 8
-	// window is the number of answers after which the older half is given up.
-	window = 512
-	// half is the age after which a histogram of few answers is given up too.
-	half = 10 * time.Minute
-	// most bounds the number of pairs of class and model that are kept.
-	most = 1024
+	// maxTokens is the length that longer answers are counted as.
+	maxTokens = 1 << 17
+	// significantDigits is the precision of a histogram in decimal digits.
+	significantDigits = 1
+	// defaultTokens is the expected length while no answers are known.
+	defaultTokens = 256
+	// trustedAnswers is the number of answers from which on defaultTokens no longer
+	// enters the estimates.
+	trustedAnswers = 8
+	// windowAnswers is the number of answers after which the histograms are rotated.
+	windowAnswers = 512
+	// windowAge is the age of a window after which the histograms are rotated even
+	// if it holds fewer answers.
+	windowAge = 10 * time.Minute
+	// maxKeys bounds the number of pairs of class and model that are kept.
+	maxKeys = 1024
 )
 
-// key is what lengths are learnt by.
+// key identifies the statistics of one class and model.
 type key struct {
 	class definer.ClassName
 	model string
 }
 
-// Estimator holds the lengths of answers. Its results depend only on what it
-// was told.
+// Estimator estimates the lengths of answers. It is deterministic: its results
+// depend only on the answers that it learnt. It is not safe for concurrent use.
 type Estimator struct {
-	// lengths holds at most a bounded number of pairs.
-	lengths map[key]*lengths
+	// lengths has at most maxKeys entries.
+	lengths map[key]*lengthStatistics
 }
 
-// lengths are the answers of one class and model. Answers go into both
-// histograms; after a window the older is given up, so that estimates follow
-// the last one to two windows.
-type lengths struct {
+// lengthStatistics holds the lengths of the answers of one class and model. Each
+// answer is recorded in both histograms. At the end of a window the older one is
+// dropped and the newer one takes its place, so that estimates, which use the
+// older one, cover the last one to two windows.
+type lengthStatistics struct {
 	older *hdrhistogram.Histogram
 	newer *hdrhistogram.Histogram
-	// sum and count are of the answers in older, in tokens.
-	sum   float64
-	count float64
-	// newerSum is the sum of the answers in newer.
+	// olderSum, in tokens, and olderCount are the sum and the number of the answers
+	// in older.
+	olderSum   float64
+	olderCount float64
+	// newerSum is the sum of the answers in newer, in tokens.
 	newerSum float64
-	// since is when newer was begun.
-	since time.Time
+	// newerSince is when the window of newer began.
+	newerSince time.Time
 }
 
-// New returns an estimator that has learnt nothing.
+// New returns an Estimator that knows no answers.
 func New() *Estimator {
-	return &Estimator{lengths: make(map[key]*lengths)}
+	return &Estimator{lengths: make(map[key]*lengthStatistics)}
 }
 
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, longest, figures) }
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxTokens, significantDigits) }
 
-// Learn takes in the length of one finished answer.
+// Learn records the length of one finished answer. New pairs of class and model
+// are ignored when maxKeys pairs are known.
 func (estimator *Estimator) Learn(now time.Time, class definer.ClassName, model string, tokens int) {
 	at := key{class: class, model: model}
 	found, ok := estimator.lengths[at]
 	if !ok {
-		if len(estimator.lengths) >= most {
+		if len(estimator.lengths) >= maxKeys {
 			return
 		}
-		found = &lengths{older: newHistogram(), newer: newHistogram(), since: now}
+		found = &lengthStatistics{older: newHistogram(), newer: newHistogram(), newerSince: now}
 		estimator.lengths[at] = found
 	}
-	found.learn(now, tokens)
+	found.record(now, tokens)
 }
 
-func (lengths *lengths) learn(now time.Time, tokens int) {
-	if lengths.newer.TotalCount() >= window || now.Sub(lengths.since) >= half {
-		lengths.turn(now)
+func (lengthStatistics *lengthStatistics) record(now time.Time, tokens int) {
+	if lengthStatistics.newer.TotalCount() >= windowAnswers || now.Sub(lengthStatistics.newerSince) >= windowAge {
+		lengthStatistics.rotate(now)
 	}
-	value := int64(min(max(tokens, 1), longest))
-	_ = lengths.older.RecordValue(value)
-	_ = lengths.newer.RecordValue(value)
-	lengths.sum += float64(value)
-	lengths.newerSum += float64(value)
-	lengths.count++
+	value := int64(min(max(tokens, 1), maxTokens))
+	_ = lengthStatistics.older.RecordValue(value)
+	_ = lengthStatistics.newer.RecordValue(value)
+	lengthStatistics.olderSum += float64(value)
+	lengthStatistics.newerSum += float64(value)
+	lengthStatistics.olderCount++
 }
 
-// turn gives up the older histogram.
-func (lengths *lengths) turn(now time.Time) {
-	lengths.since = now
-	if lengths.newer.TotalCount() == 0 {
+// rotate makes the newer histogram the older one and begins an empty newer one. If
+// the newer one is empty, the older one stays.
+func (lengthStatistics *lengthStatistics) rotate(now time.Time) {
+	lengthStatistics.newerSince = now
+	if lengthStatistics.newer.TotalCount() == 0 {
 		return
 	}
-	lengths.older, lengths.newer = lengths.newer, lengths.older
-	lengths.newer.Reset()
-	lengths.sum = lengths.newerSum
-	lengths.count = float64(lengths.older.TotalCount())
-	lengths.newerSum = 0
+	lengthStatistics.older, lengthStatistics.newer = lengthStatistics.newer, lengthStatistics.older
+	lengthStatistics.newer.Reset()
+	lengthStatistics.olderSum = lengthStatistics.newerSum
+	lengthStatistics.olderCount = float64(lengthStatistics.older.TotalCount())
+	lengthStatistics.newerSum = 0
 }
 
-// Output returns the expected number of output tokens of a new request.
+// Output returns the expected number of output tokens of a new request. While fewer
+// than trustedAnswers are known, defaultTokens stands for each missing one.
 func (estimator *Estimator) Output(class definer.ClassName, model string) float64 {
 	found, ok := estimator.lengths[key{class: class, model: model}]
 	if !ok {
-		return usual
+		return defaultTokens
 	}
-	doubt := max(trusted-found.count, 0)
-	return (found.sum + usual*doubt) / (found.count + doubt)
+	doubt := max(trustedAnswers-found.olderCount, 0)
+	return (found.olderSum + defaultTokens*doubt) / (found.olderCount + doubt)
 }
 
-// Remainder returns how many more tokens to expect of a request that produced
-// some already, from the answers that were longer than that.
+// Remainder returns the expected number of further output tokens of a request that
+// has produced the given number, from the earlier answers that were longer. If too
+// few answers are known, or none was longer, it starts from defaultTokens.
 func (estimator *Estimator) Remainder(class definer.ClassName, model string, produced int) float64 {
 	found, ok := estimator.lengths[key{class: class, model: model}]
-	if !ok || found.count < trusted {
-		return remainder(usual, produced)
+	if !ok || found.olderCount < trustedAnswers {
+		return remainder(defaultTokens, produced)
 	}
 	sum, count := 0.0, 0.0
 	for _, bar := range found.older.Distribution() {
@@ -127,13 +134,13 @@
 		count += float64(bar.Count)
 	}
 	if count == 0 {
-		return remainder(usual, produced)
+		return remainder(defaultTokens, produced)
 	}
 	return sum / count
 }
 
-// remainder is what is missing to the expected length, or as much again as was
-// produced when that is passed.
+// remainder returns the number of tokens missing to the expected length, or the
+// number produced if that length is reached.
 func remainder(expected float64, produced int) float64 {
 	if float64(produced) < expected {
 		return expected - float64(produced)
@@ -141,12 +148,12 @@
 	return float64(produced)
 }
 
-// Quantile returns the length that the given share of answers does not exceed,
-// in tokens.
+// Quantile returns the length, in tokens, that the given share of the answers does
+// not exceed. The share is between 0 and 1.
 func (estimator *Estimator) Quantile(class definer.ClassName, model string, share float64) float64 {
 	found, ok := estimator.lengths[key{class: class, model: model}]
-	if !ok || found.count == 0 {
-		return usual
+	if !ok || found.olderCount == 0 {
+		return defaultTokens
 	}
 	return float64(found.older.ValueAtQuantile(share * percent))
 }
--- a/estimator/estimator_test.go
+++ b/estimator/estimator_test.go
@@ -14,9 +14,9 @@
 	"limpetcleat/definer"
 )
 
-func near(t *testing.T, what string, got, wanted, part float64) {
+func assertNear(t *testing.T, what string, got, wanted, part float64) {
 	t.Helper()
-	assert.Assert(t, math.Abs(got-wanted) <= part*wanted, "%s is %.1f, not about %.1f", what, got, wanted)
+	assert.Assert(t, math.Abs(got-wanted) <= part*wanted, "%s is %.1f, want about %.1f", what, got, wanted)
 }
 
 func TestLengthsAreLearnt(t *testing.T) {
@@ -41,9 +41,9 @@
 			for range 900 {
 				estimator.Learn(time.Unix(0, 0), "draft", "small", test.draw())
 			}
-			near(t, "the output", estimator.Output("draft", "small"), test.mean, 0.15)
-			near(t, "the remainder after 110", estimator.Remainder("draft", "small", 110), test.afterHundred, 0.2)
-			near(t, "the remainder after more", estimator.Remainder("draft", "small", test.more), test.afterMore, 0.25)
+			assertNear(t, "the output", estimator.Output("draft", "small"), test.mean, 0.15)
+			assertNear(t, "the remainder after 110", estimator.Remainder("draft", "small", 110), test.afterHundred, 0.2)
+			assertNear(t, "the remainder after more", estimator.Remainder("draft", "small", test.more), test.afterMore, 0.25)
 		})
 	}
 }
@@ -62,27 +62,27 @@
 					estimator.Learn(now, "draft", "small", tokens)
 				}
 			}
-			near(t, "the output", estimator.Output("draft", "small"), 100, 0.1)
-			near(t, "the median", estimator.Quantile("draft", "small", 0.5), 100, 0.1)
+			assertNear(t, "the output", estimator.Output("draft", "small"), 100, 0.1)
+			assertNear(t, "the median", estimator.Quantile("draft", "small", 0.5), 100, 0.1)
 		})
 	}
 }
 
 func TestUnknownLengthsHaveAUsualOne(t *testing.T) {
 	estimator := New()
-	assert.Equal(t, estimator.Output("draft", "small"), float64(usual))
+	assert.Equal(t, estimator.Output("draft", "small"), float64(defaultTokens))
 	assert.Equal(t, estimator.Remainder("draft", "small", 56), float64(200))
-	assert.Equal(t, estimator.Quantile("draft", "small", 0.9), float64(usual))
+	assert.Equal(t, estimator.Quantile("draft", "small", 0.9), float64(defaultTokens))
 	estimator.Learn(time.Unix(0, 0), "draft", "small", 10_000)
 	assert.Assert(t, estimator.Output("draft", "small") < 2000, "one answer does not decide")
-	for index := range 2 * most {
+	for index := range 2 * maxKeys {
 		estimator.Learn(time.Unix(0, 0), definer.ClassName(fmt.Sprint(index)), "small", 5)
 	}
-	assert.Equal(t, len(estimator.lengths), most)
+	assert.Equal(t, len(estimator.lengths), maxKeys)
 }
 
 func TestEstimatesArePositiveAndOrdered(t *testing.T) {
-	// The verdict is the same every time.
+	// A fixed seed makes the outcome the same in each run.
 	assert.NilError(t, flag.Set("rapid.seed", "20261202"))
 	rapid.Check(t, func(check *rapid.T) {
 		estimator := New()
--- a/limiter/doc.go
+++ b/limiter/doc.go
@@ -1,4 +1,5 @@
-// Package limiter holds what bounds load: the adaptive limit of an upstream,
-// learnt from what attempts observed, and the rate of an organisation. It is
-// free of input, output, clocks and goroutines.
+// Package limiter adapts the concurrency limit of each upstream to the latencies
+// and failures of its requests, and limits the request rate of each organisation.
+// It does no input or output, starts no goroutines and reads no clock: callers
+// pass the time.
 package limiter
--- a/limiter/limiter.go
+++ b/limiter/limiter.go
@@ -9,56 +9,63 @@
 )
 
 const (
-	// raise is what a full round of good observations adds to a limit.
-	raise = 1.0
-	// lower is the factor of a limit after a round with too slow an upstream.
-	lower = 0.85
-	// fail is the factor of a limit after a failed attempt.
-	fail = 0.7
-	// inUse is the part of a limit that must run for it to be raised.
-	inUse = 0.75
-	// keep is the part of the past in the mean of observations.
-	keep = 0.8
-	// calm is the least time between two decreases, so that the requests that
-	// were under way do not count against a limit twice.
-	calm = 2 * time.Second
-	// queued is the factor of the least latency of a service at which it is
-	// taken to queue.
-	queued = 2.0
-	// drift is the part by which the least latency is raised with each
-	// observation, so that it is learnt anew after a change.
-	drift = 1.002
+	// increaseStep is what a limit grows by after as many observations within the
+	// target as the limit allows concurrent requests.
+	increaseStep = 1.0
+	// latencyDecreaseFactor multiplies the limit of an upstream that is slower than
+	// the target.
+	latencyDecreaseFactor = 0.85
+	// failureDecreaseFactor multiplies the limit after a failed attempt.
+	failureDecreaseFactor = 0.7
+	// minUtilisation is the share of a limit that must be in use for it to be raised.
+	minUtilisation = 0.75
+	// meanDecay is the weight of the previous mean in the exponential moving average
+	// of latency ratios.
+	meanDecay = 0.8
+	// decreaseInterval is the least time between two decreases. Requests that were
+	// running at the first decrease were sent under the old limit and would
+	// otherwise lower the new one as well. The limit is not raised in it either.
+	decreaseInterval = 2 * time.Second
+	// queueingFactor is the multiple of its least latency above which a service is
+	// taken to queue requests.
+	queueingFactor = 2.0
+	// leastLatencyGrowth multiplies the least latency at each observation, so that
+	// a service that became slower for good gets a new least latency in time.
+	leastLatencyGrowth = 1.002
 )
 
-// Limiter adapts the limit of each upstream: additive increase, multiplicative
-// decrease. It compares what attempts saw with the targets of their class; the
-// upstream's own report plays no part. A limit is raised only while it is in
-// use, and falls to 1 at least, so that a straggler keeps getting requests and
-// shows by them when it has recovered.
+// Limiter adapts the concurrency limit of each upstream by additive increase and
+// multiplicative decrease. It compares the latencies of attempts with the targets
+// of their class and ignores the load that the upstream reports itself. A limit
+// is raised only while it is in use. It never falls below 1, so that a slow
+// upstream keeps getting requests, by which its recovery shows. A Limiter is not
+// safe for concurrent use.
 type Limiter struct {
-	// states holds what is known of each upstream.
-	states map[definer.UpstreamName]*state
+	// states holds one entry for each upstream that was observed.
+	states map[definer.UpstreamName]*upstreamState
 }
 
-// state is what is known of one upstream.
-type state struct {
-	// limit is between 1 and the upstream's most slots.
+// upstreamState is the limit of one upstream and what it is derived from.
+type upstreamState struct {
+	// limit is between 1 and the maximum of slots of the upstream.
 	limit float64
-	// strain is, for each class, the decayed mean of what was observed, relative
-	// to the target; above 1 is too slow.
-	strain map[definer.ClassName]float64
-	// used is the number of requests that ran when one ended last.
-	used int
-	// least is the least latency of a service seen of late.
-	least time.Duration
-	// lowered is when the limit was last decreased.
-	lowered time.Time
+	// latencyRatios holds, for each class, the exponential moving average of
+	// latency divided by target; a ratio above 1 misses the target.
+	latencyRatios map[definer.ClassName]float64
+	// running is the number of requests that ran when the last one ended.
+	running int
+	// leastLatency is the least latency of a service, raised by leastLatencyGrowth
+	// at each observation.
+	leastLatency time.Duration
+	// decreasedAt is when the limit was last decreased; zero if it never was.
+	decreasedAt time.Time
 }
 
-// New returns a limiter that starts each upstream with its configured slots.
-func New() *Limiter { return &Limiter{states: make(map[definer.UpstreamName]*state)} }
+// New returns a Limiter that starts each upstream with its configured number of
+// slots.
+func New() *Limiter { return &Limiter{states: make(map[definer.UpstreamName]*upstreamState)} }
 
-// Limit returns how many requests the upstream may run at once.
+// Limit returns the number of requests that the upstream may run concurrently.
 func (limiter *Limiter) Limit(upstream *definer.Upstream) int {
 	found, ok := limiter.states[upstream.Name()]
 	if !ok {
@@ -67,9 +74,9 @@
 	return min(max(int(found.limit), 1), upstream.MaxSlots())
 }
 
-// Retain drops what is known of all upstreams but the given ones.
+// Retain drops the state of all upstreams except the given ones.
 func (limiter *Limiter) Retain(upstreams []*definer.Upstream) {
-	kept := make(map[definer.UpstreamName]*state, len(upstreams))
+	kept := make(map[definer.UpstreamName]*upstreamState, len(upstreams))
 	for _, upstream := range upstreams {
 		if found, ok := limiter.states[upstream.Name()]; ok {
 			kept[upstream.Name()] = found
@@ -78,89 +85,95 @@
 	limiter.states = kept
 }
 
-// Observe takes in what one attempt showed.
+// Observe adapts the limit of the upstream to the outcome of one attempt. Use must
+// be called first with the number of requests that ran.
 func (limiter *Limiter) Observe(now time.Time, upstream *definer.Upstream, class *definer.Class, observation messenger.Observation) {
-	found := limiter.state(upstream)
+	found := limiter.stateOf(upstream)
 	if observation.Failed {
-		found.decrease(now, fail)
+		found.decrease(now, failureDecreaseFactor)
 		return
 	}
-	strain, known := found.measure(class, observation)
+	latencyRatio, known := found.latencyRatio(class, observation)
 	if !known {
 		return
 	}
-	mean := keep*found.strain[class.Name()] + (1-keep)*strain
-	found.strain[class.Name()] = mean
-	if mean > 1 && strain > 1 {
-		found.decrease(now, lower)
+	mean := meanDecay*found.latencyRatios[class.Name()] + (1-meanDecay)*latencyRatio
+	found.latencyRatios[class.Name()] = mean
+	if mean > 1 && latencyRatio > 1 {
+		found.decrease(now, latencyDecreaseFactor)
 		return
 	}
-	if strain <= 1 {
+	if latencyRatio <= 1 {
 		found.increase(now, upstream.MaxSlots())
 	}
 }
 
-// Use takes in how many requests ran on an upstream when one of them ended. It
-// is to be called before Observe.
+// Use records how many requests ran on the upstream when one of them ended. It
+// must be called before Observe for that request.
 func (limiter *Limiter) Use(upstream *definer.Upstream, running int) {
-	limiter.state(upstream).used = running
+	limiter.stateOf(upstream).running = running
 }
 
-func (limiter *Limiter) state(upstream *definer.Upstream) *state {
+func (limiter *Limiter) stateOf(upstream *definer.Upstream) *upstreamState {
 	found, ok := limiter.states[upstream.Name()]
 	if !ok {
-		found = &state{limit: float64(upstream.Slots()), strain: make(map[definer.ClassName]float64)}
+		found = &upstreamState{limit: float64(upstream.Slots()), latencyRatios: make(map[definer.ClassName]float64)}
 		limiter.states[upstream.Name()] = found
 	}
 	return found
 }
 
-// increase raises the limit if it is in use and nothing was too slow of late.
-func (state *state) increase(now time.Time, most int) {
-	recovering := !state.lowered.IsZero() && now.Sub(state.lowered) < calm
-	if recovering || float64(state.used) < inUse*math.Floor(state.limit) {
+// increase raises the limit, up to most, if it is in use and was not decreased
+// within the decreaseInterval.
+func (upstreamState *upstreamState) increase(now time.Time, most int) {
+	recovering := !upstreamState.decreasedAt.IsZero() && now.Sub(upstreamState.decreasedAt) < decreaseInterval
+	if recovering || float64(upstreamState.running) < minUtilisation*math.Floor(upstreamState.limit) {
 		return
 	}
-	state.limit = min(state.limit+raise/state.limit, float64(most))
+	upstreamState.limit = min(upstreamState.limit+increaseStep/upstreamState.limit, float64(most))
 }
 
-// decrease lowers the limit, at most once in a calm time.
-func (state *state) decrease(now time.Time, factor float64) {
-	if !state.lowered.IsZero() && now.Sub(state.lowered) < calm {
+// decrease multiplies the limit by the factor, at most once in each
+// decreaseInterval.
+func (upstreamState *upstreamState) decrease(now time.Time, factor float64) {
+	if !upstreamState.decreasedAt.IsZero() && now.Sub(upstreamState.decreasedAt) < decreaseInterval {
 		return
 	}
-	state.lowered = now
-	state.limit = max(1, state.limit*factor)
+	upstreamState.decreasedAt = now
+	upstreamState.limit = max(1, upstreamState.limit*factor)
 }
 
-// measure returns how an attempt compares with its target; above 1 is too slow.
-func (state *state) measure(class *definer.Class, observation messenger.Observation) (float64, bool) {
-	strain := 0.0
+// latencyRatio returns the latency of an attempt divided by its target, and whether
+// the observation holds a latency. A ratio above 1 misses the target.
+func (upstreamState *upstreamState) latencyRatio(class *definer.Class, observation messenger.Observation) (float64, bool) {
+	latencyRatio := 0.0
 	if observation.BetweenTokens > 0 && class.BetweenTokens() > 0 {
-		strain = ratio(observation.BetweenTokens, class.BetweenTokens())
+		latencyRatio = ratio(observation.BetweenTokens, class.BetweenTokens())
 	}
-	// An engine whose batch is full shows it by the first token alone.
+	// An engine whose batch is full delays the first token only: the time between
+	// tokens stays short.
 	first := observation.FirstToken - observation.Paused
 	if first > 0 && class.FirstToken() > 0 {
-		strain = max(strain, ratio(first, class.FirstToken()))
+		latencyRatio = max(latencyRatio, ratio(first, class.FirstToken()))
 	}
-	if strain > 0 {
-		return strain, true
+	if latencyRatio > 0 {
+		return latencyRatio, true
 	}
 	if observation.Tokens > 0 || observation.Total <= 0 {
 		return 0, false
 	}
-	return state.latency(observation.Total), true
+	return upstreamState.serviceLatencyRatio(observation.Total), true
 }
 
-// latency compares the time of a service's call with the least seen of late.
-func (state *state) latency(total time.Duration) float64 {
-	least := time.Duration(float64(state.least) * drift)
-	if state.least == 0 || total < least {
+// serviceLatencyRatio returns the duration of a call to a service divided by the
+// latency at which the service is taken to queue. Calls to services have no target.
+func (upstreamState *upstreamState) serviceLatencyRatio(total time.Duration) float64 {
+	least := time.Duration(float64(upstreamState.leastLatency) * leastLatencyGrowth)
+	if upstreamState.leastLatency == 0 || total < least {
 		least = total
 	}
-	state.least = least
-	return float64(total) / (queued * float64(least))
+	upstreamState.leastLatency = least
+	return float64(total) / (queueingFactor * float64(least))
 }
 
-func ratio(seen, target time.Duration) float64 { return float64(seen) / float64(target) }
+func ratio(observed, target time.Duration) float64 { return float64(observed) / float64(target) }
--- a/limiter/limiter_test.go
+++ b/limiter/limiter_test.go
@@ -11,7 +11,7 @@
 	"limpetcleat/messenger"
 )
 
-func build(t *testing.T, slots, most int) (*definer.Upstream, *definer.Class) {
+func buildUpstream(t *testing.T, slots, most int) (*definer.Upstream, *definer.Class) {
 	configuration, err := definer.Build(1, definer.Document{
 		Classes: []definer.ClassDocument{{Name: "draft", FirstTokenMs: 1000, BetweenTokensMs: 30, Attainment: 0.9, LongestWaitMs: 1000}},
 		Pools: []definer.PoolDocument{{Name: "shared", Kind: "engine", Upstreams: []definer.UpstreamDocument{
@@ -22,9 +22,9 @@
 	return configuration.Pools()[0].Upstreams()[0], configuration.Classes()[0]
 }
 
-// run lets an upstream serve as many requests at once as its limit allows for
-// some time and returns the limit at the end.
-func run(limiter *Limiter, upstream *definer.Upstream, class *definer.Class, now *time.Time, length time.Duration, observe func(running int) messenger.Observation) int {
+// serve runs as many concurrent requests as the limit of the upstream allows,
+// observes one every 100 ms for the given length, and returns the limit at the end.
+func serve(limiter *Limiter, upstream *definer.Upstream, class *definer.Class, now *time.Time, length time.Duration, observe func(running int) messenger.Observation) int {
 	for end := now.Add(length); now.Before(end); *now = now.Add(100 * time.Millisecond) {
 		running := limiter.Limit(upstream)
 		limiter.Use(upstream, running)
@@ -33,8 +33,9 @@
 	return limiter.Limit(upstream)
 }
 
-// engine takes so long between tokens for each request that it runs.
-func engine(each time.Duration) func(int) messenger.Observation {
+// engineObservation returns the observation of an engine whose time between tokens
+// is the given time for each running request.
+func engineObservation(each time.Duration) func(int) messenger.Observation {
 	return func(running int) messenger.Observation {
 		return messenger.Observation{Tokens: 100, FirstToken: 100 * time.Millisecond, BetweenTokens: time.Duration(running) * each}
 	}
@@ -53,43 +54,43 @@
 		observe     func(int) messenger.Observation
 		least, most int
 	}{
-		{"fast enough for all", engine(time.Millisecond / 2), 32, 32},
-		{"target met up to ten", engine(3 * time.Millisecond), 7, 11},
+		{"fast enough for all", engineObservation(time.Millisecond / 2), 32, 32},
+		{"target met up to ten", engineObservation(3 * time.Millisecond), 7, 11},
 		{"full batch seen by the first token", fullBatch, 8, 14},
-		{"straggler", engine(50 * time.Millisecond), 1, 1},
+		{"straggler", engineObservation(50 * time.Millisecond), 1, 1},
 		{"failing", failing, 1, 1},
 		{"service queueing from twelve on", service, 8, 14},
 		{"nothing known", func(int) messenger.Observation { return messenger.Observation{} }, 8, 8},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			upstream, class := build(t, 8, 32)
+			upstream, class := buildUpstream(t, 8, 32)
 			limiter, now := New(), time.Unix(0, 0)
-			limit := run(limiter, upstream, class, &now, 10*time.Minute, test.observe)
-			assert.Assert(t, limit >= test.least && limit <= test.most, "the limit is %d", limit)
+			limit := serve(limiter, upstream, class, &now, 10*time.Minute, test.observe)
+			assert.Assert(t, limit >= test.least && limit <= test.most, "limit is %d", limit)
 		})
 	}
 }
 
 func TestStragglerGetsItsShareBack(t *testing.T) {
-	upstream, class := build(t, 8, 16)
+	upstream, class := buildUpstream(t, 8, 16)
 	limiter, now := New(), time.Unix(0, 0)
-	assert.Equal(t, run(limiter, upstream, class, &now, time.Minute, engine(50*time.Millisecond)), 1)
-	assert.Assert(t, run(limiter, upstream, class, &now, time.Minute, engine(time.Millisecond)) >= 8)
+	assert.Equal(t, serve(limiter, upstream, class, &now, time.Minute, engineObservation(50*time.Millisecond)), 1)
+	assert.Assert(t, serve(limiter, upstream, class, &now, time.Minute, engineObservation(time.Millisecond)) >= 8)
 	limiter.Retain(nil)
 	assert.Equal(t, limiter.Limit(upstream), 8)
 }
 
 func TestLimitIsNotRaisedWhileItIsNotUsed(t *testing.T) {
-	upstream, class := build(t, 8, 16)
+	upstream, class := buildUpstream(t, 8, 16)
 	limiter, now := New(), time.Unix(0, 0)
 	for range 1000 {
 		limiter.Use(upstream, 2)
-		limiter.Observe(now, upstream, class, engine(time.Millisecond)(2))
+		limiter.Observe(now, upstream, class, engineObservation(time.Millisecond)(2))
 	}
 	assert.Equal(t, limiter.Limit(upstream), 8)
 }
 
-func organisations(t *testing.T, count int, perSecond float64) []*definer.Organisation {
+func buildOrganisations(t *testing.T, count int, perSecond float64) []*definer.Organisation {
 	document := definer.Document{}
 	for index := range count {
 		document.Organisations = append(document.Organisations, definer.OrganisationDocument{Name: fmt.Sprint("o", index), RequestsPerSecond: perSecond})
@@ -109,25 +110,25 @@
 		perSecond float64
 		allowed   int
 	}{{0, 1000}, {0.5, 6}, {5, 55}, {20, 220}} {
-		organisation := organisations(t, 1, test.perSecond)[0]
-		limits, now, allowed := NewRate(), time.Unix(0, 0), 0
+		organisation := buildOrganisations(t, 1, test.perSecond)[0]
+		rateLimiter, now, allowed := NewRate(), time.Unix(0, 0), 0
 		for range 1000 {
-			ok, wait := limits.Allow(now, organisation)
+			ok, wait := rateLimiter.Allow(now, organisation)
 			if ok {
 				allowed++
 			}
 			assert.Equal(t, ok, wait == 0)
 			now = now.Add(10 * time.Millisecond)
 		}
-		assert.Assert(t, allowed >= test.allowed-1 && allowed <= test.allowed+1, "%v: %d", test.perSecond, allowed)
+		assert.Assert(t, allowed >= test.allowed-1 && allowed <= test.allowed+1, "%v requests per second: %d were allowed", test.perSecond, allowed)
 	}
 }
 
 func TestRateKeepsOnlyBusyOrganisations(t *testing.T) {
-	limits, now := NewRate(), time.Unix(0, 0)
-	for _, organisation := range organisations(t, 1900, 2) {
-		limits.Allow(now, organisation)
+	rateLimiter, now := NewRate(), time.Unix(0, 0)
+	for _, organisation := range buildOrganisations(t, 1900, 2) {
+		rateLimiter.Allow(now, organisation)
 		now = now.Add(10 * time.Millisecond)
 	}
-	assert.Assert(t, len(limits.buckets) < 600, "%d are kept", len(limits.buckets))
+	assert.Assert(t, len(rateLimiter.buckets) < 600, "%d buckets are kept", len(rateLimiter.buckets))
 }
--- a/limiter/rate.go
+++ b/limiter/rate.go
@@ -9,34 +9,37 @@
 )
 
 const (
-	// burstTime is how much of its rate an organisation may use at once.
+	// burstTime is the time whose allowance an organisation may use at once.
 	burstTime = time.Second
-	// sweepAt is the number of organisations at which idle ones are dropped.
-	sweepAt = 256
+	// minSweepSize is the least number of buckets at which full ones are dropped.
+	minSweepSize = 256
 )
 
-// Rate bounds the requests a second of each organisation at one entry VM.
+// Rate rateLimiter the requests per second of each organisation at one entry VM, with
+// a token bucket for each. It is not safe for concurrent use.
 type Rate struct {
-	// buckets holds the organisations that may not have their whole burst.
+	// buckets holds a token bucket for each organisation whose bucket may not be
+	// full.
 	buckets map[definer.OrganisationName]*rate.Limiter
-	// sweepAt is the number of buckets at which full ones are dropped next.
-	sweepAt int
+	// nextSweepSize is the number of buckets at which full ones are dropped next.
+	nextSweepSize int
 }
 
-// NewRate returns a rate that has counted nothing.
+// NewRate returns a Rate in which each organisation may use its whole burst.
 func NewRate() *Rate {
-	return &Rate{buckets: make(map[definer.OrganisationName]*rate.Limiter), sweepAt: sweepAt}
+	return &Rate{buckets: make(map[definer.OrganisationName]*rate.Limiter), nextSweepSize: minSweepSize}
 }
 
-// Allow counts one request. It returns true when the organisation is within
-// its rate, else how long until it may send the next one.
-func (limits *Rate) Allow(now time.Time, organisation *definer.Organisation) (bool, time.Duration) {
+// Allow reports whether the organisation may send a request now, and takes a token
+// from its bucket if it may. Otherwise it takes none and returns the time until the
+// next request is allowed. An organisation without a positive rate is not limited.
+func (rateLimiter *Rate) Allow(now time.Time, organisation *definer.Organisation) (bool, time.Duration) {
 	perSecond := organisation.RequestsPerSecond()
 	if perSecond <= 0 {
-		delete(limits.buckets, organisation.Name())
+		delete(rateLimiter.buckets, organisation.Name())
 		return true, 0
 	}
-	bucket := limits.bucket(now, organisation.Name(), perSecond)
+	bucket := rateLimiter.bucket(now, organisation.Name(), perSecond)
 	reservation := bucket.ReserveN(now, 1)
 	delay := reservation.DelayFrom(now)
 	if delay == 0 {
@@ -46,13 +49,13 @@
 	return false, delay
 }
 
-func (limits *Rate) bucket(now time.Time, name definer.OrganisationName, perSecond float64) *rate.Limiter {
+func (rateLimiter *Rate) bucket(now time.Time, name definer.OrganisationName, perSecond float64) *rate.Limiter {
 	burst := max(1, int(perSecond*burstTime.Seconds()))
-	found, ok := limits.buckets[name]
+	found, ok := rateLimiter.buckets[name]
 	if !ok {
-		limits.sweep(now)
+		rateLimiter.sweep(now)
 		found = rate.NewLimiter(rate.Limit(perSecond), burst)
-		limits.buckets[name] = found
+		rateLimiter.buckets[name] = found
 		return found
 	}
 	if found.Limit() != rate.Limit(perSecond) {
@@ -62,16 +65,17 @@
 	return found
 }
 
-// sweep drops full buckets; a new one would be the same. What is kept then may
-// double before the next look, so that looking costs little for each request.
-func (limits *Rate) sweep(now time.Time) {
-	if len(limits.buckets) < limits.sweepAt {
+// sweep drops full buckets: a new bucket is full as well. The next sweep follows
+// when the number of buckets kept has doubled, which keeps the amortised cost of a
+// request small.
+func (rateLimiter *Rate) sweep(now time.Time) {
+	if len(rateLimiter.buckets) < rateLimiter.nextSweepSize {
 		return
 	}
-	for name, bucket := range limits.buckets {
+	for name, bucket := range rateLimiter.buckets {
 		if bucket.TokensAt(now) >= float64(bucket.Burst()) {
-			delete(limits.buckets, name)
+			delete(rateLimiter.buckets, name)
 		}
 	}
-	limits.sweepAt = max(sweepAt, 2*len(limits.buckets))
+	rateLimiter.nextSweepSize = max(minSweepSize, 2*len(rateLimiter.buckets))
 }
