--- a/claimer/answered.go
+++ b/claimer/answered.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// answered takes in the platform's answer to the call under way.
+// answered handles the platform's answer to the outstanding call.
 func (bucket *bucket) answered(now time.Time, answer Answer) {
 	phase := bucket.phase
 	bucket.phase = idle
 	if answer.Result == Lost || answer.Result == Rejected {
-		bucket.failed(now, phase, answer)
+		bucket.callFailed(now, phase, answer)
 		bucket.advance(now)
 		return
 	}
@@ -20,67 +20,69 @@
 	case readingSegment:
 		bucket.segmentRead(now, answer)
 	case readingSealed:
-		bucket.sealedRead(now, answer)
+		bucket.sealedSegmentRead(now, answer)
 	case sealing:
-		bucket.sealedWritten(now, answer)
+		bucket.sealedSegmentWritten(now, answer)
 	case deleting:
-		bucket.dropped[bucket.number] = true
+		bucket.deleted[bucket.segmentNumber] = true
 	case writing:
-		bucket.written(now, answer)
+		bucket.headWritten(now, answer)
 	}
 	bucket.advance(now)
 }
 
-// failed deals with a call that got no answer or was turned away. What a lost
-// write did is found out by reading back: the same steps are taken again on
-// what then stands, and a claim that stands is found by its request.
-func (bucket *bucket) failed(now time.Time, phase phase, answer Answer) {
+// callFailed handles a call that got no answer or was rejected. Whether a lost write
+// took effect is found by reading the object again: the steps are then applied to the
+// object as stored, and a claim that was stored is recognised by its request.
+func (bucket *bucket) callFailed(now time.Time, phase phase, answer Answer) {
 	bucket.failures++
 	bucket.pause(now, bucket.failures, firstPause, longestPause)
 	switch {
 	case phase == sealing && answer.Result == Lost:
-		bucket.read(now, readingSealed, bucket.number)
+		bucket.read(now, readingSealed, bucket.segmentNumber)
 	case phase == sealing || phase == readingSealed:
 		bucket.sealed = nil
 	case phase == writing && answer.Result == Lost:
-		bucket.known = false
+		bucket.headKnown = false
 	}
 }
 
-// pause holds the bucket's next call back, longer with each failure and by a
-// share drawn from the seed.
+// pause delays the next call of the bucket: exponential backoff, from first up to
+// longest, with jitter of half to one and a half times the delay.
 func (bucket *bucket) pause(now time.Time, failures int, first, longest time.Duration) {
 	wait := min(first<<min(failures, maxDoublings), longest)
 	bucket.pausedUntil = now.Add(wait/2 + time.Duration(bucket.writer.random.Int64N(int64(wait))))
 }
 
-// headRead takes in the head as it stands, or that there is none.
+// headRead handles the head as stored, or its absence.
 func (bucket *bucket) headRead(now time.Time, answer Answer) {
 	bucket.head = head{}
-	bucket.version = 0
+	bucket.headVersion = 0
 	if answer.Result != Missing {
 		decoded, err := decode[head](answer.Value)
 		if err != nil {
-			bucket.spoilt(now)
+			bucket.objectMalformed(now)
 			return
 		}
 		bucket.head = decoded
-		bucket.version = answer.Version
+		bucket.headVersion = answer.Version
 	}
-	bucket.known = true
-	bucket.fresh = bucket.current
-	bucket.forgetSegments()
+	bucket.headKnown = true
+	bucket.headFresh = bucket.current
+	bucket.dropUnlistedSegments()
 }
 
-// spoilt deals with an object that cannot be read: nothing is claimed on it.
-func (bucket *bucket) spoilt(now time.Time) {
-	bucket.known = false
+// objectMalformed handles an object that cannot be decoded: the head is read again
+// after a pause, and nothing is written until the bucket can be decoded.
+func (bucket *bucket) objectMalformed(now time.Time) {
+	bucket.headKnown = false
 	bucket.failures++
 	bucket.pause(now, bucket.failures, firstPause, longestPause)
 }
 
-// forgetSegments drops what the head no longer counts on.
-func (bucket *bucket) forgetSegments() {
+// dropUnlistedSegments drops the state of segments that the head does not list, and the
+// sealed segment unless it is the next one to be listed.
+func (bucket *bucket) dropUnlistedSegments() {
 	listed := make(map[int]bool, len(bucket.head.Segments))
 	for _, segment := range bucket.head.Segments {
 		listed[segment.Number] = true
@@ -90,9 +92,9 @@
 			delete(bucket.segments, number)
 		}
 	}
-	for number := range bucket.dropped {
+	for number := range bucket.deleted {
 		if !listed[number] {
-			delete(bucket.dropped, number)
+			delete(bucket.deleted, number)
 		}
 	}
 	if bucket.sealed != nil && bucket.sealed.number != bucket.head.Next {
@@ -100,46 +102,51 @@
 	}
 }
 
+// segmentRead handles the answer to the read of a listed segment.
 func (bucket *bucket) segmentRead(now time.Time, answer Answer) {
 	if answer.Result != Done {
-		// Somebody deleted it; the head that is read next no longer lists it.
-		bucket.known = false
+		// Another writer deleted the segment; the next head read does not list it.
+		bucket.headKnown = false
 		bucket.pause(now, 0, conflictPause, longestConflictPause)
 		return
 	}
 	decoded, err := decode[segment](answer.Value)
 	if err != nil {
-		bucket.spoilt(now)
+		bucket.objectMalformed(now)
 		return
 	}
-	bucket.segments[bucket.number] = decoded
+	bucket.segments[bucket.segmentNumber] = decoded
 }
 
-func (bucket *bucket) sealedWritten(now time.Time, answer Answer) {
+// sealedSegmentWritten handles the answer to the creation of a segment. If the segment
+// exists already, it is read and adopted.
+func (bucket *bucket) sealedSegmentWritten(now time.Time, answer Answer) {
 	if answer.Result != Done {
-		bucket.read(now, readingSealed, bucket.number)
+		bucket.read(now, readingSealed, bucket.segmentNumber)
 		return
 	}
 	bucket.sealed.version = answer.Version
 }
 
-// sealedRead adopts a segment that stands already, whoever created it.
-func (bucket *bucket) sealedRead(now time.Time, answer Answer) {
+// sealedSegmentRead adopts the stored segment, which this or another writer may have
+// created.
+func (bucket *bucket) sealedSegmentRead(now time.Time, answer Answer) {
 	bucket.sealed = nil
 	if answer.Result != Done {
-		bucket.known = false
+		bucket.headKnown = false
 		return
 	}
 	decoded, err := decode[segment](answer.Value)
 	if err != nil {
-		bucket.spoilt(now)
+		bucket.objectMalformed(now)
 		return
 	}
-	bucket.sealed = &sealed{number: bucket.number, version: answer.Version, segment: decoded}
+	bucket.sealed = &sealedSegment{number: bucket.segmentNumber, version: answer.Version, segment: decoded}
 }
 
-// written deals with the answer to a conditional write.
-func (bucket *bucket) written(now time.Time, answer Answer) {
+// headWritten handles the answer to a conditional write of the head. After a conflict
+// the answer holds the head as stored.
+func (bucket *bucket) headWritten(now time.Time, answer Answer) {
 	if answer.Result != Done {
 		bucket.conflicts++
 		bucket.pause(now, bucket.conflicts, conflictPause, longestConflictPause)
@@ -148,13 +155,13 @@
 	}
 	bucket.conflicts = 0
 	bucket.head = bucket.proposed.head
-	bucket.version = answer.Version
-	bucket.known = true
-	bucket.fresh = bucket.current
+	bucket.headVersion = answer.Version
+	bucket.headKnown = true
+	bucket.headFresh = bucket.current
 	if bucket.proposed.listsSealed {
 		bucket.segments[bucket.sealed.number] = bucket.sealed.segment
 		bucket.sealed = nil
 	}
-	bucket.forgetSegments()
+	bucket.dropUnlistedSegments()
 	bucket.settle()
 }
--- a/claimer/bucket.go
+++ b/claimer/bucket.go
@@ -6,7 +6,7 @@
 	"limpetcleat/messenger"
 )
 
-// phase tells which call of a bucket is under way.
+// phase is the kind of the outstanding call of a bucket.
 type phase int
 
 const (
@@ -19,82 +19,88 @@
 	writing
 )
 
-// bucket is one writer's view of the claims of one bucket. It has at most one
-// call under way; steps that come meanwhile wait for the next.
+// bucket is the view that one writer has of the claims of one bucket. It has at most
+// one outstanding call; steps that arrive meanwhile wait for the next call.
 type bucket struct {
 	writer *Writer
 	index  int
 	phase  phase
-	// number is the segment of the call under way.
-	number int
-	// known says that head is what was read or written last.
-	known bool
-	// fresh says that head was read or written after every waiting step came.
-	fresh bool
-	// current says that no step came since the call under way was made.
+	// segmentNumber is the number of the segment that the outstanding call is about.
+	segmentNumber int
+	// headKnown reports whether head is what was read or written last.
+	headKnown bool
+	// headFresh reports whether the call that read or wrote head began after the last
+	// waiting step arrived.
+	headFresh bool
+	// current reports whether no step arrived since the last call began.
 	current bool
-	// version is that of head; 0 when there is no such object yet.
-	version uint64
-	head    head
-	// segments holds those that were read; they never change.
+	// headVersion is the version of the stored head, 0 if the object does not exist
+	// yet.
+	headVersion uint64
+	head        head
+	// segments holds the segments that were read; segments are immutable.
 	segments map[int]segment
-	// sealed is the segment that exists and that the head does not list yet.
-	sealed *sealed
-	// dropped holds listed segments that have been deleted.
-	dropped map[int]bool
-	// waiting are the steps to be taken, in the order in which they came.
-	waiting []waiting
-	// proposed is the head of the write under way, with a verdict for each of
-	// the first waiting steps, in their order.
+	// sealed is the segment that is being created, or exists, but is not listed in
+	// the head yet; nil if there is none.
+	sealed *sealedSegment
+	// deleted holds the segments that were deleted but are still listed in the head.
+	deleted map[int]bool
+	// waiting holds the steps without a verdict, in the order of their arrival.
+	waiting []waitingStep
+	// proposed is the head of the outstanding write, with a verdict for each of the
+	// first waiting steps, in their order.
 	proposed proposal
-	// failures counts calls in a row without success.
+	// failures is the number of failed calls in a row.
 	failures int
-	// conflicts counts writes in a row that met another version.
+	// conflicts is the number of writes in a row that met another version.
 	conflicts int
-	// pausedUntil is when the next call may go out after a failure.
+	// pausedUntil is when the next call may be made after a failure or a conflict.
 	pausedUntil time.Time
-	// credit is the time up to which writes have been spent.
-	credit time.Time
-	// wake is when the set timer fires; zero when none is.
-	wake time.Time
+	// writeCredit limits the rate of writes: each write advances it by writeGap, and
+	// the next write waits while it is more than writeBurst gaps ahead of the time.
+	writeCredit time.Time
+	// wakeTime is when the timer fires; zero if none is set.
+	wakeTime time.Time
 }
 
-// waiting is a step with the time at which it came.
-type waiting struct {
+// waitingStep is a step with the time of its arrival.
+type waitingStep struct {
 	operation Operation
 	since     time.Time
 }
 
-// sealed is a segment that has been created, with its version.
-type sealed struct {
+// sealedSegment is a segment that the head does not list yet. Its version is set once
+// the segment has been created.
+type sealedSegment struct {
 	number  int
 	version uint64
 	segment segment
 }
 
-// submit takes in a step.
+// submit queues a step. It settles the step at once if too many steps wait, or if the
+// step is a claim and the platform is unavailable.
 func (bucket *bucket) submit(now time.Time, operation Operation) {
-	bucket.giveUp(now)
+	bucket.expireWaiting(now)
 	switch {
-	case bucket.again(operation):
+	case bucket.isWaiting(operation):
 		return
 	case len(bucket.waiting) >= maxWaiting:
 		bucket.writer.shell.Settle(operation, messenger.ClaimFull, nil)
 		return
-	case operation.Step == messenger.TakeClaim && bucket.away(now):
+	case operation.Step == messenger.TakeClaim && bucket.platformAway(now):
 		bucket.writer.shell.Settle(operation, messenger.ClaimAway, nil)
 		return
 	}
-	bucket.waiting = append(bucket.waiting, waiting{operation: operation, since: now})
-	bucket.fresh = false
+	bucket.waiting = append(bucket.waiting, waitingStep{operation: operation, since: now})
+	bucket.headFresh = false
 	bucket.current = false
 	bucket.advance(now)
 }
 
-// again tells whether the same step is waiting already.
-func (bucket *bucket) again(operation Operation) bool {
-	for _, waiting := range bucket.waiting {
-		same := waiting.operation
+// isWaiting reports whether the step is waiting already.
+func (bucket *bucket) isWaiting(operation Operation) bool {
+	for _, waitingStep := range bucket.waiting {
+		same := waitingStep.operation
 		if same.Request == operation.Request && same.Step == operation.Step && same.Holder == operation.Holder {
 			return true
 		}
@@ -102,29 +108,29 @@
 	return false
 }
 
-// away tells whether the platform is taken as away just now.
-func (bucket *bucket) away(now time.Time) bool {
-	return bucket.failures >= failuresTillAway && now.Before(bucket.pausedUntil)
+// platformAway reports whether the platform is taken to be unavailable.
+func (bucket *bucket) platformAway(now time.Time) bool {
+	return bucket.failures >= failuresUntilAway && now.Before(bucket.pausedUntil)
 }
 
-// advance makes the next call, if one is due and none is under way.
+// advance makes the next call if one is due and none is outstanding.
 func (bucket *bucket) advance(now time.Time) {
 	if bucket.phase != idle {
 		return
 	}
-	bucket.giveUp(now)
+	bucket.expireWaiting(now)
 	if len(bucket.waiting) == 0 {
 		return
 	}
-	if due := bucket.due(); now.Before(due) {
+	if due := bucket.nextCallTime(); now.Before(due) {
 		bucket.wakeAt(due)
 		return
 	}
-	if !bucket.known {
+	if !bucket.headKnown {
 		bucket.read(now, readingHead, 0)
 		return
 	}
-	if number, ok := bucket.unread(now); ok {
+	if number, ok := bucket.unreadSegment(now); ok {
 		bucket.read(now, readingSegment, number)
 		return
 	}
@@ -132,55 +138,58 @@
 		bucket.seal(now, records)
 		return
 	}
-	if listed, ok := bucket.old(now); ok {
-		bucket.call(now, deleting, listed.Number, Call{Verb: Delete, Name: segmentName(bucket.index, listed.Number), Version: listed.Version})
+	if listedSegment, ok := bucket.expiredSegment(now); ok {
+		bucket.call(now, deleting, listedSegment.Number, Call{Verb: Delete, Name: segmentName(bucket.index, listedSegment.Number), Version: listedSegment.Version})
 		return
 	}
 	bucket.propose(now)
 }
 
-// due returns when the bucket's next call may go out. A claim goes at once as
-// long as the bucket has not spent its writes; other steps wait for company.
-func (bucket *bucket) due() time.Time {
-	due := bucket.waiting[0].since.Add(lazyWait)
-	for _, waiting := range bucket.waiting {
-		if waiting.operation.Step == messenger.TakeClaim {
+// nextCallTime returns when the next call of the bucket may be made. Claims are written
+// at once while the rate of writes allows it; other steps wait up to batchDelay, so
+// that one write carries more of them.
+func (bucket *bucket) nextCallTime() time.Time {
+	due := bucket.waiting[0].since.Add(batchDelay)
+	for _, waitingStep := range bucket.waiting {
+		if waitingStep.operation.Step == messenger.TakeClaim {
 			due = bucket.waiting[0].since
 		}
 	}
 	if bucket.sealed == nil || bucket.conflicts > 0 {
-		due = later(due, bucket.credit.Add(-writeBurst*writeGap))
+		due = later(due, bucket.writeCredit.Add(-writeBurst*writeGap))
 	}
 	return later(due, bucket.pausedUntil)
 }
 
-// giveUp drops steps that waited too long, but for those of the write under way.
-// Nobody acts on a step given up: a claim that was not confirmed is never run,
-// and all others are sent again.
-func (bucket *bucket) giveUp(now time.Time) {
+// expireWaiting drops steps that waited for stepTimeout, except those of the
+// outstanding write. This is safe: a request whose claim was not confirmed never runs,
+// and all other steps are sent again.
+func (bucket *bucket) expireWaiting(now time.Time) {
 	written := 0
 	if bucket.phase == writing {
 		written = len(bucket.proposed.settled)
 	}
-	var kept []waiting
-	for index, waiting := range bucket.waiting {
-		if index < written || now.Sub(waiting.since) < stepLife {
-			kept = append(kept, waiting)
+	var kept []waitingStep
+	for index, waitingStep := range bucket.waiting {
+		if index < written || now.Sub(waitingStep.since) < stepTimeout {
+			kept = append(kept, waitingStep)
 			continue
 		}
-		bucket.writer.shell.Settle(waiting.operation, messenger.ClaimAway, nil)
+		bucket.writer.shell.Settle(waitingStep.operation, messenger.ClaimAway, nil)
 	}
 	bucket.waiting = kept
 }
 
+// wakeAt sets the timer of the bucket unless it fires earlier already.
 func (bucket *bucket) wakeAt(due time.Time) {
-	if !bucket.wake.IsZero() && !bucket.wake.After(due) {
+	if !bucket.wakeTime.IsZero() && !bucket.wakeTime.After(due) {
 		return
 	}
-	bucket.wake = due
+	bucket.wakeTime = due
 	bucket.writer.shell.WakeAt(bucket.index, due)
 }
 
+// read reads the head in the phase readingHead, and otherwise the numbered segment.
 func (bucket *bucket) read(now time.Time, phase phase, number int) {
 	name := headName(bucket.index)
 	if phase != readingHead {
@@ -189,65 +198,70 @@
 	bucket.call(now, phase, number, Call{Verb: Read, Name: name})
 }
 
-// call makes the bucket's one call.
+// call makes the call of the bucket and counts it against the rate of writes.
 func (bucket *bucket) call(now time.Time, phase phase, number int, call Call) {
 	if call.Verb != Read {
-		bucket.credit = later(bucket.credit, now).Add(writeGap)
+		bucket.writeCredit = later(bucket.writeCredit, now).Add(writeGap)
 	}
 	bucket.phase = phase
-	bucket.number = number
+	bucket.segmentNumber = number
 	bucket.current = true
 	call.Bucket = bucket.index
 	bucket.writer.shell.CallPlatform(call)
 }
 
-// unread returns a segment that may hold a live record and was not read yet.
-func (bucket *bucket) unread(now time.Time) (int, bool) {
-	for _, listed := range bucket.head.Segments {
-		if _, ok := bucket.segments[listed.Number]; !ok && !listed.expired(now, bucket.writer.keep) {
-			return listed.Number, true
+// unreadSegment returns the number of a segment that was not read yet and may hold a
+// record that has not expired, and whether there is one.
+func (bucket *bucket) unreadSegment(now time.Time) (int, bool) {
+	for _, listedSegment := range bucket.head.Segments {
+		if _, ok := bucket.segments[listedSegment.Number]; !ok && !listedSegment.expired(now, bucket.writer.retention) {
+			return listedSegment.Number, true
 		}
 	}
 	return 0, false
 }
 
-// old returns a segment whose records are all forgotten by now.
-func (bucket *bucket) old(now time.Time) (listed, bool) {
-	for _, listed := range bucket.head.Segments {
-		// The margin lets no writer miss a segment that it still counts on.
-		if listed.expired(now, 2*bucket.writer.keep) && !bucket.dropped[listed.Number] {
-			return listed, true
+// expiredSegment returns a listed segment that can be deleted, and whether there is
+// one.
+func (bucket *bucket) expiredSegment(now time.Time) (listedSegment, bool) {
+	for _, listedSegment := range bucket.head.Segments {
+		// With twice the retention as a margin, no writer still needs a segment
+		// that is deleted.
+		if listedSegment.expired(now, 2*bucket.writer.retention) && !bucket.deleted[listedSegment.Number] {
+			return listedSegment, true
 		}
 	}
-	return listed{}, false
+	return listedSegment{}, false
 }
 
-// seal creates the next segment. Whoever creates it, its content is what every
-// writer takes out of the head.
+// seal creates the next segment with the records. If several writers try, the segment
+// that was created first holds: every writer removes the records of that segment from
+// the head.
 func (bucket *bucket) seal(now time.Time, records []record) {
 	data, err := encode(segment{Records: records})
 	if err != nil {
 		return
 	}
 	number := bucket.head.Next
-	bucket.sealed = &sealed{number: number, segment: segment{Records: records}}
+	bucket.sealed = &sealedSegment{number: number, segment: segment{Records: records}}
 	bucket.call(now, sealing, number, Call{Verb: Create, Name: segmentName(bucket.index, number), Value: data})
 }
 
-// write proposes a head by conditional write.
+// write stores the proposed head by a conditional write.
 func (bucket *bucket) write(now time.Time, proposed proposal) {
 	data, err := encode(proposed.head)
 	if err != nil {
 		return
 	}
 	bucket.proposed = proposed
-	call := Call{Verb: Update, Name: headName(bucket.index), Version: bucket.version, Value: data}
-	if bucket.version == 0 {
+	call := Call{Verb: Update, Name: headName(bucket.index), Version: bucket.headVersion, Value: data}
+	if bucket.headVersion == 0 {
 		call.Verb = Create
 	}
 	bucket.call(now, writing, 0, call)
 }
 
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
--- a/claimer/claimer_test.go
+++ b/claimer/claimer_test.go
@@ -12,9 +12,9 @@
 	"limpetcleat/messenger"
 )
 
-// desk is a shell that answers at once from a map of objects, unless it holds
-// the answers back.
-type desk struct {
+// fakeShell is a Shell that queues calls, which tests answer from a map of objects, and
+// records verdicts and timers.
+type fakeShell struct {
 	objects  map[string]Answer
 	calls    []Call
 	verdicts map[definer.RequestID]messenger.ClaimVerdict
@@ -23,26 +23,33 @@
 	gone     map[definer.VM]bool
 }
 
-func newDesk(objects map[string]Answer) *desk {
-	return &desk{
+func newFakeShell(objects map[string]Answer) *fakeShell {
+	return &fakeShell{
 		objects: objects, verdicts: make(map[definer.RequestID]messenger.ClaimVerdict), wake: make(map[int]time.Time),
 		answers: make(map[definer.RequestID]*messenger.KeptAnswer), gone: make(map[definer.VM]bool),
 	}
 }
 
-func (desk *desk) CallPlatform(call Call)             { desk.calls = append(desk.calls, call) }
-func (desk *desk) WakeAt(bucket int, at time.Time)    { desk.wake[bucket] = at }
-func (desk *desk) Gone(member definer.Member) bool    { return desk.gone[member.VM] }
-func (desk *desk) do(call Call) Answer                { return do(desk.objects, call) }
-func (desk *desk) next() Call                         { call := desk.calls[0]; desk.calls = desk.calls[1:]; return call }
-func (desk *desk) told(request definer.RequestID) any { return desk.verdicts[request] }
+func (fakeShell *fakeShell) CallPlatform(call Call)          { fakeShell.calls = append(fakeShell.calls, call) }
+func (fakeShell *fakeShell) WakeAt(bucket int, at time.Time) { fakeShell.wake[bucket] = at }
+func (fakeShell *fakeShell) Gone(member definer.Member) bool { return fakeShell.gone[member.VM] }
+func (fakeShell *fakeShell) do(call Call) Answer             { return applyCall(fakeShell.objects, call) }
+func (fakeShell *fakeShell) next() Call {
+	call := fakeShell.calls[0]
+	fakeShell.calls = fakeShell.calls[1:]
+	return call
+}
+
+func (fakeShell *fakeShell) verdict(request definer.RequestID) any {
+	return fakeShell.verdicts[request]
+}
 
-func (desk *desk) Settle(operation Operation, verdict messenger.ClaimVerdict, answer *messenger.KeptAnswer) {
-	desk.verdicts[operation.Request] = verdict
-	desk.answers[operation.Request] = answer
+func (fakeShell *fakeShell) Settle(operation Operation, verdict messenger.ClaimVerdict, answer *messenger.KeptAnswer) {
+	fakeShell.verdicts[operation.Request] = verdict
+	fakeShell.answers[operation.Request] = answer
 }
 
-func do(objects map[string]Answer, call Call) Answer {
+func applyCall(objects map[string]Answer, call Call) Answer {
 	object, ok := objects[call.Name]
 	switch {
 	case call.Verb == Read && !ok, call.Verb != Read && call.Version != object.Version && !ok:
@@ -60,39 +67,39 @@
 	return objects[call.Name]
 }
 
-// bench is a writer with its desk under a stepped clock.
-type bench struct {
-	*desk
+// testBench is a Writer with a fakeShell and a clock that tests advance.
+type testBench struct {
+	*fakeShell
 	writer *Writer
 	now    time.Time
 }
 
-func newBench(objects map[string]Answer) *bench {
-	desk := newDesk(objects)
-	return &bench{desk: desk, writer: New(desk), now: time.Unix(1_800_000_000, 0)}
+func newTestBench(objects map[string]Answer) *testBench {
+	fakeShell := newFakeShell(objects)
+	return &testBench{fakeShell: fakeShell, writer: New(fakeShell), now: time.Unix(1_800_000_000, 0)}
 }
 
-// settle answers every call and lets time pass until nothing waits.
-func (bench *bench) settle() {
+// settle answers all calls and advances the clock until no step waits.
+func (testBench *testBench) settle() {
 	for range 1000 {
-		for len(bench.calls) > 0 {
-			call := bench.next()
-			bench.writer.Answered(bench.now, call.Bucket, bench.do(call))
+		for len(testBench.calls) > 0 {
+			call := testBench.next()
+			testBench.writer.Answered(testBench.now, call.Bucket, testBench.do(call))
 		}
-		if bench.writer.Waiting() == 0 {
+		if testBench.writer.Waiting() == 0 {
 			return
 		}
-		bench.now = bench.now.Add(50 * time.Millisecond)
-		for bucket, at := range bench.wake {
-			if !at.After(bench.now) {
-				delete(bench.wake, bucket)
-				bench.writer.Fired(bench.now, bucket)
+		testBench.now = testBench.now.Add(50 * time.Millisecond)
+		for bucket, at := range testBench.wake {
+			if !at.After(testBench.now) {
+				delete(testBench.wake, bucket)
+				testBench.writer.Fired(testBench.now, bucket)
 			}
 		}
 	}
 }
 
-func operation(step messenger.ClaimStep, key, request string, bytes int) Operation {
+func newOperation(step messenger.ClaimStep, key, request string, bytes int) Operation {
 	ask := messenger.ClaimAsk{Step: step, KeyHash: key, BodyHash: "b", Request: definer.RequestID(request)}
 	if bytes > 0 {
 		ask.Answer = &messenger.KeptAnswer{Status: 200, Body: []byte(strings.Repeat("x", bytes))}
@@ -100,8 +107,8 @@
 	return Operation{ClaimAsk: ask, Holder: definer.Member{VM: "a", Incarnation: 1}}
 }
 
-// keys returns keys of one bucket.
-func keys(count int) []string {
+// bucketKeys returns keys of the bucket with index 3.
+func bucketKeys(count int) []string {
 	var found []string
 	for index := 0; len(found) < count; index++ {
 		if key := fmt.Sprintf("key%d", index); BucketOf(key) == 3 {
@@ -111,99 +118,106 @@
 	return found
 }
 
-func (bench *bench) run(key string, bytes int) {
-	bench.writer.Submit(bench.now, operation(messenger.TakeClaim, key, "of-"+key, 0))
-	bench.settle()
-	bench.writer.Submit(bench.now, operation(messenger.FinishClaim, key, "of-"+key, bytes))
-	bench.settle()
+func (testBench *testBench) run(key string, bytes int) {
+	testBench.writer.Submit(testBench.now, newOperation(messenger.TakeClaim, key, "of-"+key, 0))
+	testBench.settle()
+	testBench.writer.Submit(testBench.now, newOperation(messenger.FinishClaim, key, "of-"+key, bytes))
+	testBench.settle()
 }
 
+// TestStepsOfAWriteUnderWayAreKept guards against dropping a step that timed out while
+// the write that carries it was outstanding: the claim would be stored, but refused.
 func TestStepsOfAWriteUnderWayAreKept(t *testing.T) {
-	bench := newBench(make(map[string]Answer))
-	key := keys(2)
-	bench.writer.Submit(bench.now, operation(messenger.TakeClaim, key[0], "r1", 0))
-	read := bench.next()
-	bench.writer.Answered(bench.now, read.Bucket, bench.do(read))
-	write := bench.next()
-	bench.now = bench.now.Add(2 * stepLife)
-	bench.writer.Submit(bench.now, operation(messenger.TakeClaim, key[1], "r2", 0))
-	assert.Equal(t, bench.told("r1"), messenger.ClaimVerdict(""))
-	bench.writer.Answered(bench.now, write.Bucket, bench.do(write))
-	bench.settle()
-	assert.Equal(t, bench.told("r1"), messenger.ClaimGranted)
-	assert.Equal(t, bench.told("r2"), messenger.ClaimGranted)
+	testBench := newTestBench(make(map[string]Answer))
+	key := bucketKeys(2)
+	testBench.writer.Submit(testBench.now, newOperation(messenger.TakeClaim, key[0], "r1", 0))
+	read := testBench.next()
+	testBench.writer.Answered(testBench.now, read.Bucket, testBench.do(read))
+	write := testBench.next()
+	testBench.now = testBench.now.Add(2 * stepTimeout)
+	testBench.writer.Submit(testBench.now, newOperation(messenger.TakeClaim, key[1], "r2", 0))
+	assert.Equal(t, testBench.verdict("r1"), messenger.ClaimVerdict(""))
+	testBench.writer.Answered(testBench.now, write.Bucket, testBench.do(write))
+	testBench.settle()
+	assert.Equal(t, testBench.verdict("r1"), messenger.ClaimGranted)
+	assert.Equal(t, testBench.verdict("r2"), messenger.ClaimGranted)
 }
 
+// TestSegments checks that two writers on one bucket move final records to segments, that
+// another writer finds their answers there, and that expired segments are deleted.
 func TestSegments(t *testing.T) {
 	objects := make(map[string]Answer)
-	one, other := newBench(objects), newBench(objects)
-	all := keys(60)
+	one, other := newTestBench(objects), newTestBench(objects)
+	all := bucketKeys(60)
 	for index, key := range all {
-		bench := []*bench{one, other}[index/4%2]
-		bench.now = one.now.Add(max(0, other.now.Sub(one.now)))
-		bench.run(key, 1500)
+		testBench := []*testBench{one, other}[index/4%2]
+		testBench.now = one.now.Add(max(0, other.now.Sub(one.now)))
+		testBench.run(key, 1500)
 	}
 	segments := len(objects) - 1
 	assert.Check(t, segments >= 4, "%d segments", segments)
 	assert.Check(t, len(objects[headName(3)].Value) < 2*segmentBytes)
 
-	// A third writer that knows nothing finds every answer.
-	third := newBench(objects)
+	// A third writer that has read nothing yet finds every answer.
+	third := newTestBench(objects)
 	third.now = other.now
 	for _, key := range all {
-		third.writer.Submit(third.now, operation(messenger.TakeClaim, key, "again-"+key, 0))
+		third.writer.Submit(third.now, newOperation(messenger.TakeClaim, key, "again-"+key, 0))
 		third.settle()
-		assert.Equal(t, third.told(definer.RequestID("again-"+key)), messenger.ClaimReplay)
+		assert.Equal(t, third.verdict(definer.RequestID("again-"+key)), messenger.ClaimReplay)
 	}
-	// Long after, they are forgotten and their objects deleted.
+	// Long after the retention, the records are dropped and their segments deleted.
 	third.now = third.now.Add(3 * DefaultKeep)
-	for index, key := range keys(80)[60:] {
+	for index, key := range bucketKeys(80)[60:] {
 		third.run(key, 0)
 		third.now = third.now.Add(time.Duration(index) * time.Second)
 	}
 	assert.Equal(t, len(objects), 1)
 }
 
+// TestSealedSegmentIsAdopted guards against losing the records of a segment whose writer
+// ended, or lost the answer, after it created the segment and before the head listed it.
 func TestSealedSegmentIsAdopted(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		objects := make(map[string]Answer)
-		dying, heir := newBench(objects), newBench(objects)
-		all := keys(40)
+		predecessor, successor := newTestBench(objects), newTestBench(objects)
+		all := bucketKeys(40)
 		index := 0
 		for ; len(objects) < 2; index++ {
-			dying.writer.Submit(dying.now, operation(messenger.TakeClaim, all[index], "of-"+all[index], 0))
-			dying.settle()
-			dying.writer.Submit(dying.now, operation(messenger.FinishClaim, all[index], "of-"+all[index], 3000))
-			for len(objects) < 2 && dying.writer.Waiting() > 0 {
-				if len(dying.calls) > 0 {
-					call := dying.next()
-					answer := dying.do(call)
+			predecessor.writer.Submit(predecessor.now, newOperation(messenger.TakeClaim, all[index], "of-"+all[index], 0))
+			predecessor.settle()
+			predecessor.writer.Submit(predecessor.now, newOperation(messenger.FinishClaim, all[index], "of-"+all[index], 3000))
+			for len(objects) < 2 && predecessor.writer.Waiting() > 0 {
+				if len(predecessor.calls) > 0 {
+					call := predecessor.next()
+					answer := predecessor.do(call)
 					if len(objects) == 2 && lost {
 						answer = Answer{Result: Lost}
 					}
 					if len(objects) < 2 || lost {
-						dying.writer.Answered(dying.now, call.Bucket, answer)
+						predecessor.writer.Answered(predecessor.now, call.Bucket, answer)
 					}
 					continue
 				}
-				dying.now = dying.now.Add(time.Second / 2)
-				dying.writer.Fired(dying.now, 3)
+				predecessor.now = predecessor.now.Add(time.Second / 2)
+				predecessor.writer.Fired(predecessor.now, 3)
 			}
 		}
-		// The writer that sealed ends here, or reads back; the heir goes on.
+		// The writer that created the segment ends here, or reads the segment back if
+		// its answer was lost; the other writer goes on.
 		if lost {
-			dying.settle()
+			predecessor.settle()
 		}
-		heir.now = dying.now.Add(time.Second)
+		successor.now = predecessor.now.Add(time.Second)
 		for _, key := range all[:index] {
-			heir.writer.Submit(heir.now, operation(messenger.TakeClaim, key, "again-"+key, 0))
-			heir.settle()
-			verdict := heir.told(definer.RequestID("again-" + key))
+			successor.writer.Submit(successor.now, newOperation(messenger.TakeClaim, key, "again-"+key, 0))
+			successor.settle()
+			verdict := successor.verdict(definer.RequestID("again-" + key))
 			last := key == all[index-1] && !lost
 			assert.Check(t, verdict == messenger.ClaimReplay || last && verdict == messenger.ClaimInUse, "%s: %s", key, verdict)
 		}
-		heir.run(all[index], 3000)
-		heir.run(all[index+1], 0)
+		successor.run(all[index], 3000)
+		successor.run(all[index+1], 0)
 		assert.Equal(t, len(objects), 2)
 		head, err := decode[head](objects[headName(3)].Value)
 		assert.NilError(t, err)
@@ -211,34 +225,38 @@
 	}
 }
 
+// TestFullBucket checks that a full head refuses claims within its bound of size, and
+// accepts them again once requests have finished.
 func TestFullBucket(t *testing.T) {
-	bench := newBench(make(map[string]Answer))
-	all := keys(1401)
+	testBench := newTestBench(make(map[string]Answer))
+	all := bucketKeys(1401)
 	last := messenger.ClaimGranted
 	for index := 0; index < 1400 && last == messenger.ClaimGranted; index += 100 {
 		for _, key := range all[index : index+100] {
-			bench.writer.Submit(bench.now, operation(messenger.TakeClaim, key, key, 0))
+			testBench.writer.Submit(testBench.now, newOperation(messenger.TakeClaim, key, key, 0))
 		}
-		bench.settle()
-		last = bench.verdicts[definer.RequestID(all[index+99])]
+		testBench.settle()
+		last = testBench.verdicts[definer.RequestID(all[index+99])]
 	}
 	assert.Equal(t, last, messenger.ClaimFull)
-	assert.Check(t, len(bench.objects[headName(3)].Value) < 1<<20)
-	// The end of a request makes room again once it is sealed.
+	assert.Check(t, len(testBench.objects[headName(3)].Value) < 1<<20)
+	// Records of finished requests free space once they are moved to a segment.
 	for _, key := range all[:200] {
-		bench.writer.Submit(bench.now, operation(messenger.FinishClaim, key, key, 0))
+		testBench.writer.Submit(testBench.now, newOperation(messenger.FinishClaim, key, key, 0))
 	}
-	bench.settle()
-	bench.run(all[1400], 0)
-	assert.Equal(t, bench.told(definer.RequestID("of-"+all[1400])), messenger.ClaimStored)
+	testBench.settle()
+	testBench.run(all[1400], 0)
+	assert.Equal(t, testBench.verdict(definer.RequestID("of-"+all[1400])), messenger.ClaimStored)
 }
 
+// TestSpoiltObjectClaimsNothing checks that a head that cannot be decoded is not
+// overwritten and that no claim on it is granted.
 func TestSpoiltObjectClaimsNothing(t *testing.T) {
-	bench := newBench(map[string]Answer{headName(3): {Result: Done, Version: 4, Value: []byte("{")}})
-	bench.writer.Submit(bench.now, operation(messenger.TakeClaim, keys(1)[0], "r1", 0))
-	bench.settle()
-	assert.Equal(t, bench.told("r1"), messenger.ClaimAway)
-	assert.Equal(t, bench.objects[headName(3)].Version, uint64(4))
+	testBench := newTestBench(map[string]Answer{headName(3): {Result: Done, Version: 4, Value: []byte("{")}})
+	testBench.writer.Submit(testBench.now, newOperation(messenger.TakeClaim, bucketKeys(1)[0], "r1", 0))
+	testBench.settle()
+	assert.Equal(t, testBench.verdict("r1"), messenger.ClaimAway)
+	assert.Equal(t, testBench.objects[headName(3)].Version, uint64(4))
 }
 
 func TestKeyHash(t *testing.T) {
@@ -259,27 +277,29 @@
 	}
 }
 
+// TestLocalTableIsBounded checks the bounds on keys and answers, and that expired keys are
+// refused and free their place.
 func TestLocalTableIsBounded(t *testing.T) {
 	start := time.Unix(1_800_000_000, 0)
 	self := definer.Member{VM: "a", Incarnation: 1}
 	local := NewLocal(self, start, 1)
 	claim := func(now time.Time, request string) messenger.ClaimVerdict {
-		verdict, _ := local.Claim(now, local.Issue(now), operation(messenger.TakeClaim, request, request, 0), true)
+		verdict, _ := local.Claim(now, local.Issue(now), newOperation(messenger.TakeClaim, request, request, 0), true)
 		return verdict
 	}
-	for index := range maxLocal {
+	for index := range maxLocalKeys {
 		key := fmt.Sprint(index)
 		assert.Equal(t, claim(start, key), messenger.ClaimGranted)
-		local.Settle(start, operation(messenger.FinishClaim, key, key, 2000))
+		local.Settle(start, newOperation(messenger.FinishClaim, key, key, 2000))
 	}
 	assert.Equal(t, claim(start, "more"), messenger.ClaimFull)
-	assert.Check(t, local.answerBytes <= maxLocalAnswers)
-	// The oldest answers went first; that the key ran is still known.
-	first, _ := local.Claim(start, local.Issue(start), operation(messenger.TakeClaim, "0", "x", 0), true)
+	assert.Check(t, local.answerBytes <= maxLocalAnswerBytes)
+	// The oldest answers were dropped first; that their requests ran is still known.
+	first, _ := local.Claim(start, local.Issue(start), newOperation(messenger.TakeClaim, "0", "x", 0), true)
 	assert.Equal(t, first, messenger.ClaimUnkept)
-	later := start.Add(localLife + time.Second)
+	later := start.Add(localKeyLifetime + time.Second)
 	assert.Equal(t, claim(later, "more"), messenger.ClaimGranted)
 	old := LocalKey{holder: self, number: "1"}
-	verdict, _ := local.Claim(later, old, operation(messenger.TakeClaim, "0", "x", 0), true)
+	verdict, _ := local.Claim(later, old, newOperation(messenger.TakeClaim, "0", "x", 0), true)
 	assert.Equal(t, verdict, messenger.ClaimExpired)
 }
--- a/claimer/key.go
+++ b/claimer/key.go
@@ -11,8 +11,9 @@
 	"limpetcleat/definer"
 )
 
-// KeyHash returns the name of a key in the claims. Keys of two organisations
-// never have the same, and the key cannot be told from it.
+// KeyHash returns the hash under which the claim on a key is stored. Equal keys of
+// two organisations have different hashes, and the key cannot be derived from its
+// hash.
 func KeyHash(organisation definer.OrganisationName, key string) string {
 	sum := sha256.Sum256(fmt.Appendf(nil, "%d:%s%s", len(organisation), organisation, key))
 	return base64.RawURLEncoding.EncodeToString(sum[:])
@@ -20,31 +21,32 @@
 
 const (
 	localPrefix = "local."
-	// localFields is the number of fields of a local key after its VM.
+	// localFields is the number of fields that follow the VM in a local key.
 	localFields = 3
 )
 
-// LocalKey is a key that a process handed out and that only it ever runs.
+// LocalKey is an idempotency key issued by one process. Only that process runs
+// requests with the key.
 type LocalKey struct {
 	holder definer.Member
-	// issued is the time from the holder's start to the key's issue.
+	// issued is the time from the start of the holder to the issue of the key.
 	issued time.Duration
-	// number tells the keys of one process apart.
+	// number is unique among the keys of one process.
 	number string
 }
 
-// Holder returns the process that the key is bound to.
+// Holder returns the process that issued the key.
 func (localKey LocalKey) Holder() definer.Member { return localKey.holder }
 
-// String returns the form that callers send.
+// String returns the key in the form that callers send.
 func (localKey LocalKey) String() string {
 	return fmt.Sprintf("%s%s.%d.%d.%s", localPrefix, localKey.holder.VM, localKey.holder.Incarnation, localKey.issued.Milliseconds(), localKey.number)
 }
 
-// IsLocal tells whether a key has the form's reserved beginning.
+// IsLocal reports whether a key has the prefix that is reserved for local keys.
 func IsLocal(key string) bool { return strings.HasPrefix(key, localPrefix) }
 
-// ParseLocal returns the local key that a caller sent, if it is one.
+// ParseLocal parses a key that a caller sent and reports whether it is a local key.
 func ParseLocal(key string) (LocalKey, bool) {
 	fields := strings.Split(strings.TrimPrefix(key, localPrefix), ".")
 	if !IsLocal(key) || len(fields) <= localFields {
--- a/claimer/local.go
+++ b/claimer/local.go
@@ -11,37 +11,40 @@
 )
 
 const (
-	// localLife is how long after its issue a local key may be used.
-	localLife = time.Hour
-	// maxLocal bounds the keys in the table.
-	maxLocal = 16384
-	// maxLocalAnswers bounds the bytes of the answers in the table.
-	maxLocalAnswers = 16 << 20
+	// localKeyLifetime is the time after its issue in which a local key may be used.
+	localKeyLifetime = time.Hour
+	// maxLocalKeys bounds the number of keys in the table.
+	maxLocalKeys = 16384
+	// maxLocalAnswerBytes bounds the size of all answers in the table.
+	maxLocalAnswerBytes = 16 << 20
 )
 
-// Local is the table of the keys that one process handed out. It lives and
-// ends with the process: no other process ever runs one of its keys.
+// Local is the table of the used keys that one process issued. It is kept in memory
+// only: no other process runs a request with one of these keys, so that the claims
+// need not outlive the process. A Local is not safe for concurrent use.
 type Local struct {
 	self    definer.Member
 	started time.Time
 	random  *rand.Rand
 	issued  uint64
-	// used holds each key that was used, until it is too old to be used.
+	// used holds, by hash, each key that was used, until the key has expired and its
+	// request has ended.
 	used map[string]*localRecord
-	// order holds the keys of used, oldest use first.
+	// order holds the hashes in used in the order of their first use.
 	order []string
-	// answerBytes is the size of all answers in used.
+	// answerBytes is the size of all answers in used, in bytes.
 	answerBytes int
 }
 
-// localRecord is one used key.
+// localRecord is the record of a used local key.
 type localRecord struct {
 	record
-	// forgetAt is when the key itself is too old to be used.
-	forgetAt time.Time
+	// expiresAt is when the key expires.
+	expiresAt time.Time
 }
 
-// NewLocal returns an empty table of a process that started at the time.
+// NewLocal returns an empty table for the process self, which started at the given
+// time. The seed determines the random part of its keys.
 func NewLocal(self definer.Member, started time.Time, seed uint64) *Local {
 	return &Local{
 		self:    self,
@@ -51,7 +54,7 @@
 	}
 }
 
-// Issue returns a new key. It needs no room in the table until it is used.
+// Issue returns a new key. The key takes no space in the table until it is used.
 func (local *Local) Issue(now time.Time) LocalKey {
 	local.issued++
 	return LocalKey{
@@ -61,18 +64,19 @@
 	}
 }
 
-// Claim takes the key for the operation's request, or tells who has it. A new
-// use needs the permission of the request's rule; a repeat does not.
+// Claim claims the key for the request of the operation and returns the verdict, with
+// the stored answer if the request ran already. The first use of a key is granted only
+// if permitted by the rule of the request; repeats need no permission.
 func (local *Local) Claim(now time.Time, key LocalKey, operation Operation, permitted bool) (messenger.ClaimVerdict, *messenger.KeptAnswer) {
-	local.forget(now)
+	local.evict(now)
 	if held, ok := local.used[operation.KeyHash]; ok {
 		return held.verdict(operation)
 	}
-	forgetAt := local.started.Add(key.issued + localLife)
+	expiresAt := local.started.Add(key.issued + localKeyLifetime)
 	switch {
-	case !permitted || key.issued > now.Sub(local.started) || !now.Before(forgetAt):
+	case !permitted || key.issued > now.Sub(local.started) || !now.Before(expiresAt):
 		return messenger.ClaimExpired, nil
-	case len(local.used) >= maxLocal:
+	case len(local.used) >= maxLocalKeys:
 		return messenger.ClaimFull, nil
 	}
 	local.used[operation.KeyHash] = &localRecord{
@@ -80,13 +84,14 @@
 			Key: operation.KeyHash, Body: operation.BodyHash, Request: operation.Request,
 			VM: operation.Holder.VM, Incarnation: operation.Holder.Incarnation, State: claimed,
 		},
-		forgetAt: forgetAt,
+		expiresAt: expiresAt,
 	}
 	local.order = append(local.order, operation.KeyHash)
 	return messenger.ClaimGranted, nil
 }
 
-// Settle notes how the request that holds a key ended.
+// Settle records how the request that holds a key ended. Operations of requests that
+// do not hold the key have no effect.
 func (local *Local) Settle(now time.Time, operation Operation) {
 	held, ok := local.used[operation.KeyHash]
 	if !ok || !held.heldBy(operation) {
@@ -104,29 +109,30 @@
 		local.order = slices.DeleteFunc(local.order, func(key string) bool { return key == operation.KeyHash })
 	case messenger.TakeClaim:
 	}
-	local.forget(now)
+	local.evict(now)
 }
 
-// forget drops keys that are too old to be used, and the oldest answers while
-// all of them together are too large.
-func (local *Local) forget(now time.Time) {
+// evict drops expired keys whose requests have ended, and the oldest answers while
+// the size of all answers exceeds maxLocalAnswerBytes.
+func (local *Local) evict(now time.Time) {
 	for len(local.order) > 0 {
 		held := local.used[local.order[0]]
-		if !held.final() || now.Before(held.forgetAt) {
+		if !held.final() || now.Before(held.expiresAt) {
 			break
 		}
 		local.answerBytes -= answerSize(held.Answer)
 		delete(local.used, held.Key)
 		local.order = local.order[1:]
 	}
-	for index := 0; local.answerBytes > maxLocalAnswers && index < len(local.order); index++ {
+	for index := 0; local.answerBytes > maxLocalAnswerBytes && index < len(local.order); index++ {
 		held := local.used[local.order[index]]
 		local.answerBytes -= answerSize(held.Answer)
 		held.Answer = nil
 	}
 }
 
-// verdict tells what a claim of a key comes to that a record has already.
+// verdict returns the verdict on a claim of the key of this record, with the stored
+// answer if it is replayed.
 func (record *record) verdict(operation Operation) (messenger.ClaimVerdict, *messenger.KeptAnswer) {
 	switch {
 	case record.heldBy(operation) && record.State == claimed:
--- a/claimer/proposal.go
+++ b/claimer/proposal.go
@@ -7,38 +7,40 @@
 	"limpetcleat/messenger"
 )
 
-// proposal is a head to be written and what its steps come to once it stands.
+// proposal is a head to be written, with the verdicts on its steps that hold once the
+// write took effect.
 type proposal struct {
 	head    head
 	changed bool
-	// listsSealed says that the head lists the bucket's sealed segment.
+	// listsSealed reports whether the head lists the sealed segment of the bucket.
 	listsSealed bool
-	settled     []settled
+	settled     []settledStep
 }
 
-// settled is a step with its verdict.
-type settled struct {
+// settledStep is a step with its verdict.
+type settledStep struct {
 	operation Operation
 	verdict   messenger.ClaimVerdict
 	answer    *messenger.KeptAnswer
-	// certain verdicts hold whatever has been written since.
+	// certain reports whether the verdict holds even if the bucket was written to
+	// since its head was read.
 	certain bool
 }
 
-// propose takes all waiting steps on a copy of the head and writes it. Steps
-// that change nothing are settled at once if what they rest on was read after
-// they came.
+// propose applies all waiting steps to a copy of the head and writes it. If nothing
+// changed, the steps are settled at once, provided that the head was read after they
+// arrived or that their verdicts are certain; otherwise the head is read again.
 func (bucket *bucket) propose(now time.Time) {
 	proposed := proposal{head: bucket.head.clone()}
-	bucket.tidy(now, &proposed)
-	for _, waiting := range bucket.waiting {
-		proposed.settled = append(proposed.settled, bucket.take(now, &proposed, waiting.operation))
+	bucket.prune(now, &proposed)
+	for _, waitingStep := range bucket.waiting {
+		proposed.settled = append(proposed.settled, bucket.apply(now, &proposed, waitingStep.operation))
 	}
-	certain := !slices.ContainsFunc(proposed.settled, func(settled settled) bool { return !settled.certain })
+	certain := !slices.ContainsFunc(proposed.settled, func(settled settledStep) bool { return !settled.certain })
 	switch {
 	case proposed.changed:
 		bucket.write(now, proposed)
-	case bucket.fresh || certain:
+	case bucket.headFresh || certain:
 		bucket.proposed = proposed
 		bucket.settle()
 	default:
@@ -46,7 +48,7 @@
 	}
 }
 
-// settle tells the verdicts of the proposal, which now stands.
+// settle passes on the verdicts of the proposal, which is stored now.
 func (bucket *bucket) settle() {
 	settled := bucket.proposed.settled
 	bucket.proposed = proposal{}
@@ -56,13 +58,14 @@
 	}
 }
 
-// tidy lists the sealed segment, drops what is forgotten and gives up claims
-// whose holder is gone or long silent. Nobody ever runs those again.
-func (bucket *bucket) tidy(now time.Time, proposed *proposal) {
-	keep := bucket.writer.keep
+// prune lists the sealed segment in the proposed head, drops expired records and
+// deleted segments, and sets claims to unknown whose holder has ended or was silent for
+// long. The requests of those claims are never run again.
+func (bucket *bucket) prune(now time.Time, proposed *proposal) {
+	retention := bucket.writer.retention
 	head := &proposed.head
-	head.Records = slices.DeleteFunc(head.Records, func(record record) bool { return record.expired(now, keep) })
-	head.Segments = slices.DeleteFunc(head.Segments, func(listed listed) bool { return bucket.dropped[listed.Number] })
+	head.Records = slices.DeleteFunc(head.Records, func(record record) bool { return record.expired(now, retention) })
+	head.Segments = slices.DeleteFunc(head.Segments, func(listedSegment listedSegment) bool { return bucket.deleted[listedSegment.Number] })
 	for index := range head.Records {
 		if held := &head.Records[index]; !held.final() && bucket.abandoned(now, held) {
 			held.State = unknown
@@ -75,31 +78,31 @@
 	}
 	proposed.changed = true
 	proposed.listsSealed = true
-	listed := listed{Number: bucket.sealed.number, Version: bucket.sealed.version}
-	for _, sealed := range bucket.sealed.segment.Records {
-		listed.Newest = max(listed.Newest, sealed.At)
-		if held := head.find(sealed.Key); held != nil && held.Request == sealed.Request && held.State == sealed.State {
-			head.remove(sealed.Key)
+	listedSegment := listedSegment{Number: bucket.sealed.number, Version: bucket.sealed.version}
+	for _, record := range bucket.sealed.segment.Records {
+		listedSegment.Newest = max(listedSegment.Newest, record.At)
+		if held := head.find(record.Key); held != nil && held.Request == record.Request && held.State == record.State {
+			head.remove(record.Key)
 		}
 	}
-	head.Segments = append(head.Segments, listed)
+	head.Segments = append(head.Segments, listedSegment)
 	head.Next++
 }
 
-// lookup returns the newest record of a key that is not forgotten, and whether
-// it stands in the head, where it can be changed.
+// lookup returns the newest record of a key that has not expired, or nil, and whether
+// the record is in the head, where it can be changed.
 func (bucket *bucket) lookup(now time.Time, proposed *proposal, key string) (*record, bool) {
-	keep := bucket.writer.keep
-	if held := proposed.head.find(key); held != nil && !held.expired(now, keep) {
+	retention := bucket.writer.retention
+	if held := proposed.head.find(key); held != nil && !held.expired(now, retention) {
 		return held, true
 	}
-	for _, listed := range slices.Backward(proposed.head.Segments) {
-		segment := bucket.segments[listed.Number]
-		if bucket.sealed != nil && listed.Number == bucket.sealed.number {
+	for _, listedSegment := range slices.Backward(proposed.head.Segments) {
+		segment := bucket.segments[listedSegment.Number]
+		if bucket.sealed != nil && listedSegment.Number == bucket.sealed.number {
 			segment = bucket.sealed.segment
 		}
 		for index := range segment.Records {
-			if found := &segment.Records[index]; found.Key == key && !found.expired(now, keep) {
+			if found := &segment.Records[index]; found.Key == key && !found.expired(now, retention) {
 				return found, false
 			}
 		}
@@ -107,13 +110,13 @@
 	return nil, false
 }
 
-// take takes one step on the proposed head.
-func (bucket *bucket) take(now time.Time, proposed *proposal, operation Operation) settled {
+// apply applies one step to the proposed head.
+func (bucket *bucket) apply(now time.Time, proposed *proposal, operation Operation) settledStep {
 	held, changeable := bucket.lookup(now, proposed, operation.KeyHash)
 	if operation.Step == messenger.TakeClaim {
 		return bucket.claim(now, proposed, operation, held)
 	}
-	stored := settled{operation: operation, verdict: messenger.ClaimStored}
+	stored := settledStep{operation: operation, verdict: messenger.ClaimStored}
 	if held == nil || !changeable || !held.heldBy(operation) || held.State == finished {
 		return stored
 	}
@@ -136,9 +139,10 @@
 	return stored
 }
 
-// claim takes the key for the step's request, or tells who has it.
-func (bucket *bucket) claim(now time.Time, proposed *proposal, operation Operation, held *record) settled {
-	settled := settled{operation: operation}
+// claim adds a claim on the key for the request of the operation. If the key has the
+// record held already, the verdict is that of the record.
+func (bucket *bucket) claim(now time.Time, proposed *proposal, operation Operation, held *record) settledStep {
+	settled := settledStep{operation: operation}
 	switch {
 	case held == nil && bucket.full(proposed):
 		settled.verdict = messenger.ClaimFull
@@ -157,13 +161,15 @@
 	return settled
 }
 
-// abandoned tells whether a claim's holder is gone or long silent.
+// abandoned reports whether the holder of a claim has ended or the claim was not
+// changed for longer than the retention.
 func (bucket *bucket) abandoned(now time.Time, held *record) bool {
-	return bucket.writer.shell.Gone(held.holder()) || held.age(now) > bucket.writer.keep
+	return bucket.writer.shell.Gone(held.holder()) || held.age(now) > bucket.writer.retention
 }
 
-// full tells whether there is no room for another claim. The answers that are
-// kept make room first, oldest first: the outcome matters more.
+// full reports whether the head has no space for another claim. It drops stored
+// answers from the head first, the oldest first: the outcome of a request matters more
+// than its answer.
 func (bucket *bucket) full(proposed *proposal) bool {
 	head := &proposed.head
 	for index := 0; head.size() > maxHeadBytes && index < len(head.Records); index++ {
--- a/claimer/record.go
+++ b/claimer/record.go
@@ -9,57 +9,60 @@
 	"limpetcleat/messenger"
 )
 
-// state tells how far a claim has come.
-type state string
+// claimState tells how far a claim has come.
+type claimState string
 
 const (
-	// claimed records belong to a request that may be running.
-	claimed state = "claimed"
-	// finished records belong to a request that ran.
-	finished state = "finished"
-	// unknown records belong to a request that may have run.
-	unknown state = "unknown"
+	// claimed is the state while the request may be running.
+	claimed claimState = "claimed"
+	// finished is the state after the request ran.
+	finished claimState = "finished"
+	// unknown is the state when the request may or may not have run.
+	unknown claimState = "unknown"
 )
 
-// record is one claim in its stored form.
+// record is a claim as it is stored.
 type record struct {
 	Key         string                `json:"key"`
 	Body        string                `json:"body"`
 	Request     definer.RequestID     `json:"request"`
 	VM          definer.VM            `json:"vm"`
 	Incarnation definer.Incarnation   `json:"incarnation"`
-	State       state                 `json:"state"`
+	State       claimState            `json:"state"`
 	At          int64                 `json:"at"`
 	Answer      *messenger.KeptAnswer `json:"answer,omitempty"`
 }
 
-// recordBytes is about what a record without its answer takes.
+// recordBytes is the approximate stored size of a record without its answer.
 const recordBytes = 240
 
 func (record *record) holder() definer.Member {
 	return definer.Member{VM: record.VM, Incarnation: record.Incarnation}
 }
 
+// final reports whether the request is no longer taken to be running.
 func (record *record) final() bool { return record.State != claimed }
 
-// heldBy tells whether the record was put there by that request.
+// heldBy reports whether the record was stored by the request of the operation.
 func (record *record) heldBy(operation Operation) bool {
 	return record.Request == operation.Request && record.holder() == operation.Holder
 }
 
-// age is counted from the record's last change.
+// age returns the time since the last change of the record.
 func (record *record) age(now time.Time) time.Duration {
 	return now.Sub(time.UnixMilli(record.At))
 }
 
-func (record *record) expired(now time.Time, keep time.Duration) bool {
-	return record.final() && record.age(now) > keep
+// expired reports whether the record is final and older than the retention.
+func (record *record) expired(now time.Time, retention time.Duration) bool {
+	return record.final() && record.age(now) > retention
 }
 
-// size is about the number of bytes that the record takes when stored.
+// size returns the approximate stored size of the record in bytes. Base64 makes the
+// answer 4/3 as large.
 func (record *record) size() int { return recordBytes + answerSize(record.Answer)*4/3 }
 
-// answerSize returns the bytes of an answer before they are encoded.
+// answerSize returns the size of an answer in bytes before it is encoded.
 func answerSize(answer *messenger.KeptAnswer) int {
 	if answer == nil {
 		return 0
@@ -73,7 +76,8 @@
 	return size
 }
 
-// Keepable returns the answer if it is small enough to be kept, or nil.
+// Keepable returns the answer if it is small enough to be stored with its claim, at
+// most maxAnswerBytes, and nil otherwise.
 func Keepable(answer *messenger.KeptAnswer) *messenger.KeptAnswer {
 	if answerSize(answer) > maxAnswerBytes {
 		return nil
@@ -81,38 +85,41 @@
 	return answer
 }
 
-// segment is an object of final records; once created it never changes.
+// segment is an object with final records. It is immutable once created.
 type segment struct {
 	Records []record `json:"records"`
 }
 
-// listed is how the head names a segment.
-type listed struct {
+// listedSegment is the entry of a segment in the head of its bucket.
+type listedSegment struct {
 	Number  int    `json:"number"`
 	Version uint64 `json:"version"`
-	// Newest is the last change of the segment's records, in milliseconds.
+	// Newest is the time of the last change of any record of the segment, in
+	// milliseconds since the Unix epoch.
 	Newest int64 `json:"newest"`
 }
 
-func (listed listed) expired(now time.Time, keep time.Duration) bool {
-	return now.Sub(time.UnixMilli(listed.Newest)) > keep
+// expired reports whether all records of the segment are older than the retention.
+func (listedSegment listedSegment) expired(now time.Time, retention time.Duration) bool {
+	return now.Sub(time.UnixMilli(listedSegment.Newest)) > retention
 }
 
-// head is a bucket's one object that changes. It holds every record that is
-// not final, the final ones that are in no segment yet, and the segments.
+// head is the only mutable object of a bucket. It holds the records that are not
+// final, the final records that are in no segment yet, and the list of segments.
 type head struct {
-	Next     int      `json:"next"`
-	Segments []listed `json:"segments,omitempty"`
-	Records  []record `json:"records,omitempty"`
+	Next     int             `json:"next"`
+	Segments []listedSegment `json:"segments,omitempty"`
+	Records  []record        `json:"records,omitempty"`
 }
 
-// clone returns a head whose lists can be changed.
+// clone returns a copy with lists of its own.
 func (head head) clone() head {
 	head.Segments = slices.Clone(head.Segments)
 	head.Records = slices.Clone(head.Records)
 	return head
 }
 
+// find returns the record of the key, or nil.
 func (head *head) find(key string) *record {
 	for index := range head.Records {
 		if head.Records[index].Key == key {
@@ -126,7 +133,7 @@
 	head.Records = slices.DeleteFunc(head.Records, func(record record) bool { return record.Key == key })
 }
 
-// finals returns the final records and about how many bytes they take.
+// finals returns the final records and their approximate stored size in bytes.
 func (head *head) finals() ([]record, int) {
 	var records []record
 	size := 0
@@ -139,6 +146,7 @@
 	return records, size
 }
 
+// size returns the approximate stored size of all records in bytes.
 func (head *head) size() int {
 	size := 0
 	for index := range head.Records {
--- a/limiter/limiter_test.go
+++ b/limiter/limiter_test.go
@@ -71,6 +71,8 @@
 	}
 }
 
+// TestStragglerGetsItsShareBack checks that an upstream whose limit fell to 1 gets a higher
+// limit again once it is fast.
 func TestStragglerGetsItsShareBack(t *testing.T) {
 	upstream, class := buildUpstream(t, 8, 16)
 	limiter, now := New(), time.Unix(0, 0)
@@ -80,6 +82,8 @@
 	assert.Equal(t, limiter.Limit(upstream), 8)
 }
 
+// TestLimitIsNotRaisedWhileItIsNotUsed guards against raising a limit without evidence:
+// good latencies at 2 of 8 slots say nothing about more than 8.
 func TestLimitIsNotRaisedWhileItIsNotUsed(t *testing.T) {
 	upstream, class := buildUpstream(t, 8, 16)
 	limiter, now := New(), time.Unix(0, 0)
@@ -124,6 +128,7 @@
 	}
 }
 
+// TestRateKeepsOnlyBusyOrganisations checks that buckets of idle organisations are dropped.
 func TestRateKeepsOnlyBusyOrganisations(t *testing.T) {
 	rateLimiter, now := NewRate(), time.Unix(0, 0)
 	for _, organisation := range buildOrganisations(t, 1900, 2) {
