--- a/exchanger/announcements.go
+++ b/exchanger/announcements.go
@@ -7,20 +7,21 @@
 	"limpetcleat/messenger"
 )
 
-// Announcements is what this node knows of how upstreams want to be asked, and tells others.
-// They may be called with the lock of the exchanger held.
+// Announcements stores what upstreams announced, which is the rate of requests they
+// accept and whether they are about to stop, and exchanges it with peers. Its methods may
+// be called while the lock of the Exchanger is held.
 type Announcements interface {
-	// Tell returns what the next report of the scope tells.
+	// Tell returns the announcements for the next report of the scope.
 	Tell(now time.Time, scope messenger.LoadScope) []messenger.UpstreamAnnouncement
-	// Learn takes in what a peer's report told.
-	Learn(now time.Time, from definer.VM, told []messenger.UpstreamAnnouncement)
+	// Learn stores the announcements in the report of a peer.
+	Learn(now time.Time, from definer.VM, announcements []messenger.UpstreamAnnouncement)
 }
 
-// unannounced is for nodes that exchange no announcements.
+// unannounced is the default Announcements; it exchanges none.
 type unannounced struct{}
 
-// Tell tells nothing.
+// Tell returns no announcements.
 func (unannounced) Tell(time.Time, messenger.LoadScope) []messenger.UpstreamAnnouncement { return nil }
 
-// Learn takes in nothing.
+// Learn ignores the announcements.
 func (unannounced) Learn(time.Time, definer.VM, []messenger.UpstreamAnnouncement) {}
--- a/exchanger/benchmark_test.go
+++ b/exchanger/benchmark_test.go
@@ -13,8 +13,8 @@
 	"limpetcleat/selector"
 )
 
-// BenchmarkAggregator measures what an aggregator composes in one interval, and how many
-// bytes of it go over its link, with 81 nodes in 4 data centres and 224 engines in use.
+// BenchmarkAggregator measures the reports that an aggregator composes in one interval
+// and the traffic on its link, with 81 nodes in 4 data centres and 224 engines in use.
 func BenchmarkAggregator(b *testing.B) {
 	const engines, members, groups = 224, 10, 7
 	now := time.Now()
--- a/exchanger/clock.go
+++ b/exchanger/clock.go
@@ -7,37 +7,40 @@
 	"limpetcleat/messenger"
 )
 
-// Clock tells the time of day, by which windows of usage are told apart, as far as clocks
-// of VMs can. It may be called with the lock of the exchanger held.
+// Clock estimates the time of day, which decides the window of time that usage is counted
+// in, as precisely as the clocks of VMs allow. Its methods may be called while the lock
+// of the Exchanger is held.
 type Clock interface {
 	// Own returns the time by this VM's clock alone.
 	Own() time.Time
-	// Now returns it by the clocks of all that this node hears.
+	// Now returns the time estimated from the clocks of this VM and of the peers that
+	// report to it.
 	Now() time.Time
-	// Hear takes in what a peer's own clock shows.
+	// Hear stores the time that a peer's own clock showed.
 	Hear(from definer.VM, shown time.Time)
-	// Follow takes in what this node's aggregator takes for the time.
-	Follow(told time.Time)
+	// Follow stores the time as estimated by this node's aggregator.
+	Follow(estimated time.Time)
 }
 
-// unclocked is for nodes that compare no clocks.
+// unclocked is the default Clock; reports then carry no time.
 type unclocked struct{}
 
-// Own knows no time.
+// Own returns the zero time.
 func (unclocked) Own() time.Time { return time.Time{} }
 
-// Now knows no time.
+// Now returns the zero time.
 func (unclocked) Now() time.Time { return time.Time{} }
 
-// Hear takes in nothing.
+// Hear ignores the time.
 func (unclocked) Hear(definer.VM, time.Time) {}
 
-// Follow takes in nothing.
+// Follow ignores the time.
 func (unclocked) Follow(time.Time) {}
 
-// show sets the time in a report: members and aggregators show each other their own
-// clocks, and each aggregator tells its members what it makes of them. The mutex is held.
-func (exchanger *Exchanger) show(report *messenger.LoadReport) {
+// setClock sets the time in a report. Reports between members and aggregators carry the
+// clock of the sender, reports of aggregators to their members the time estimated from
+// all clocks. The mutex is held.
+func (exchanger *Exchanger) setClock(report *messenger.LoadReport) {
 	shown := exchanger.clock.Own()
 	if report.Scope == messenger.FleetLoad {
 		shown = exchanger.clock.Now()
@@ -47,7 +50,7 @@
 	}
 }
 
-// readClock takes in the time in a report; mutex is held.
+// readClock passes the time in a report to the clock. The mutex is held.
 func (exchanger *Exchanger) readClock(from definer.VM, report *messenger.LoadReport) {
 	if report.Clock == 0 {
 		return
--- a/exchanger/compose.go
+++ b/exchanger/compose.go
@@ -10,273 +10,284 @@
 	"limpetcleat/messenger"
 )
 
-// outgoing is a report on its way to one peer.
+// outgoing is a report and the address of the peer that it goes to.
 type outgoing struct {
 	address string
 	report  *messenger.LoadReport
 }
 
-// compose returns what is to be told at a stage, and to whom.
+// compose returns the reports that are due at a stage.
 func (exchanger *Exchanger) compose(now time.Time, stage stage) []outgoing {
 	exchanger.mutex.Lock()
 	defer exchanger.mutex.Unlock()
-	exchanger.expire(now)
+	exchanger.dropExpired(now)
 	switch stage {
 	case memberStage:
-		exchanger.follow(now)
-		return exchanger.tellAggregator(now)
+		exchanger.updateAggregator(now)
+		return exchanger.reportToAggregator(now)
 	case groupStage:
-		return exchanger.tellGroups(now)
+		return exchanger.reportToGroups(now)
 	case fleetStage:
-		return exchanger.tellMembers(now)
+		return exchanger.reportToMembers(now)
 	}
 	return nil
 }
 
-// below returns the sum of what this node and its members do; mutex is held.
-func (exchanger *Exchanger) below(now time.Time) *sum {
+// ownGroupSum returns the summed load of this node and the nodes that report to it. The
+// mutex is held.
+func (exchanger *Exchanger) ownGroupSum(now time.Time) *sum {
 	own := exchanger.selector.Report(now)
-	exchanger.reads.add(own.Reads, belowScopes()...)
-	below := newSum()
-	below.add(own, 0)
-	for _, member := range exchanger.members {
-		below.add(member.report, now.Sub(member.at))
+	exchanger.pendingReads.add(own.Reads, ownGroupScopes()...)
+	total := newSum()
+	total.add(own, 0)
+	for _, member := range exchanger.memberReports {
+		total.add(member.report, now.Sub(member.receivedAt))
 	}
-	return below
+	return total
 }
 
-// expire drops the reports that no longer count; mutex is held.
-func (exchanger *Exchanger) expire(now time.Time) {
-	expired := func(_ definer.VM, held held) bool { return held.expired(now) }
-	maps.DeleteFunc(exchanger.members, expired)
-	maps.DeleteFunc(exchanger.others, expired)
-	if exchanger.fleet.expired(now) {
-		exchanger.fleet = held{}
+// dropExpired removes the reports that are too old to count. The mutex is held.
+func (exchanger *Exchanger) dropExpired(now time.Time) {
+	expired := func(_ definer.VM, received receivedReport) bool { return received.expired(now) }
+	maps.DeleteFunc(exchanger.memberReports, expired)
+	maps.DeleteFunc(exchanger.groupReports, expired)
+	if exchanger.fleetReport.expired(now) {
+		exchanger.fleetReport = receivedReport{}
 	}
 }
 
-// follow settles which node is the aggregator of this node's group; mutex is held.
-func (exchanger *Exchanger) follow(now time.Time) {
-	aggregator := exchanger.aggregatorOf(now, exchanger.groups[exchanger.own])
-	if aggregator.VM == exchanger.reportsTo {
+// updateAggregator determines the aggregator of this node's group and, if it has changed,
+// removes what the previous one reported. The mutex is held.
+func (exchanger *Exchanger) updateAggregator(now time.Time) {
+	aggregator := exchanger.aggregatorOf(now, exchanger.groups[exchanger.ownGroup])
+	if aggregator.VM == exchanger.aggregator {
 		return
 	}
-	exchanger.log(logger.EventAggregatorChanged, "to", aggregator.VM, "from", exchanger.reportsTo,
+	exchanger.log(logger.EventAggregatorChanged, "to", aggregator.VM, "from", exchanger.aggregator,
 		"self", aggregator.VM == exchanger.self.VM, "peers", len(exchanger.peers), "groups", len(exchanger.groups))
-	exchanger.selector.Forget(exchanger.reportsTo)
-	exchanger.fleet = held{}
-	exchanger.reportsTo = aggregator.VM
+	exchanger.selector.Forget(exchanger.aggregator)
+	exchanger.fleetReport = receivedReport{}
+	exchanger.aggregator = aggregator.VM
 }
 
-// aggregatorOf returns the first node of a group that answers, or the first one if none
-// does; mutex is held.
+// aggregatorOf returns the first node of a group that responds, or the first node if none
+// does. The mutex is held.
 func (exchanger *Exchanger) aggregatorOf(now time.Time, group group) Peer {
 	for _, node := range group {
-		if node.VM == exchanger.self.VM || exchanger.contact(node.VM).answers(now) {
+		if node.VM == exchanger.self.VM || exchanger.contact(node.VM).isResponsive(now) {
 			return node
 		}
 	}
 	return group[0]
 }
 
-// tellAggregator reports to the aggregator of this node's group, unless that is
-// itself; mutex is held.
-func (exchanger *Exchanger) tellAggregator(now time.Time) []outgoing {
+// reportToAggregator returns the report to the aggregator of this node's group, or none
+// if this node is the aggregator. The mutex is held.
+func (exchanger *Exchanger) reportToAggregator(now time.Time) []outgoing {
 	falls := exchanger.suspicions.Tell(now, messenger.MemberLoad)
 	announcements := exchanger.announcements.Tell(now, messenger.MemberLoad)
-	if exchanger.reportsTo == exchanger.self.VM {
-		exchanger.reads.take(messenger.MemberLoad)
+	if exchanger.aggregator == exchanger.self.VM {
+		exchanger.pendingReads.take(messenger.MemberLoad)
 		return nil
 	}
-	report := exchanger.below(now).report(messenger.MemberLoad, nil, exchanger.reads.take(messenger.MemberLoad))
+	report := exchanger.ownGroupSum(now).reportWithout(messenger.MemberLoad, nil, exchanger.pendingReads.take(messenger.MemberLoad))
 	report.Falls, report.Announcements = falls, announcements
-	return exchanger.address(now, []definer.VM{exchanger.reportsTo}, report)
+	return exchanger.addressReport(now, []definer.VM{exchanger.aggregator}, report)
 }
 
-// tellGroups tells the aggregators of other groups what this group does, if this node
-// is its aggregator, and answers those that take it for that. The mutex is held.
-func (exchanger *Exchanger) tellGroups(now time.Time) []outgoing {
+// reportToGroups returns the reports on this node's group: to the aggregators of other
+// groups if this node is an aggregator, and in answer to the nodes that take it for one.
+// The mutex is held.
+func (exchanger *Exchanger) reportToGroups(now time.Time) []outgoing {
 	falls := exchanger.suspicions.Tell(now, messenger.GroupLoad)
 	announcements := exchanger.announcements.Tell(now, messenger.GroupLoad)
-	aggregators := exchanger.aggregators(now)
+	aggregators := exchanger.aggregatorTargets(now)
 	var askers []definer.VM
-	for vm, other := range exchanger.others {
+	for vm, other := range exchanger.groupReports {
 		if other.report.Scope == messenger.GroupLoad && !slices.Contains(aggregators, vm) {
 			askers = append(askers, vm)
 		}
 	}
 	if len(aggregators)+len(askers) == 0 {
-		exchanger.reads.take(messenger.GroupLoad)
+		exchanger.pendingReads.take(messenger.GroupLoad)
 		return nil
 	}
-	below := exchanger.below(now)
-	reads := exchanger.reads.take(messenger.GroupLoad)
-	load, answer := below.report(messenger.GroupLoad, nil, reads), below.report(messenger.GroupAnswer, nil, reads)
+	total := exchanger.ownGroupSum(now)
+	reads := exchanger.pendingReads.take(messenger.GroupLoad)
+	load, answer := total.reportWithout(messenger.GroupLoad, nil, reads), total.reportWithout(messenger.GroupAnswer, nil, reads)
 	load.Falls, answer.Falls = falls, falls
 	load.Announcements, answer.Announcements = announcements, announcements
-	return append(exchanger.address(now, aggregators, load), exchanger.address(now, askers, answer)...)
+	return append(exchanger.addressReport(now, aggregators, load), exchanger.addressReport(now, askers, answer)...)
 }
 
-// aggregators returns those of the other groups, or none if this node is not the one
-// of its own; mutex is held.
-func (exchanger *Exchanger) aggregators(now time.Time) []definer.VM {
-	if exchanger.reportsTo != exchanger.self.VM {
+// aggregatorTargets returns the aggregators of the other groups, or none if this node is
+// not an aggregator. The mutex is held.
+func (exchanger *Exchanger) aggregatorTargets(now time.Time) []definer.VM {
+	if exchanger.aggregator != exchanger.self.VM {
 		return nil
 	}
 	var aggregators []definer.VM
 	for place, group := range exchanger.groups {
-		if place != exchanger.own {
+		if place != exchanger.ownGroup {
 			aggregators = append(aggregators, exchanger.aggregatorOf(now, group).VM)
 		}
 	}
 	return aggregators
 }
 
-// address addresses a report to nodes, as far as they are listed, and notes that
-// each is to tell something in turn; mutex is held.
-func (exchanger *Exchanger) address(now time.Time, targets []definer.VM, report *messenger.LoadReport) []outgoing {
+// addressReport returns a report for each of the targets that is on the list of nodes,
+// and records that an answer is awaited from it. The mutex is held.
+func (exchanger *Exchanger) addressReport(now time.Time, targets []definer.VM, report *messenger.LoadReport) []outgoing {
 	var messages []outgoing
 	for _, vm := range targets {
 		if peer, listed := exchanger.peers[vm]; listed {
-			exchanger.contact(vm).told(now)
-			messages = append(messages, outgoing{peer.Address, exchanger.personal(now, vm, report)})
+			exchanger.contact(vm).recordSent(now)
+			messages = append(messages, outgoing{peer.Address, exchanger.personalise(now, vm, report)})
 		}
 	}
 	return messages
 }
 
-// invite introduces this node to the members of its group that have not reported to it, if
-// it is the aggregator: those that have just started know nobody. The mutex is held.
-func (exchanger *Exchanger) invite(now time.Time) []outgoing {
-	if exchanger.knowledge == nil || exchanger.reportsTo != exchanger.self.VM {
+// introduceToMembers returns reports, without load, to the members of the group that do
+// not report to this node, if it is the aggregator: nodes that have just started know no
+// peers. The mutex is held.
+func (exchanger *Exchanger) introduceToMembers(now time.Time) []outgoing {
+	if exchanger.knowledge == nil || exchanger.aggregator != exchanger.self.VM {
 		return nil
 	}
 	var messages []outgoing
-	for _, peer := range exchanger.groups[exchanger.own] {
-		_, reports := exchanger.members[peer.VM]
-		if peer.VM == exchanger.self.VM || reports || !exchanger.contact(peer.VM).answers(now) {
+	for _, peer := range exchanger.groups[exchanger.ownGroup] {
+		_, reports := exchanger.memberReports[peer.VM]
+		if peer.VM == exchanger.self.VM || reports || !exchanger.contact(peer.VM).isResponsive(now) {
 			continue
 		}
-		exchanger.contact(peer.VM).told(now)
-		invitation := exchanger.personal(now, peer.VM, &messenger.LoadReport{Scope: messenger.FleetLoad})
+		exchanger.contact(peer.VM).recordSent(now)
+		invitation := exchanger.personalise(now, peer.VM, &messenger.LoadReport{Scope: messenger.FleetLoad})
 		messages = append(messages, outgoing{peer.Address, invitation})
 	}
 	return messages
 }
 
-// personal returns the report with what is told to one node alone; mutex is held.
-func (exchanger *Exchanger) personal(now time.Time, vm definer.VM, report *messenger.LoadReport) *messenger.LoadReport {
-	told := *report
-	exchanger.show(&told)
+// personalise returns a copy of the report with the fields that are specific to one
+// receiver: the clock, the confirmation, the positions and the entries it lacks. The
+// mutex is held.
+func (exchanger *Exchanger) personalise(now time.Time, vm definer.VM, report *messenger.LoadReport) *messenger.LoadReport {
+	personal := *report
+	exchanger.setClock(&personal)
 	if exchanger.knowledge != nil || report.Scope == messenger.MemberLoad {
-		told.Sent = now.Sub(exchanger.start)
+		personal.Sent = now.Sub(exchanger.start)
 	}
-	latest := exchanger.latest(vm)
+	latest := exchanger.latestReport(vm)
 	if latest.report != nil && (exchanger.knowledge != nil || report.Scope == messenger.FleetLoad) {
-		told.Confirmation = exchanger.confirm(latest)
+		personal.Confirmation = exchanger.confirmationFor(latest)
 	}
 	if exchanger.knowledge == nil {
-		return &told
+		return &personal
 	}
 	positions := exchanger.knowledge.Positions()
-	told.Positions = &positions
+	personal.Positions = &positions
 	switch {
 	case latest.report == nil:
-		// It may know nobody; what is told within a data centre costs nothing.
-		told.Address = exchanger.self.Address
-		if exchanger.isNear(vm) {
-			told.News = exchanger.news(now, vm, messenger.Positions{})
+		// The receiver may know no peers. Its position is unknown; sending it all entries
+		// costs nothing within a data centre.
+		personal.Address = exchanger.self.Address
+		if exchanger.inOwnDataCentre(vm) {
+			personal.News = exchanger.newsFor(now, vm, messenger.Positions{})
 		}
 	case latest.report.Positions != nil:
-		told.News = exchanger.news(now, vm, *latest.report.Positions)
+		personal.News = exchanger.newsFor(now, vm, *latest.report.Positions)
 	}
-	return &told
+	return &personal
 }
 
-// news returns what a node at the positions is told of what it lacks, unless it has just
-// been told that: on a thin link it may still be on its way, and told again and again it
-// would hold up itself. The mutex is held.
-func (exchanger *Exchanger) news(now time.Time, vm definer.VM, positions messenger.Positions) *messenger.News {
+// newsFor returns entries that a node at the positions lacks, or nil if they have just
+// been sent to it. On a slow link they may still be in transit, and repeating them would
+// delay them further. The mutex is held.
+func (exchanger *Exchanger) newsFor(now time.Time, vm definer.VM, positions messenger.Positions) *messenger.News {
 	contact := exchanger.contact(vm)
-	if contact.awaitsNews(now, positions) {
+	if contact.newsInTransit(now, positions) {
 		return nil
 	}
-	news := exchanger.lacking(vm, positions)
+	news := exchanger.missingEntries(vm, positions)
 	if news != nil {
-		contact.toldNews(now, positions)
+		contact.recordNewsSent(now, positions)
 	}
 	return news
 }
 
-// isNear tells whether a node is in this node's data centre; mutex is held.
-func (exchanger *Exchanger) isNear(vm definer.VM) bool {
+// inOwnDataCentre reports whether a node is in this node's data centre. The mutex is
+// held.
+func (exchanger *Exchanger) inOwnDataCentre(vm definer.VM) bool {
 	return exchanger.peers[vm].DataCentre == exchanger.self.DataCentre
 }
 
-// lacking returns what a node at the positions lacks, as far as it is for this node to tell
-// it. In other data centres the leaders tell, all but the first of them in small parts,
-// unless the node knows nobody. When each of 18 aggregators told a restarted one everything, 2.6 GB went between
-// data centres in a minute in which 295 nodes started again in turn, where 0.5 GB are
-// usual. The mutex is held.
-func (exchanger *Exchanger) lacking(vm definer.VM, positions messenger.Positions) *messenger.News {
-	knowsNobody := positions.Peers.UpTo == 0
+// missingEntries returns entries that a node at the positions lacks, or nil if sending them
+// is left to other nodes. Nodes of other data centres are sent entries by leaders only, and
+// in small messages unless the leader is the first one; a node that knows no peers is sent
+// large messages by every node. When each of 18 aggregators sent everything to a restarted
+// one, 2.6 GB of traffic between data centres arose in a minute in which 295 nodes were
+// restarted in turn; 0.5 GB are usual. The mutex is held.
+func (exchanger *Exchanger) missingEntries(vm definer.VM, positions messenger.Positions) *messenger.News {
+	knowsNoPeers := positions.Peers.UpTo == 0
 	switch {
-	case knowsNobody || exchanger.first || exchanger.isNear(vm):
+	case knowsNoPeers || exchanger.isFirstLeader || exchanger.inOwnDataCentre(vm):
 		return exchanger.knowledge.Since(positions, LargeNews)
-	case exchanger.leads:
+	case exchanger.isLeader:
 		return exchanger.knowledge.Since(positions, SmallNews)
 	}
 	return nil
 }
 
-// latest returns the latest report of a node; mutex is held.
-func (exchanger *Exchanger) latest(vm definer.VM) held {
-	latest := exchanger.members[vm]
+// latestReport returns the latest report of a node. The mutex is held.
+func (exchanger *Exchanger) latestReport(vm definer.VM) receivedReport {
+	latest := exchanger.memberReports[vm]
 	if exchanger.knowledge == nil {
-		return latest // The others' reports do not tell when they were sent.
+		return latest // Reports of other scopes lack the time at which they were sent.
 	}
-	if other := exchanger.others[vm]; other.at.After(latest.at) {
+	if other := exchanger.groupReports[vm]; other.receivedAt.After(latest.receivedAt) {
 		latest = other
 	}
-	if vm == exchanger.reportsTo && exchanger.fleet.at.After(latest.at) {
-		latest = exchanger.fleet
+	if vm == exchanger.aggregator && exchanger.fleetReport.receivedAt.After(latest.receivedAt) {
+		latest = exchanger.fleetReport
 	}
 	return latest
 }
 
-// tellMembers tells each member what all others do; mutex is held.
-func (exchanger *Exchanger) tellMembers(now time.Time) []outgoing {
+// reportToMembers returns a report to each member on the load of all other nodes. The
+// mutex is held.
+func (exchanger *Exchanger) reportToMembers(now time.Time) []outgoing {
 	falls := exchanger.suspicions.Tell(now, messenger.FleetLoad)
 	announcements := exchanger.announcements.Tell(now, messenger.FleetLoad)
-	messages := exchanger.invite(now)
-	if len(exchanger.members) == 0 {
-		exchanger.reads.take(messenger.FleetLoad)
+	messages := exchanger.introduceToMembers(now)
+	if len(exchanger.memberReports) == 0 {
+		exchanger.pendingReads.take(messenger.FleetLoad)
 		return messages
 	}
-	all := exchanger.below(now)
-	for _, other := range exchanger.others {
-		all.add(other.report, now.Sub(other.at))
+	all := exchanger.ownGroupSum(now)
+	for _, other := range exchanger.groupReports {
+		all.add(other.report, now.Sub(other.receivedAt))
 	}
-	if exchanger.fleet.report != nil {
-		all.add(exchanger.fleet.report, now.Sub(exchanger.fleet.at))
+	if exchanger.fleetReport.report != nil {
+		all.add(exchanger.fleetReport.report, now.Sub(exchanger.fleetReport.receivedAt))
 	}
-	reads := exchanger.reads.take(messenger.FleetLoad)
-	for vm, member := range exchanger.members {
+	reads := exchanger.pendingReads.take(messenger.FleetLoad)
+	for vm, member := range exchanger.memberReports {
 		if peer, listed := exchanger.peers[vm]; listed {
-			report := all.report(messenger.FleetLoad, member.report, reads)
+			report := all.reportWithout(messenger.FleetLoad, member.report, reads)
 			report.Falls, report.Announcements = falls, announcements
-			messages = append(messages, outgoing{peer.Address, exchanger.personal(now, vm, report)})
+			messages = append(messages, outgoing{peer.Address, exchanger.personalise(now, vm, report)})
 		}
 	}
 	return messages
 }
 
-// confirm returns up to when this node knows the configuration in force to be the newest,
-// counted from when it took in a report; mutex is held.
-func (exchanger *Exchanger) confirm(member held) *messenger.Confirmation {
+// confirmationFor returns up to when this node knows its configuration to be the newest,
+// relative to when it received a report, or nil if the store has confirmed none. The
+// mutex is held.
+func (exchanger *Exchanger) confirmationFor(member receivedReport) *messenger.Confirmation {
 	version, at := exchanger.confirmations.Direct()
 	if at.IsZero() {
 		return nil
 	}
-	return &messenger.Confirmation{Version: version, Sent: member.report.Sent, Incarnation: member.incarnation, Lead: at.Sub(member.at)}
+	return &messenger.Confirmation{Version: version, Sent: member.report.Sent, Incarnation: member.incarnation, Lead: at.Sub(member.receivedAt)}
 }
--- a/exchanger/confirmations.go
+++ b/exchanger/confirmations.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Confirmations is what is known of the newest configuration.
+// Confirmations stores up to when configurations are known to have been the newest.
 type Confirmations interface {
-	// Direct returns a version and up to when the store itself has shown this node
-	// that it is the newest; the time is zero when there is none.
+	// Direct returns the version that the store itself last confirmed to this node, and
+	// up to when it was the newest. The time is zero if there is none.
 	Direct() (version uint64, at time.Time)
-	// Learn takes in that a version was the newest at the time.
+	// Learn stores that a version was the newest at the time.
 	Learn(version uint64, at time.Time)
 }
 
-// unconfirmed is for nodes that exchange no confirmations.
+// unconfirmed is the default Confirmations; it exchanges none.
 type unconfirmed struct{}
 
-// Direct knows none.
+// Direct returns no confirmation.
 func (unconfirmed) Direct() (uint64, time.Time) { return 0, time.Time{} }
 
-// Learn takes in nothing.
+// Learn ignores the confirmation.
 func (unconfirmed) Learn(uint64, time.Time) {}
--- a/exchanger/contact.go
+++ b/exchanger/contact.go
@@ -8,66 +8,67 @@
 )
 
 const (
-	// silence is how long a node that was told something may take to tell
-	// something back until another is turned to; a lost packet is sent again after
-	// 0.2 s, and both ways may lose one.
-	silence = 500 * time.Millisecond
-	// firstBackoff and maxBackoff bound how long a silent node is passed over; the time
-	// doubles with each silence in a row. A process is started again within seconds;
-	// an entry of a VM that is gone for good stays.
+	// replyTimeout is the time within which a node must answer a report before another
+	// node is used. A lost packet is sent again after 0.2 s, and a packet may be lost in
+	// each direction.
+	replyTimeout = 500 * time.Millisecond
+	// firstBackoff and maxBackoff bound how long a node that did not answer is skipped;
+	// the time doubles with each consecutive timeout. A process restarts within seconds,
+	// while the entry of a VM that is gone for good stays on the list.
 	firstBackoff = 2 * time.Second
 	maxBackoff   = 30 * time.Second
-	// newsPatience is how long a node may take to say that it has what it was told until it
-	// is told again.
-	newsPatience = 400 * time.Millisecond
+	// newsRetryDelay is how long entries that were sent to a node may stay unacknowledged
+	// before they are sent again.
+	newsRetryDelay = 400 * time.Millisecond
 )
 
-// contact is what is known of a node that is told something and tells something
-// back.
+// contact is the state of the exchange with a node that is sent reports and answers them.
 type contact struct {
-	// waitingSince is when it was first told something behind what it told last;
-	// zero is when nothing is awaited.
-	waitingSince time.Time
-	// backoffUntil is until when it is passed over.
+	// awaitingSince is when the first report since the last answer was sent; zero if no
+	// answer is awaited.
+	awaitingSince time.Time
+	// backoffUntil is the time up to which the node is skipped.
 	backoffUntil time.Time
-	// silences counts those in a row.
-	silences int
-	// newsFrom is from where it was told entries that it lacked, and newsAt when.
-	newsFrom messenger.Positions
-	newsAt   time.Time
+	// timeouts counts consecutive timeouts.
+	timeouts int
+	// lastNewsFrom holds the positions from which the node was last sent missing entries,
+	// and lastNewsAt the time.
+	lastNewsFrom messenger.Positions
+	lastNewsAt   time.Time
 }
 
-// awaitsNews tells whether entries from the positions on may still be on their way to it.
-func (contact *contact) awaitsNews(now time.Time, from messenger.Positions) bool {
-	return contact.newsFrom == from && now.Sub(contact.newsAt) < newsPatience
+// newsInTransit reports whether entries from the positions on may still be on their way
+// to the node.
+func (contact *contact) newsInTransit(now time.Time, from messenger.Positions) bool {
+	return contact.lastNewsFrom == from && now.Sub(contact.lastNewsAt) < newsRetryDelay
 }
 
-// toldNews notes that it was told entries from the positions on.
-func (contact *contact) toldNews(now time.Time, from messenger.Positions) {
-	contact.newsFrom, contact.newsAt = from, now
+// recordNewsSent records that entries from the positions on were sent to the node.
+func (contact *contact) recordNewsSent(now time.Time, from messenger.Positions) {
+	contact.lastNewsFrom, contact.lastNewsAt = from, now
 }
 
-// told notes that the node was told something.
-func (contact *contact) told(now time.Time) {
-	if contact.waitingSince.IsZero() {
-		contact.waitingSince = now
+// recordSent records that a report was sent to the node.
+func (contact *contact) recordSent(now time.Time) {
+	if contact.awaitingSince.IsZero() {
+		contact.awaitingSince = now
 	}
 }
 
-// heard notes that the node told something.
-func (contact *contact) heard() {
-	contact.waitingSince = time.Time{}
+// recordReceived records that a report of the node was received.
+func (contact *contact) recordReceived() {
+	contact.awaitingSince = time.Time{}
 	contact.backoffUntil = time.Time{}
-	contact.silences = 0
+	contact.timeouts = 0
 }
 
-// answers tells whether the node is to be turned to. One that has been silent for too
-// long is backed off from first.
-func (contact *contact) answers(now time.Time) bool {
-	if !contact.waitingSince.IsZero() && now.Sub(contact.waitingSince) > silence {
-		contact.waitingSince = time.Time{}
-		contact.backoffUntil = now.Add(timer.Doubled(firstBackoff, maxBackoff, contact.silences))
-		contact.silences++
+// isResponsive reports whether the node may be used. A node that has not answered in time
+// is skipped until its backoff ends.
+func (contact *contact) isResponsive(now time.Time) bool {
+	if !contact.awaitingSince.IsZero() && now.Sub(contact.awaitingSince) > replyTimeout {
+		contact.awaitingSince = time.Time{}
+		contact.backoffUntil = now.Add(timer.Doubled(firstBackoff, maxBackoff, contact.timeouts))
+		contact.timeouts++
 	}
 	return !now.Before(contact.backoffUntil)
 }
--- a/exchanger/exchanger.go
+++ b/exchanger/exchanger.go
@@ -1,11 +1,13 @@
-// Package exchanger tells peers what this node's requests do to the upstreams
-// and takes in what theirs do, so that all nodes choose from nearly the same
-// picture. Nothing depends on it: a node without reports goes by its own.
+// Package exchanger exchanges load reports between nodes: each node reports which requests
+// it runs at each upstream, so that all nodes balance load on nearly the same data. The
+// reports are an optimisation only; a node that receives none balances on its own
+// requests.
 //
-// The nodes of a data centre form groups. Members report to the first node of
-// their group that answers, its aggregator; aggregators tell each other the sums, and
-// each tells its members what all others do. Every node can be one; which is follows
-// from the list of nodes and from who answers, and is agreed with nobody.
+// The nodes of each data centre are divided into groups. Members report to the aggregator
+// of their group, which is the first node of the group that responds. Aggregators
+// exchange the sums of their groups, and each sends its members the load of all other
+// nodes. Any node can be an aggregator; each node derives the aggregators from the list
+// of nodes and from which nodes respond, without an election.
 package exchanger
 
 import (
@@ -20,28 +22,29 @@
 )
 
 const (
-	// interval is the time between two reports to a peer. The part of what callers'
-	// answers could be worth falls as it grows: with 71 nodes and 60 engines 0.591,
-	// 0.567, 0.536 and some 0.47 at 80, 100, 125 and 250 ms, with 59 and 140 0.701,
-	// 0.742, 0.727 and 0.650; processor time rises as it shrinks.
+	// interval is the time between two reports to a peer. The share of the achievable
+	// value of answers falls as the interval grows: with 71 nodes and 60 engines it was
+	// 0.591, 0.567, 0.536 and about 0.47 at 80, 100, 125 and 250 ms, with 59 nodes and
+	// 140 engines 0.701, 0.742, 0.727 and 0.650. CPU time rises as the interval shrinks.
 	interval = 100 * time.Millisecond
-	// heardLife is how long it is passed on that an upstream was heard; what is
-	// longer ago makes it silent for nobody.
-	heardLife = 2 * time.Second
-	// noRequests is what rounding may leave of a kind's faded count.
-	noRequests = 1e-3
+	// maxHeardAge is the age up to which reports say when an upstream was last heard
+	// from. An older time would not keep any node from treating the upstream as silent.
+	maxHeardAge = 2 * time.Second
+	// minRequests is the decayed request count up to which a kind is left out of reports:
+	// what remains is a rounding error.
+	minRequests = 1e-3
 )
 
-// Peer is another node.
+// Peer is a node, as the list of nodes has it.
 type Peer struct {
 	VM definer.VM
-	// DataCentre is where it runs.
+	// DataCentre is the data centre that the node runs in.
 	DataCentre definer.DataCentre
-	// Address is where it takes messages.
+	// Address is the network address on which the node accepts messages from peers.
 	Address string
-	// Link is what its link carries, in Mbit/s; 0 is unknown.
+	// Link is the bandwidth of its network link in Mbit/s; 0 means unknown.
 	Link int
-	// Revision is the store's number of the entry's last change; 0 is unknown.
+	// Revision is the store's revision of the entry's last change; 0 means unknown.
 	Revision uint64
 }
 
@@ -51,106 +54,113 @@
 	Removed bool
 }
 
-// Sender sends messages to peers; it never blocks.
+// Sender sends messages to peers. Send must not block.
 type Sender interface {
 	Send(ctx context.Context, address string, message messenger.Message)
 }
 
-// held is the latest report of a node; without one it is long expired.
-type held struct {
+// receivedReport is the latest report of a node. The zero value counts as expired.
+type receivedReport struct {
 	report *messenger.LoadReport
-	// incarnation is that of the process that sent it.
+	// incarnation is that of the process that sent the report.
 	incarnation definer.Incarnation
-	at          time.Time
+	receivedAt  time.Time
 }
 
-// expired tells whether the report no longer counts, and its sender is told nothing
-// in turn.
-func (held held) expired(now time.Time) bool { return now.Sub(held.at) > selector.ReportLife }
+// expired reports whether the report is too old to count. A sender whose report has
+// expired is sent no report in return.
+func (received receivedReport) expired(now time.Time) bool {
+	return now.Sub(received.receivedAt) > selector.ReportLife
+}
 
-// Option changes one setting of an Exchanger.
+// Option sets an optional property of an Exchanger.
 type Option func(*Exchanger)
 
-// WithConfirmations has aggregators confirm the configuration to
-// their members, which then need not ask the store so often.
+// WithConfirmations makes nodes confirm to each other that a configuration is the newest,
+// so that those that are sent confirmations query the store less often.
 func WithConfirmations(confirmations Confirmations) Option {
 	return func(exchanger *Exchanger) { exchanger.confirmations = confirmations }
 }
 
-// WithKnowledge has nodes tell each other what the store says, so that not each has to
-// ask it.
+// WithKnowledge makes nodes send each other the entries of the store, so that not every
+// node has to query it.
 func WithKnowledge(knowledge Knowledge) Option {
 	return func(exchanger *Exchanger) { exchanger.knowledge = knowledge }
 }
 
-// WithSuspicions has nodes tell each other which requests make upstreams end.
+// WithSuspicions makes nodes tell each other which requests are suspected of crashing
+// upstreams.
 func WithSuspicions(suspicions Suspicions) Option {
 	return func(exchanger *Exchanger) { exchanger.suspicions = suspicions }
 }
 
-// WithAnnouncements has nodes tell each other how upstreams want to be asked.
+// WithAnnouncements makes nodes pass on the rates that upstreams accept and whether they
+// are about to stop.
 func WithAnnouncements(announcements Announcements) Option {
 	return func(exchanger *Exchanger) { exchanger.announcements = announcements }
 }
 
-// WithClock has nodes show each other their clocks.
+// WithClock makes nodes include their clocks in reports.
 func WithClock(clock Clock) Option {
 	return func(exchanger *Exchanger) { exchanger.clock = clock }
 }
 
-// WithIncarnation sets the number of this node's process, as its messages bear it.
+// WithIncarnation sets the incarnation of this node's process, as its messages carry it.
 func WithIncarnation(incarnation definer.Incarnation) Option {
 	return func(exchanger *Exchanger) { exchanger.incarnation = incarnation }
 }
 
-// WithLog sets where numbered events go; it must not block. The default drops them.
+// WithLog sets the function that log events are passed to; it must not block. By default
+// they are discarded.
 func WithLog(log func(number int, pairs ...any)) Option {
 	return func(exchanger *Exchanger) { exchanger.log = log }
 }
 
-// Exchanger exchanges load reports. It is safe for concurrent use.
+// Exchanger sends and receives load reports. It is safe for concurrent use.
 type Exchanger struct {
 	self          Peer
 	incarnation   definer.Incarnation
 	selector      *selector.Selector
 	sender        Sender
 	confirmations Confirmations
-	// knowledge is nil where each node asks the store by itself.
+	// knowledge is nil if each node queries the store itself.
 	knowledge     Knowledge
 	suspicions    Suspicions
 	announcements Announcements
 	clock         Clock
 	log           func(number int, pairs ...any)
-	// start is what Sent of reports counts from.
+	// start is the time that the field Sent of reports is relative to.
 	start time.Time
-	// mutex guards the rest; the selector's and those of confirmations, suspicions and
-	// announcements are taken under it.
+	// mutex guards the fields below. The locks of the selector, the confirmations, the
+	// suspicions and the announcements are acquired while it is held.
 	mutex sync.Mutex
 	// peers holds the other nodes by name.
 	peers map[definer.VM]Peer
-	// listed is set once the list of nodes was read.
-	listed bool
-	// nodes holds these and this one; the slice is replaced and never changed.
+	// listLoaded is set once the list of nodes has been read.
+	listLoaded bool
+	// nodes holds all nodes, this one included. The slice is replaced and never modified.
 	nodes []Peer
-	// groups holds all nodes, this one among them; own is the place of its group.
+	// groups holds the groups of all nodes; ownGroup is the index of this node's group.
 	groups   []group
-	own      int
+	ownGroup int
 	contacts map[definer.VM]*contact
-	// members holds what was reported to this node, others what other groups told.
-	members map[definer.VM]held
-	others  map[definer.VM]held
-	// fleet is what the aggregator of this node's group told; reportsTo is its name,
-	// this node's own when it is the aggregator.
-	fleet     held
-	reportsTo definer.VM
-	// leads and first are those of the standing that was asked for last.
-	leads bool
-	first bool
-	// reads holds the readings to be passed on in the next reports of each scope.
-	reads readings
+	// memberReports holds the reports of nodes that take this one for their aggregator,
+	// groupReports those of the aggregators of other groups.
+	memberReports map[definer.VM]receivedReport
+	groupReports  map[definer.VM]receivedReport
+	// fleetReport is the last report of the aggregator of this node's group. aggregator
+	// is the aggregator's name, this node's own if it is the aggregator.
+	fleetReport receivedReport
+	aggregator  definer.VM
+	// isLeader and isFirstLeader are Leads and First of the last Standing that was
+	// returned.
+	isLeader      bool
+	isFirstLeader bool
+	// pendingReads holds the readings to include in the next reports of each scope.
+	pendingReads readings
 }
 
-// New returns an exchanger that knows no peers yet.
+// New returns an Exchanger that has no peers yet.
 func New(self Peer, selector *selector.Selector, sender Sender, options ...Option) *Exchanger {
 	exchanger := &Exchanger{
 		self:          self,
@@ -166,9 +176,9 @@
 		nodes:         []Peer{self},
 		groups:        []group{{self}},
 		contacts:      make(map[definer.VM]*contact),
-		members:       make(map[definer.VM]held),
-		others:        make(map[definer.VM]held),
-		reads:         make(readings),
+		memberReports: make(map[definer.VM]receivedReport),
+		groupReports:  make(map[definer.VM]receivedReport),
+		pendingReads:  make(readings),
 	}
 	for _, option := range options {
 		option(exchanger)
@@ -176,19 +186,19 @@
 	return exchanger
 }
 
-// Replace takes in the whole list of nodes.
+// Replace replaces the list of nodes. The entry of this node is ignored.
 func (exchanger *Exchanger) Replace(list []Peer) {
 	exchanger.mutex.Lock()
 	defer exchanger.mutex.Unlock()
-	exchanger.listed = true
+	exchanger.listLoaded = true
 	exchanger.peers = make(map[definer.VM]Peer, len(list))
 	for _, peer := range list {
-		exchanger.put(peer)
+		exchanger.addPeer(peer)
 	}
-	exchanger.arrange()
+	exchanger.regroup()
 }
 
-// Apply takes in changes of the list.
+// Apply applies changes to the list of nodes.
 func (exchanger *Exchanger) Apply(changes []PeerChange) {
 	exchanger.mutex.Lock()
 	defer exchanger.mutex.Unlock()
@@ -197,26 +207,26 @@
 			delete(exchanger.peers, change.Peer.VM)
 			continue
 		}
-		exchanger.put(change.Peer)
+		exchanger.addPeer(change.Peer)
 	}
-	exchanger.arrange()
+	exchanger.regroup()
 }
 
-// put takes in a node; mutex is held.
-func (exchanger *Exchanger) put(peer Peer) {
+// addPeer adds or updates a node, unless it is this one. The mutex is held.
+func (exchanger *Exchanger) addPeer(peer Peer) {
 	if peer.VM != exchanger.self.VM {
 		exchanger.peers[peer.VM] = peer
 	}
 }
 
-// arrange sorts the nodes into groups; mutex is held.
-func (exchanger *Exchanger) arrange() {
+// regroup divides the nodes into groups after a change of the list. The mutex is held.
+func (exchanger *Exchanger) regroup() {
 	nodes := []Peer{exchanger.self}
 	for _, peer := range exchanger.peers {
 		nodes = append(nodes, peer)
 	}
 	exchanger.nodes = nodes
-	exchanger.groups, exchanger.own = arrange(exchanger.self.VM, nodes)
+	exchanger.groups, exchanger.ownGroup = formGroups(exchanger.self.VM, nodes)
 	for vm := range exchanger.contacts {
 		if _, listed := exchanger.peers[vm]; !listed {
 			delete(exchanger.contacts, vm)
@@ -224,22 +234,22 @@
 	}
 }
 
-// Nodes returns all nodes, this one among them, and whether the list was read yet. The caller
-// must not change the slice.
+// Nodes returns all nodes, this one included, and whether the list of nodes has been read
+// yet. The caller must not modify the slice.
 func (exchanger *Exchanger) Nodes() (nodes []Peer, known bool) {
 	exchanger.mutex.Lock()
 	defer exchanger.mutex.Unlock()
-	return exchanger.nodes, exchanger.listed
+	return exchanger.nodes, exchanger.listLoaded
 }
 
-// Count returns how many peers are listed.
+// Count returns the number of other nodes on the list.
 func (exchanger *Exchanger) Count() int {
 	exchanger.mutex.Lock()
 	defer exchanger.mutex.Unlock()
 	return len(exchanger.peers)
 }
 
-// Address returns where a peer takes messages, if it is listed.
+// Address returns the address of a peer and whether it is on the list.
 func (exchanger *Exchanger) Address(vm definer.VM) (address string, listed bool) {
 	exchanger.mutex.Lock()
 	defer exchanger.mutex.Unlock()
@@ -247,27 +257,28 @@
 	return peer.Address, listed
 }
 
-// Receive takes in a message from a peer.
+// Receive processes a message from a peer. Messages other than load reports are ignored.
 func (exchanger *Exchanger) Receive(from definer.Member, dataCentre definer.DataCentre, message messenger.Message) {
 	report, ok := message.(*messenger.LoadReport)
 	if !ok {
 		return
 	}
 	if exchanger.knowledge != nil && report.News != nil {
-		// Taken in first: a confirmation beside it may speak of what it tells.
+		// Entries go first: the confirmation in the same report may rest on them.
 		exchanger.knowledge.Take(report.News)
 	}
-	exchanger.meet(Peer{VM: from.VM, DataCentre: dataCentre, Address: report.Address})
+	exchanger.addFirstPeer(Peer{VM: from.VM, DataCentre: dataCentre, Address: report.Address})
 	exchanger.receive(time.Now(), from, report)
 }
 
-// meet takes in a node that introduces itself, if this one knows nobody.
-func (exchanger *Exchanger) meet(stranger Peer) {
+// addFirstPeer adds the sender of a message that carries its address, if this node has no
+// peers yet.
+func (exchanger *Exchanger) addFirstPeer(sender Peer) {
 	exchanger.mutex.Lock()
 	defer exchanger.mutex.Unlock()
-	if stranger.Address != "" && len(exchanger.peers) == 0 {
-		exchanger.put(stranger)
-		exchanger.arrange()
+	if sender.Address != "" && len(exchanger.peers) == 0 {
+		exchanger.addPeer(sender)
+		exchanger.regroup()
 	}
 }
 
@@ -275,44 +286,45 @@
 	exchanger.mutex.Lock()
 	defer exchanger.mutex.Unlock()
 	from := sender.VM
-	exchanger.contact(from).heard()
+	exchanger.contact(from).recordReceived()
 	if exchanger.knowledge == nil || report.Positions != nil {
-		// One that does not tell entries is no reason not to ask for them.
+		// A node that sends no entries does not make it unnecessary to query the store.
 		exchanger.learnConfirmation(report.Confirmation)
 	}
 	exchanger.suspicions.Learn(now, from, report.Scope, report.Falls)
 	exchanger.announcements.Learn(now, from, report.Announcements)
-	arrived := held{report: report, incarnation: sender.Incarnation, at: now}
+	arrived := receivedReport{report: report, incarnation: sender.Incarnation, receivedAt: now}
 	switch report.Scope {
 	case messenger.MemberLoad:
-		exchanger.members[from] = arrived
+		exchanger.memberReports[from] = arrived
 		exchanger.readClock(from, report)
-		exchanger.reads.add(report.Reads, belowScopes()...)
+		exchanger.pendingReads.add(report.Reads, ownGroupScopes()...)
 	case messenger.GroupLoad, messenger.GroupAnswer:
-		exchanger.others[from] = arrived
+		exchanger.groupReports[from] = arrived
 		exchanger.readClock(from, report)
-		exchanger.reads.add(report.Reads, messenger.FleetLoad)
+		exchanger.pendingReads.add(report.Reads, messenger.FleetLoad)
 	case messenger.FleetLoad:
-		if from != exchanger.reportsTo {
-			return // It was asked before another was turned to.
+		if from != exchanger.aggregator {
+			return // The sender is no longer the aggregator of this group.
 		}
-		exchanger.fleet = arrived
+		exchanger.fleetReport = arrived
 		exchanger.readClock(from, report)
-		exchanger.reads.add(report.Reads, messenger.FleetLoad)
+		exchanger.pendingReads.add(report.Reads, messenger.FleetLoad)
 	}
 	exchanger.selector.Learn(now, from, report, len(exchanger.peers))
 }
 
-// learnConfirmation takes in what a peer confirmed, whoever it is: that holds for every
-// node. It counts from a report of this process alone: one of the process before says
-// nothing of the time here. The mutex is held.
+// learnConfirmation passes on a confirmation by any peer; it is valid for every node. It
+// is ignored unless it answers a report of this process: its time is relative to the
+// start of the process that sent the report. The mutex is held.
 func (exchanger *Exchanger) learnConfirmation(confirmation *messenger.Confirmation) {
 	if confirmation != nil && confirmation.Incarnation == exchanger.incarnation {
 		exchanger.confirmations.Learn(confirmation.Version, exchanger.start.Add(confirmation.Sent+confirmation.Lead))
 	}
 }
 
-// contact returns what is known of a node's answers; mutex is held.
+// contact returns the state of the exchange with a node, and creates it if there is none.
+// The mutex is held.
 func (exchanger *Exchanger) contact(vm definer.VM) *contact {
 	known, ok := exchanger.contacts[vm]
 	if !ok {
--- a/exchanger/exchanger_test.go
+++ b/exchanger/exchanger_test.go
@@ -13,15 +13,15 @@
 	"limpetcleat/selector"
 )
 
-// recordingSender keeps the addresses that it was to send to.
+// recordingSender records the addresses that it is asked to send to.
 type recordingSender struct{ sent chan string }
 
 func (sender *recordingSender) Send(_ context.Context, address string, _ messenger.Message) {
 	sender.sent <- address
 }
 
-// TestRunTellsPeersOnly holds that reports go to listed peers, not to the node
-// itself or to one that was removed.
+// TestRunTellsPeersOnly checks that reports go to listed peers only, and not to the node
+// itself or to a node that was removed.
 func TestRunTellsPeersOnly(t *testing.T) {
 	sender := &recordingSender{sent: make(chan string, 64)}
 	exchange := exchanger.New(exchanger.Peer{VM: "self", DataCentre: "west"}, selector.New("west"), sender)
--- a/exchanger/fleet_test.go
+++ b/exchanger/fleet_test.go
@@ -15,23 +15,26 @@
 
 const engine definer.UpstreamName = "engine"
 
-// fleet is some nodes on a stepped clock, whose messages arrive at once.
+// fleet is a set of nodes on a simulated clock, between which messages arrive without
+// delay.
 type fleet struct {
 	t     *testing.T
 	now   time.Time
 	nodes map[definer.VM]*Exchanger
 	order []Peer
-	// cut tells whether messages from one node to another are lost.
-	cut func(from, to definer.VM) bool
-	// taken is told of each message that arrives, before the node; nil for nothing.
-	taken func(to definer.VM, report *messenger.LoadReport)
-	// most is the largest number of messages that a node sent in an interval.
-	most int
+	// isCut reports whether messages from one node to another are lost.
+	isCut func(from, to definer.VM) bool
+	// onDelivery, unless nil, is called with each message that arrives before the node
+	// receives it.
+	onDelivery func(to definer.VM, report *messenger.LoadReport)
+	// maxSent is the largest number of messages that one node sent in an interval.
+	maxSent int
 }
 
-// newFleet returns nodes, by data centre, each with one request at the engine.
+// newFleet returns a fleet with the given numbers of nodes per data centre, each node
+// with one request at the engine.
 func newFleet(t *testing.T, sizes ...int) *fleet {
-	fleet := &fleet{t: t, now: time.Unix(1000, 0), nodes: make(map[definer.VM]*Exchanger), cut: func(_, _ definer.VM) bool { return false }}
+	fleet := &fleet{t: t, now: time.Unix(1000, 0), nodes: make(map[definer.VM]*Exchanger), isCut: func(_, _ definer.VM) bool { return false }}
 	for place, size := range sizes {
 		for index := range size {
 			vm := definer.VM(fmt.Sprintf("%d-%03d", place, index))
@@ -44,7 +47,7 @@
 	return fleet
 }
 
-// start starts a node, for the first time or again.
+// start starts or restarts a node.
 func (fleet *fleet) start(peer Peer) {
 	choice := selector.New(peer.DataCentre)
 	_, err := choice.Choose(fleet.now, &selector.Demand{
@@ -58,7 +61,7 @@
 	fleet.nodes[peer.VM] = node
 }
 
-// step plays intervals.
+// step runs the given number of intervals.
 func (fleet *fleet) step(intervals int) {
 	for range intervals {
 		sent := make(map[definer.VM]int)
@@ -70,43 +73,44 @@
 				}
 				for _, outgoing := range node.compose(fleet.now, stage) {
 					sent[peer.VM]++
-					fleet.most = max(fleet.most, sent[peer.VM])
+					fleet.maxSent = max(fleet.maxSent, sent[peer.VM])
 					fleet.deliver(peer.VM, definer.VM(outgoing.address), outgoing.report)
 				}
 			}
-			fleet.now = fleet.now.Add(stageLag)
+			fleet.now = fleet.now.Add(stageInterval)
 		}
-		fleet.now = fleet.now.Add(interval - stageLag*time.Duration(stageCount))
+		fleet.now = fleet.now.Add(interval - stageInterval*time.Duration(stageCount))
 	}
 }
 
 func (fleet *fleet) deliver(from, to definer.VM, report *messenger.LoadReport) {
-	if node, alive := fleet.nodes[to]; alive && !fleet.cut(from, to) {
-		if fleet.taken != nil {
-			fleet.taken(to, report)
+	if node, alive := fleet.nodes[to]; alive && !fleet.isCut(from, to) {
+		if fleet.onDelivery != nil {
+			fleet.onDelivery(to, report)
 		}
-		node.meet(Peer{VM: from, DataCentre: definer.DataCentre(from[:1]), Address: report.Address})
+		node.addFirstPeer(Peer{VM: from, DataCentre: definer.DataCentre(from[:1]), Address: report.Address})
 		node.receive(fleet.now, definer.Member{VM: from}, report)
 	}
 }
 
-// known returns how many other nodes a node knows the requests of, and how many of
-// those are at the engine.
+// known returns the number of other nodes whose requests a node knows of, and the number
+// of these requests that run at the engine.
 func (fleet *fleet) known(node *Exchanger) (nodes, inFlight int) {
 	all := newSum()
-	for _, held := range node.members {
+	for _, held := range node.memberReports {
 		all.add(held.report, 0)
 	}
-	for _, held := range node.others {
+	for _, held := range node.groupReports {
 		all.add(held.report, 0)
 	}
-	if node.fleet.report != nil {
-		all.add(node.fleet.report, 0)
+	if node.fleetReport.report != nil {
+		all.add(node.fleetReport.report, 0)
 	}
 	return all.nodes, all.loads[definer.UpstreamStart{Upstream: engine}].InFlight
 }
 
-// checkEachKnows checks that each living node knows exactly so many others.
+// checkEachKnows checks that each running node knows exactly the expected number of
+// others.
 func (fleet *fleet) checkEachKnows(others func(vm definer.VM) int) {
 	fleet.t.Helper()
 	for _, peer := range fleet.order {
@@ -121,9 +125,9 @@
 
 func (fleet *fleet) allOthers(definer.VM) int { return len(fleet.nodes) - 1 }
 
-// settled is enough intervals for a silent node to be passed over and for reports
-// that no longer come to be dropped.
-const settled = int((silence + selector.ReportLife) / interval * 2)
+// settleIntervals is long enough for nodes that do not respond to be skipped and for
+// their last reports to expire.
+const settleIntervals = int((replyTimeout + selector.ReportLife) / interval * 2)
 
 func TestEachNodeKnowsOfAllOthers(t *testing.T) {
 	for _, sizes := range [][]int{{1}, {1, 1}, {2, 3, 2, 1}, {16, 17, 20, 18}, {78, 78, 78, 78, 78}} {
@@ -131,15 +135,15 @@
 			fleet := newFleet(t, sizes...)
 			fleet.step(2)
 			fleet.checkEachKnows(fleet.allOthers)
-			fleet.step(settled)
+			fleet.step(settleIntervals)
 			fleet.checkEachKnows(fleet.allOthers)
-			assert.Assert(t, fleet.most <= groupSize+27, "a node sent %d messages in an interval", fleet.most)
+			assert.Assert(t, fleet.maxSent <= groupSize+27, "a node sent %d messages in an interval", fleet.maxSent)
 		})
 	}
 }
 
-// TestReadingsReachEachNode holds that what one node had read is known to all
-// others within two intervals, whichever nodes lie between.
+// TestReadingsReachEachNode checks that prompt parts read for one node are known to all
+// other nodes within two intervals, wherever they are in the hierarchy.
 func TestReadingsReachEachNode(t *testing.T) {
 	fleet := newFleet(t, 3, 20, 1)
 	fleet.step(2)
@@ -160,57 +164,57 @@
 	return len(text) >= len(suffix) && text[len(text)-len(suffix):] == suffix
 }
 
-// TestAggregatorsMayEnd holds that the others know of each other again soon after
-// aggregators ended, and once more after these came back.
+// TestAggregatorsMayEnd checks that the remaining nodes know of each other again soon
+// after aggregators stopped, and all nodes after these have come back.
 func TestAggregatorsMayEnd(t *testing.T) {
 	fleet := newFleet(t, 4, 20, 3)
-	fleet.step(settled)
+	fleet.step(settleIntervals)
 	ended := []Peer{fleet.order[0], fleet.order[1], fleet.order[4]}
 	for _, peer := range ended {
 		delete(fleet.nodes, peer.VM)
 	}
-	fleet.step(settled)
+	fleet.step(settleIntervals)
 	fleet.checkEachKnows(fleet.allOthers)
 	for _, peer := range ended {
 		fleet.start(peer)
 	}
-	fleet.step(settled + int(maxBackoff/interval))
+	fleet.step(settleIntervals + int(maxBackoff/interval))
 	fleet.checkEachKnows(fleet.allOthers)
 }
 
-// TestDataCentresCutOff holds that the nodes of a data centre know of each other
-// while it is cut off, and of all again soon after.
+// TestDataCentresCutOff checks that the nodes of a data centre know of each other while
+// it is partitioned from the others, and of all nodes soon after the partition ends.
 func TestDataCentresCutOff(t *testing.T) {
 	fleet := newFleet(t, 4, 20, 3)
-	fleet.step(settled)
-	fleet.cut = func(from, to definer.VM) bool { return from[0] != to[0] && (from[0] == '1' || to[0] == '1') }
-	fleet.step(settled)
+	fleet.step(settleIntervals)
+	fleet.isCut = func(from, to definer.VM) bool { return from[0] != to[0] && (from[0] == '1' || to[0] == '1') }
+	fleet.step(settleIntervals)
 	fleet.checkEachKnows(func(vm definer.VM) int {
 		if vm[0] == '1' {
 			return 19
 		}
 		return 6
 	})
-	fleet.cut = func(_, _ definer.VM) bool { return false }
-	fleet.step(settled + int(maxBackoff/interval))
+	fleet.isCut = func(_, _ definer.VM) bool { return false }
+	fleet.step(settleIntervals + int(maxBackoff/interval))
 	fleet.checkEachKnows(fleet.allOthers)
 }
 
-// TestMemberCutFromItsAggregator holds that a node that alone cannot reach the
-// aggregator of its group still learns of all it can be told of, and that nothing is
-// counted twice anywhere.
+// TestMemberCutFromItsAggregator checks that a node which is the only one that cannot
+// reach the aggregator of its group still learns of all other nodes, and that no node
+// counts anything twice.
 func TestMemberCutFromItsAggregator(t *testing.T) {
 	fleet := newFleet(t, 6, 3)
-	fleet.step(settled)
-	fleet.cut = func(from, to definer.VM) bool {
+	fleet.step(settleIntervals)
+	fleet.isCut = func(from, to definer.VM) bool {
 		return from == "0-000" && to == "0-003" || from == "0-003" && to == "0-000"
 	}
-	fleet.step(settled)
+	fleet.step(settleIntervals)
 	fleet.checkEachKnows(fleet.allOthers)
 }
 
-// TestReportsDoNotGrowInCircles holds that nodes with unlike lists, which may take
-// each other for the aggregator, do not count requests over and over.
+// TestReportsDoNotGrowInCircles checks that requests are not counted again and again when
+// nodes have different lists of nodes, and so may take each other for the aggregator.
 func TestReportsDoNotGrowInCircles(t *testing.T) {
 	fleet := newFleet(t, 5, 5)
 	for index, peer := range fleet.order {
@@ -222,14 +226,15 @@
 		}
 		fleet.nodes[peer.VM].Replace(known)
 	}
-	fleet.step(10 * settled)
+	fleet.step(10 * settleIntervals)
 	for _, peer := range fleet.order {
 		nodes, _ := fleet.known(fleet.nodes[peer.VM])
 		assert.Check(t, nodes < 3*len(fleet.order), "%s counts %d nodes", peer.VM, nodes)
 	}
 }
 
-// confirmations is what a node of the test knows and learns.
+// confirmations is a test double with a fixed direct confirmation, which records the
+// confirmations it learns.
 type confirmations struct {
 	version uint64
 	at      time.Time
@@ -244,9 +249,9 @@
 	confirmations.learnt = append(confirmations.learnt, at)
 }
 
-// TestConfirmationsHoldHoweverLate holds that a member never takes the configuration
-// for confirmed later than the store has confirmed it to the node that says so,
-// however long either report was on its way.
+// TestConfirmationsHoldHoweverLate checks that a member never takes the configuration for
+// confirmed at a later time than the store confirmed it to the sender, however long
+// either report was delayed.
 func TestConfirmationsHoldHoweverLate(t *testing.T) {
 	for _, delays := range [][2]time.Duration{{0, 0}, {time.Second, 0}, {0, 3 * time.Second}, {2 * time.Second, 2 * time.Second}} {
 		for _, age := range []time.Duration{0, 1500 * time.Millisecond, time.Minute} {
@@ -270,7 +275,7 @@
 			reporting.receive(taken.Add(20*time.Millisecond+delays[1]), definer.Member{VM: "a"}, answered[0].report)
 
 			assert.Equal(t, len(learning.learnt), 1)
-			assert.Assert(t, !learning.learnt[0].After(direct.at), "%v after the store's", learning.learnt[0].Sub(direct.at))
+			assert.Assert(t, !learning.learnt[0].After(direct.at), "%v later than the confirmation of the store", learning.learnt[0].Sub(direct.at))
 			assert.Equal(t, learning.learnt[0].Sub(start), -age)
 		}
 	}
@@ -282,13 +287,13 @@
 		wait := untilStage(now, stage)
 		assert.Assert(t, wait > 0 && wait <= interval)
 		now = now.Add(wait)
-		assert.Equal(t, time.Duration(now.UnixNano())%interval, time.Duration(stage)*stageLag)
+		assert.Equal(t, time.Duration(now.UnixNano())%interval, time.Duration(stage)*stageInterval)
 	}
 }
 
-// TestConfirmationsForAnEarlierProcessDoNotCount holds that a node which starts again does
-// not take the answer to a report of its process before for one to its own: that counts
-// from the start of the other, and would hold far into the future.
+// TestConfirmationsForAnEarlierProcessDoNotCount checks that a restarted node ignores the
+// answer to a report of its previous process. The time in that answer is relative to the
+// start of the previous process, so it would count as a confirmation far in the future.
 func TestConfirmationsForAnEarlierProcessDoNotCount(t *testing.T) {
 	first, member := Peer{VM: "a", Address: "a"}, Peer{VM: "b", Address: "b"}
 	start := time.Now()
--- a/exchanger/group.go
+++ b/exchanger/group.go
@@ -7,19 +7,20 @@
 	"limpetcleat/definer"
 )
 
-// groupSize is about how many nodes of a data centre make a group. Its
-// aggregator exchanges with its members and with the other groups: at 390
-// nodes in 5 data centres some 15 + 24 messages an interval.
+// groupSize is the largest number of nodes in a group. An aggregator exchanges reports
+// with its members and with the other groups: with 390 nodes in 5 data centres some 15 +
+// 24 messages in an interval.
 const groupSize = 16
 
-// group is some nodes, in an order that all nodes find alike: the first one that
-// answers is its aggregator. Those with the largest links come first: an aggregator sends
-// the load of each engine in use to all its members and to all other groups.
+// group is a list of nodes of one data centre, in an order that is the same on all nodes:
+// the first one that responds is the aggregator. Nodes with the largest links come first,
+// since an aggregator sends the load of each engine in use to all its members and to all
+// other groups.
 type group []Peer
 
-// arrange sorts all nodes into groups and returns them with the place of the
-// node's own.
-func arrange(self definer.VM, nodes []Peer) (groups []group, own int) {
+// formGroups divides the nodes of each data centre into groups and returns the groups and
+// the index of the one that holds self.
+func formGroups(self definer.VM, nodes []Peer) (groups []group, own int) {
 	nodes = slices.Clone(nodes)
 	slices.SortFunc(nodes, func(left, right Peer) int {
 		return cmp.Or(cmp.Compare(left.DataCentre, right.DataCentre), cmp.Compare(right.Link, left.Link), cmp.Compare(left.VM, right.VM))
@@ -29,7 +30,7 @@
 		if count < 0 {
 			count = len(nodes)
 		}
-		groups = append(groups, split(nodes[:count])...)
+		groups = append(groups, splitDataCentre(nodes[:count])...)
 		nodes = nodes[count:]
 	}
 	own = slices.IndexFunc(groups, func(group group) bool {
@@ -38,8 +39,9 @@
 	return groups, own
 }
 
-// split deals the nodes of a data centre out to as few groups as have room.
-func split(nodes []Peer) []group {
+// splitDataCentre distributes the nodes of a data centre in turn over as few groups as
+// can hold them.
+func splitDataCentre(nodes []Peer) []group {
 	groups := make([]group, (len(nodes)+groupSize-1)/groupSize)
 	for index, node := range nodes {
 		place := index % len(groups)
--- a/exchanger/group_test.go
+++ b/exchanger/group_test.go
@@ -9,8 +9,9 @@
 	"limpetcleat/definer"
 )
 
-// TestAggregatorsHaveTheLargestLinks holds that the nodes with the largest links of a data
-// centre come first in its groups, wherever their names stand, and that all nodes find so.
+// TestAggregatorsHaveTheLargestLinks checks that the nodes with the largest links in a
+// data centre come first in its groups, wherever their names sort, and that all nodes
+// derive this.
 func TestAggregatorsHaveTheLargestLinks(t *testing.T) {
 	var nodes []Peer
 	for number := range 40 {
@@ -21,7 +22,7 @@
 		nodes = append(nodes, peer)
 	}
 	for _, self := range nodes {
-		groups, own := arrange(self.VM, nodes)
+		groups, own := formGroups(self.VM, nodes)
 		assert.Equal(t, len(groups), 3)
 		for _, group := range groups {
 			assert.Equal(t, group[0].Link, 200)
--- a/exchanger/knowledge.go
+++ b/exchanger/knowledge.go
@@ -2,24 +2,26 @@
 
 import "limpetcleat/messenger"
 
-// Knowledge is what this node knows of the store's entries and tells others.
+// Knowledge is the copy of the entries of the store that this node holds and sends to
+// others.
 type Knowledge interface {
-	// Positions tells up to where it knows them.
+	// Positions returns up to where the entries are known.
 	Positions() messenger.Positions
-	// Since returns what one at the positions lacks, as far as it goes into a message of
-	// the size, or nil. It may be called with the lock of the exchanger held.
+	// Since returns the entries that a node at the positions lacks, as far as they fit
+	// into a message of the size, or nil if it lacks none. It may be called while the
+	// lock of the Exchanger is held.
 	Since(positions messenger.Positions, size NewsSize) *messenger.News
-	// Take takes in what a peer told.
+	// Take stores the entries that a peer sent.
 	Take(news *messenger.News)
 }
 
-// NewsSize tells how much of what a node lacks is told at once.
+// NewsSize says how many of the entries that a node lacks are sent in one message.
 type NewsSize int
 
 const (
-	// LargeNews are for nodes of the same data centre, and for all from the first leader.
+	// LargeNews is used within a data centre, and by the first leader for all nodes.
 	LargeNews NewsSize = iota
-	// SmallNews go between data centres, where bytes are billed and several leaders tell
-	// the same.
+	// SmallNews is used between data centres, where traffic is billed and several leaders
+	// send the same entries.
 	SmallNews
 )
--- a/exchanger/knowledge_test.go
+++ b/exchanger/knowledge_test.go
@@ -10,38 +10,38 @@
 	"limpetcleat/messenger"
 )
 
-// numbered is a knowledge that is just how far it reaches.
-type numbered struct{ upTo uint64 }
+// fakeKnowledge is a Knowledge that holds nothing but the position up to which it knows.
+type fakeKnowledge struct{ upTo uint64 }
 
-func (numbered *numbered) Positions() messenger.Positions {
-	return messenger.Positions{Peers: chronicler.Position{UpTo: numbered.upTo}}
+func (knowledge *fakeKnowledge) Positions() messenger.Positions {
+	return messenger.Positions{Peers: chronicler.Position{UpTo: knowledge.upTo}}
 }
 
-func (numbered *numbered) Since(positions messenger.Positions, _ NewsSize) *messenger.News {
-	if positions.Peers.UpTo >= numbered.upTo {
+func (knowledge *fakeKnowledge) Since(positions messenger.Positions, _ NewsSize) *messenger.News {
+	if positions.Peers.UpTo >= knowledge.upTo {
 		return nil
 	}
-	return &messenger.News{Peers: &chronicler.Excerpt[messenger.PeerEntry]{From: positions.Peers.UpTo, To: numbered.upTo}}
+	return &messenger.News{Peers: &chronicler.Excerpt[messenger.PeerEntry]{From: positions.Peers.UpTo, To: knowledge.upTo}}
 }
 
-func (numbered *numbered) Take(news *messenger.News) {
-	numbered.upTo = max(numbered.upTo, news.Peers.To)
+func (knowledge *fakeKnowledge) Take(news *messenger.News) {
+	knowledge.upTo = max(knowledge.upTo, news.Peers.To)
 }
 
-// withKnowledge gives each node of a fleet a knowledge, and returns them.
-func (fleet *fleet) withKnowledge() map[definer.VM]*numbered {
-	known := make(map[definer.VM]*numbered)
+// addKnowledge gives each node of a fleet a fakeKnowledge and returns these by node.
+func (fleet *fleet) addKnowledge() map[definer.VM]*fakeKnowledge {
+	known := make(map[definer.VM]*fakeKnowledge)
 	for vm, node := range fleet.nodes {
-		known[vm] = &numbered{upTo: 1}
+		known[vm] = &fakeKnowledge{upTo: 1}
 		node.knowledge = known[vm]
 	}
 	return known
 }
 
-// spread delivers the messages of so many intervals with what they tell: the list of nodes
-// among it.
-func (fleet *fleet) spread(intervals int) {
-	fleet.taken = func(to definer.VM, report *messenger.LoadReport) {
+// stepWithNews runs the given number of intervals and applies the entries in the reports,
+// among them the list of nodes.
+func (fleet *fleet) stepWithNews(intervals int) {
+	fleet.onDelivery = func(to definer.VM, report *messenger.LoadReport) {
 		if report.News != nil {
 			fleet.nodes[to].knowledge.Take(report.News)
 			fleet.nodes[to].Replace(fleet.order)
@@ -55,44 +55,44 @@
 	}
 }
 
-// TestNewsReachesAllWhoeverHasIt holds that what one node knows is known to all within
-// four intervals, whichever node it is: its aggregator tells the leader of its data centre,
-// and that the others.
+// TestNewsReachesAllWhoeverHasIt checks that an entry known to one node reaches all nodes
+// within four intervals, whichever node it is: its aggregator sends it to the leader of
+// its data centre, and the leader to the others.
 func TestNewsReachesAllWhoeverHasIt(t *testing.T) {
 	fleet := newFleet(t, 3, 20, 1)
-	known := fleet.withKnowledge()
-	fleet.spread(settled)
+	known := fleet.addKnowledge()
+	fleet.stepWithNews(settleIntervals)
 	for number, teller := range fleet.order {
 		news := uint64(number + 2)
 		known[teller.VM].upTo = news
-		fleet.spread(4)
+		fleet.stepWithNews(4)
 		for vm, node := range known {
 			assert.Check(t, node.upTo == news, "%s knows up to %d of %d, told by %s", vm, node.upTo, news, teller.VM)
 		}
 	}
 }
 
-// TestNodesThatKnowNobodyAreInvited holds that nodes without a list of nodes are found by
-// those that have it.
+// TestNodesThatKnowNobodyAreInvited checks that nodes without a list of nodes are
+// contacted by nodes that have one.
 func TestNodesThatKnowNobodyAreInvited(t *testing.T) {
 	fleet := newFleet(t, 4, 20)
-	known := fleet.withKnowledge()
+	known := fleet.addKnowledge()
 	for _, peer := range fleet.order[1:] {
 		fleet.nodes[peer.VM].Replace([]Peer{peer})
 		known[peer.VM].upTo = 0
 	}
-	fleet.spread(4)
+	fleet.stepWithNews(4)
 	for vm, node := range known {
 		assert.Check(t, node.upTo == 1, "%s was not told", vm)
 	}
 }
 
-// TestOneLeadsEachDataCentre holds that of nodes that hear each other one in each data
-// centre leads, one of these is the first, and ranks are apart; and that another takes its
-// place when it ends.
+// TestOneLeadsEachDataCentre checks that among nodes that hear each other exactly one
+// leads each data centre, one of the leaders is the first and ranks are distinct; and
+// that another node takes over when a leader stops.
 func TestOneLeadsEachDataCentre(t *testing.T) {
 	fleet := newFleet(t, 3, 40, 20)
-	fleet.step(settled)
+	fleet.step(settleIntervals)
 	check := func(lead map[definer.DataCentre]definer.VM) {
 		t.Helper()
 		ranks := make(map[int]definer.VM)
@@ -119,6 +119,6 @@
 	check(map[definer.DataCentre]definer.VM{"0": "0-000", "1": "1-000", "2": "2-000"})
 	delete(fleet.nodes, "0-000")
 	delete(fleet.nodes, "1-000")
-	fleet.step(settled)
+	fleet.step(settleIntervals)
 	check(map[definer.DataCentre]definer.VM{"0": "0-001", "1": "1-003", "2": "2-000"})
 }
--- a/exchanger/news_test.go
+++ b/exchanger/news_test.go
@@ -12,15 +12,16 @@
 	"limpetcleat/selector"
 )
 
-// silentSender drops what is sent.
+// silentSender is a Sender for tests that send nothing.
 type silentSender struct{ Sender }
 
-// TestNewsUnderWayAreNotRepeated holds that a member which lacks entries is told them once,
-// again only after a time in which it did not say that it has them, and the next ones as
-// soon as it does. A link of 10 Mbit/s takes longer than an interval for what 15 members
-// lack after many changes: told again at each interval it never gets through.
+// TestNewsUnderWayAreNotRepeated checks that entries are sent once to a member that lacks
+// them, again only if it has not acknowledged them for a while, and that the next entries
+// follow as soon as it has. A link of 10 Mbit/s takes longer than an interval to carry
+// what 15 members lack after many changes; entries repeated in each interval would never
+// get through.
 func TestNewsUnderWayAreNotRepeated(t *testing.T) {
-	known := &numbered{upTo: 5}
+	known := &fakeKnowledge{upTo: 5}
 	self := Peer{VM: "a", DataCentre: "west", Address: "a"}
 	aggregator := New(self, selector.New("west"), silentSender{}, WithKnowledge(known))
 	aggregator.Replace([]Peer{self, {VM: "b", DataCentre: "west", Address: "b"}})
@@ -30,7 +31,8 @@
 			Scope: messenger.MemberLoad, Positions: &messenger.Positions{Peers: chronicler.Position{UpTo: upTo}},
 		})
 	}
-	// tells lets an interval pass and returns up to where the member is told, 0 for nothing.
+	// tells runs one interval and returns the position up to which the member is sent
+	// entries, 0 for none.
 	tells := func() uint64 {
 		now = now.Add(interval)
 		aggregator.compose(now, memberStage)
@@ -44,17 +46,17 @@
 	hears(1)
 	assert.Equal(t, tells(), uint64(5))
 	hears(1)
-	assert.Equal(t, tells(), uint64(0), "it is under way")
+	assert.Equal(t, tells(), uint64(0), "the entries are in transit")
 	hears(1)
-	assert.Equal(t, tells(), uint64(0), "it is under way")
-	for range newsPatience / interval {
+	assert.Equal(t, tells(), uint64(0), "the entries are in transit")
+	for range newsRetryDelay / interval {
 		hears(1)
 		if tells() == 5 {
 			known.upTo = 9
 			hears(5)
-			assert.Equal(t, tells(), uint64(9), "what comes next is told at once")
+			assert.Equal(t, tells(), uint64(9), "the next entries are sent at once")
 			return
 		}
 	}
-	t.Fatal("what was lost is not told again")
+	t.Fatal("lost entries are not sent again")
 }
--- a/exchanger/precedence.go
+++ b/exchanger/precedence.go
@@ -8,35 +8,39 @@
 )
 
 const (
-	// seniorCount is how many others are told what must outlast the loss of one.
+	// seniorCount is how many other nodes are sent the data that must survive the loss of
+	// one node.
 	seniorCount = 2
-	// candidateCount is how many nodes may take a duty on at least, if there are so many:
-	// where there are fewer groups, members of them may as well as their aggregators.
+	// candidateCount is the number of nodes that should at least be eligible for a duty,
+	// if there are as many. Where there are fewer groups than that, members of groups are
+	// eligible beside the aggregators.
 	candidateCount = seniorCount + 1
 )
 
-// Precedence is a node's place among those that may take on a duty of one node at a time.
+// Precedence is the rank of a node among the candidates for a duty that one node performs
+// at a time.
 type Precedence struct {
-	// Eligible is set for those that may: the aggregators of groups and, where these are
-	// few, the first of their members.
+	// Eligible is set for nodes that may take on a duty: the aggregators of groups and,
+	// where groups are few, the first of their members.
 	Eligible bool
-	// Rank counts the nodes that go before this one, if it is eligible.
+	// Rank is the number of nodes that come before this one, if it is eligible.
 	Rank int
-	// Seniors are the nodes that are told what a holder of duties has to know.
+	// Seniors are the nodes that are sent what the holder of a duty has to know.
 	Seniors []Peer
-	// Audience are the nodes that are told what has become of a duty.
+	// Audience are the nodes that are sent the state of a duty.
 	Audience []Peer
-	// Listed counts the nodes on the list, this one among them.
+	// Listed is the number of nodes on the list, this one included.
 	Listed int
 }
 
-// Precedence returns this node's place. It follows from the list of nodes and from who
-// answers, as each node sees that. Nodes that are passed over do not count.
+// Precedence returns the rank of this node. Each node derives it from the list of nodes
+// and from which nodes respond to it. Nodes for which passedOver returns true do not
+// count.
 func (exchanger *Exchanger) Precedence(now time.Time, passedOver func(vm definer.VM) bool) Precedence {
 	exchanger.mutex.Lock()
 	defer exchanger.mutex.Unlock()
-	exchanger.expire(now)
-	own := exchanger.groups[exchanger.own]
+	exchanger.dropExpired(now)
+	own := exchanger.groups[exchanger.ownGroup]
 	aggregator := exchanger.aggregatorOf(now, own)
 	aggregates := aggregator.VM == exchanger.self.VM
 	precedence := Precedence{Eligible: aggregates, Listed: len(exchanger.peers) + 1}
@@ -49,33 +53,33 @@
 	}
 	precedence.Audience = exchanger.audience(now)
 	if spare := candidateCount - len(exchanger.groups); spare > 0 {
-		exchanger.admitMembers(&precedence, own, aggregator, spare, len(others), passedOver)
+		exchanger.addMemberCandidates(&precedence, own, aggregator, spare, len(others), passedOver)
 	}
 	return precedence
 }
 
-// otherAggregators returns the aggregators of the other groups from which anything is
-// heard, but for those passed over, and how many of these groups stand before this node's;
-// mutex is held.
+// otherAggregators returns the aggregators of the other groups that are present, without
+// those passed over, and how many of them belong to groups that sort before this node's.
+// The mutex is held.
 func (exchanger *Exchanger) otherAggregators(now time.Time, passedOver func(vm definer.VM) bool) (before int, others []Peer) {
 	for place, group := range exchanger.groups {
-		if place == exchanger.own {
+		if place == exchanger.ownGroup {
 			continue
 		}
 		other := exchanger.aggregatorOf(now, group)
-		if !exchanger.present(now, group) || passedOver(other.VM) {
+		if !exchanger.isPresent(now, group) || passedOver(other.VM) {
 			continue
 		}
 		others = append(others, other)
-		if place < exchanger.own {
+		if place < exchanger.ownGroup {
 			before++
 		}
 	}
 	return before, others
 }
 
-// audience returns the aggregators of all other groups, or all nodes where groups are few;
-// mutex is held.
+// audience returns the aggregators of all other groups, or all other nodes where groups
+// are few. The mutex is held.
 func (exchanger *Exchanger) audience(now time.Time) []Peer {
 	var audience []Peer
 	if len(exchanger.groups) < candidateCount {
@@ -85,16 +89,16 @@
 		return audience
 	}
 	for place, group := range exchanger.groups {
-		if place != exchanger.own {
+		if place != exchanger.ownGroup {
 			audience = append(audience, exchanger.aggregatorOf(now, group))
 		}
 	}
 	return audience
 }
 
-// admitMembers has so many members of this node's group take duties on behind the
-// aggregators; mutex is held.
-func (exchanger *Exchanger) admitMembers(precedence *Precedence, own group, aggregator Peer, spare, others int, passedOver func(vm definer.VM) bool) {
+// addMemberCandidates makes up to spare members of this node's group eligible, ranked
+// behind the aggregators. The mutex is held.
+func (exchanger *Exchanger) addMemberCandidates(precedence *Precedence, own group, aggregator Peer, spare, others int, passedOver func(vm definer.VM) bool) {
 	members := slices.DeleteFunc(slices.Clone(own), func(node Peer) bool { return node.VM == aggregator.VM })
 	members = members[:min(len(members), spare)]
 	if precedence.Eligible {
--- a/exchanger/standing.go
+++ b/exchanger/standing.go
@@ -5,57 +5,58 @@
 	"time"
 )
 
-// Standing is a node's place among those that could ask the store for others.
+// Standing is the role of a node among those that query the store on behalf of others.
 type Standing struct {
-	// Leads is set for the node that asks for its data centre: the aggregator of the first
-	// of its groups that has one.
+	// Leads is set for the leader of a data centre, which queries the store for it: the
+	// aggregator of the first of its groups that has one.
 	Leads bool
 	// Aggregates is set for the aggregator of a group.
 	Aggregates bool
-	// First is set for the one that leads while none of another data centre before its own
-	// does.
+	// First is set for a leader if no data centre that sorts before its own has one.
 	First bool
-	// Rank is the place among the aggregators: those that lead come first, by data centre,
-	// then the others of each data centre.
+	// Rank is the position among the aggregators: leaders come first, by data centre,
+	// then the other aggregators of each data centre.
 	Rank int
-	// Heard is set while peers tell this node what others do.
+	// Heard is set while this node receives reports of peers.
 	Heard bool
 }
 
-// Standing returns this node's standing. It follows from the list of nodes and from who
-// answers, as each node sees that: two may lead for a time, which costs calls alone.
+// Standing returns the role of this node. Each node derives it from the list of nodes and
+// from which nodes respond to it: two may lead at the same time for a while, which only
+// costs additional calls.
 func (exchanger *Exchanger) Standing(now time.Time) Standing {
 	exchanger.mutex.Lock()
 	defer exchanger.mutex.Unlock()
-	exchanger.expire(now)
+	exchanger.dropExpired(now)
 	standing := Standing{
-		Aggregates: exchanger.aggregatorOf(now, exchanger.groups[exchanger.own]).VM == exchanger.self.VM,
-		Heard:      exchanger.fleet.report != nil || len(exchanger.members)+len(exchanger.others) > 0,
+		Aggregates: exchanger.aggregatorOf(now, exchanger.groups[exchanger.ownGroup]).VM == exchanger.self.VM,
+		Heard:      exchanger.fleetReport.report != nil || len(exchanger.memberReports)+len(exchanger.groupReports) > 0,
 	}
-	present := func(group group) bool { return exchanger.present(now, group) }
-	before, earlier := exchanger.before()
+	present := func(group group) bool { return exchanger.isPresent(now, group) }
+	before, earlier := exchanger.precedingGroups()
 	standing.Leads = standing.Aggregates && len(exchanger.peers) > 0 && !slices.ContainsFunc(earlier, present)
 	standing.First = standing.Leads && !slices.ContainsFunc(before, present)
-	exchanger.leads, exchanger.first = standing.Leads, standing.First
-	standing.Rank = dataCentres(before)
+	exchanger.isLeader, exchanger.isFirstLeader = standing.Leads, standing.First
+	standing.Rank = countDataCentres(before)
 	if !standing.Leads {
-		standing.Rank = dataCentres(exchanger.groups) + len(earlier)
+		standing.Rank = countDataCentres(exchanger.groups) + len(earlier)
 	}
 	return standing
 }
 
-// before returns the groups of the data centres before this node's, and those of its own
-// before its group; mutex is held.
-func (exchanger *Exchanger) before() (before, earlier []group) {
-	first := exchanger.own
+// precedingGroups returns the groups of the data centres that sort before this node's,
+// and the groups of its own data centre that sort before its group. The mutex is held.
+func (exchanger *Exchanger) precedingGroups() (before, earlier []group) {
+	first := exchanger.ownGroup
 	for first > 0 && exchanger.groups[first-1][0].DataCentre == exchanger.self.DataCentre {
 		first--
 	}
-	return exchanger.groups[:first], exchanger.groups[first:exchanger.own]
+	return exchanger.groups[:first], exchanger.groups[first:exchanger.ownGroup]
 }
 
-// dataCentres counts the data centres of groups that are sorted by them.
-func dataCentres(groups []group) int {
+// countDataCentres counts the data centres in a list of groups that is sorted by data
+// centre.
+func countDataCentres(groups []group) int {
 	count := 0
 	for place, group := range groups {
 		if place == 0 || group[0].DataCentre != groups[place-1][0].DataCentre {
@@ -65,9 +66,9 @@
 	return count
 }
 
-// present tells whether a node of a group tells this one what the group does, or its
-// first one may be about to; mutex is held.
-func (exchanger *Exchanger) present(now time.Time, group group) bool {
-	told := slices.ContainsFunc(group, func(node Peer) bool { return exchanger.others[node.VM].report != nil })
-	return told || exchanger.contact(group[0].VM).answers(now)
+// isPresent reports whether a node of the group sends this one the load of the group, or
+// the first node of the group may be about to. The mutex is held.
+func (exchanger *Exchanger) isPresent(now time.Time, group group) bool {
+	reported := slices.ContainsFunc(group, func(node Peer) bool { return exchanger.groupReports[node.VM].report != nil })
+	return reported || exchanger.contact(group[0].VM).isResponsive(now)
 }
--- a/exchanger/sum.go
+++ b/exchanger/sum.go
@@ -7,13 +7,13 @@
 	"limpetcleat/messenger"
 )
 
-// kindKey names the requests of one rule at one service.
+// kindKey identifies the requests that one rule sent to one service.
 type kindKey struct {
 	service definer.PoolName
 	rule    string
 }
 
-// sum adds reports up.
+// sum accumulates reports.
 type sum struct {
 	nodes int
 	loads map[definer.UpstreamStart]messenger.UpstreamLoad
@@ -27,8 +27,8 @@
 	}
 }
 
-// add adds a report of that age. The work in it is as old, which is little
-// against the seconds in which it fades.
+// add adds a report of the given age. The amounts of work in it are not corrected for the
+// age, which is small compared with the seconds over which they decay.
 func (sum *sum) add(report *messenger.LoadReport, age time.Duration) {
 	sum.nodes += report.Nodes
 	for _, load := range report.Loads {
@@ -41,9 +41,10 @@
 	}
 }
 
-// report returns the sum without one of the reports in it, or nil for none. What
-// that one had heard of upstreams stays: it knows.
-func (sum *sum) report(scope messenger.LoadScope, without *messenger.LoadReport, reads []messenger.PartsRead) *messenger.LoadReport {
+// reportWithout returns the sum as a report, with the loads of one of the added reports
+// subtracted; nil subtracts none. The times at which upstreams were last heard from are
+// not reduced, since the sender of the subtracted report knows its own.
+func (sum *sum) reportWithout(scope messenger.LoadScope, without *messenger.LoadReport, reads []messenger.PartsRead) *messenger.LoadReport {
 	if without == nil {
 		without = &messenger.LoadReport{}
 	}
@@ -52,13 +53,13 @@
 	report := &messenger.LoadReport{Scope: scope, Nodes: sum.nodes - taken.nodes, Reads: reads}
 	for start, load := range sum.loads {
 		load = load.Minus(taken.loads[start])
-		if load.InFlight > 0 || load.HasHeard && load.Heard < heardLife {
+		if load.InFlight > 0 || load.HasHeard && load.Heard < maxHeardAge {
 			report.Loads = append(report.Loads, load)
 		}
 	}
 	for key, kind := range sum.kinds {
 		kind = kind.Minus(taken.kinds[key])
-		if kind.Requests > noRequests {
+		if kind.Requests > minRequests {
 			report.Kinds = append(report.Kinds, kind)
 		}
 	}
--- a/exchanger/sum_test.go
+++ b/exchanger/sum_test.go
@@ -9,8 +9,9 @@
 	"limpetcleat/messenger"
 )
 
-// TestSumsKeepStartsApart holds that loads at two starts of an upstream are not added up
-// on their way through an aggregator, and are taken off the sum each by itself.
+// TestSumsKeepStartsApart checks that an aggregator does not add up loads of two starts
+// of an upstream, and that the load of each start can be subtracted from the sum
+// separately.
 func TestSumsKeepStartsApart(t *testing.T) {
 	report := func(incarnation definer.Incarnation, inFlight int) *messenger.LoadReport {
 		return &messenger.LoadReport{Nodes: 1, Loads: []messenger.UpstreamLoad{{Upstream: "u", Incarnation: incarnation, InFlight: inFlight}}}
@@ -31,7 +32,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			found := make(map[definer.Incarnation]int)
-			for _, load := range all.report(messenger.FleetLoad, test.without, nil).Loads {
+			for _, load := range all.reportWithout(messenger.FleetLoad, test.without, nil).Loads {
 				found[load.Incarnation] = load.InFlight
 			}
 			assert.DeepEqual(t, found, test.found)
--- a/exchanger/suspicions.go
+++ b/exchanger/suspicions.go
@@ -7,20 +7,20 @@
 	"limpetcleat/messenger"
 )
 
-// Suspicions is what this node knows of requests that make upstreams end, and tells others.
-// They may be called with the lock of the exchanger held.
+// Suspicions stores which requests are suspected of crashing upstreams, and exchanges
+// this with peers. Its methods may be called while the lock of the Exchanger is held.
 type Suspicions interface {
-	// Tell returns what the next report of the scope tells.
+	// Tell returns the suspicions for the next report of the scope.
 	Tell(now time.Time, scope messenger.LoadScope) []messenger.UpstreamFall
-	// Learn takes in what a peer's report of the scope told.
+	// Learn stores the suspicions in a report of the scope from a peer.
 	Learn(now time.Time, from definer.VM, scope messenger.LoadScope, falls []messenger.UpstreamFall)
 }
 
-// unsuspecting is for nodes that exchange no suspicions.
+// unsuspecting is the default Suspicions; it exchanges none.
 type unsuspecting struct{}
 
-// Tell tells nothing.
+// Tell returns no suspicions.
 func (unsuspecting) Tell(time.Time, messenger.LoadScope) []messenger.UpstreamFall { return nil }
 
-// Learn takes in nothing.
+// Learn ignores the suspicions.
 func (unsuspecting) Learn(time.Time, definer.VM, messenger.LoadScope, []messenger.UpstreamFall) {}
--- a/exchanger/world_test.go
+++ b/exchanger/world_test.go
@@ -17,52 +17,59 @@
 )
 
 const (
-	// tick is the step of the model's clock, of which stages and ways are multiples.
+	// tick is the step of the simulated clock; the times of stages and the latencies are
+	// multiples of it.
 	tick = 4 * time.Millisecond
-	// longestWay is how long a report takes at most, some four times as long as between two
-	// data centres of the users.
-	longestWay = 3 * tick
-	// endsAfter is how long a crashing request runs before its upstream ends, backAfter how
-	// long that takes to come back.
-	endsAfter = 40 * time.Millisecond
-	backAfter = 1500 * time.Millisecond
-	// crashedEnough, knownWithin and sendsAllowed are the users' bound: so many sends by
-	// nodes in touch later than that behind the third end.
-	crashedEnough = 3
-	knownWithin   = 3 * time.Second
-	sendsAllowed  = 3
-	// worldSeeds is how many random runs of each case are played; by hand it is set to 50.
+	// maxLatency is the longest latency of a report, some four times the latency between
+	// two data centres of the users.
+	maxLatency = 3 * tick
+	// crashDelay is how long a crashing request runs before its upstream crashes,
+	// restartTime how long the upstream takes to come back.
+	crashDelay  = 40 * time.Millisecond
+	restartTime = 1500 * time.Millisecond
+	// crashesUntilHeld, propagationBound and lateSendsAllowed are the bound that the
+	// users require: after the third crash and propagationBound, connected nodes send the
+	// request at most lateSendsAllowed times.
+	crashesUntilHeld = 3
+	propagationBound = 3 * time.Second
+	lateSendsAllowed = 3
+	// worldSeeds is the number of random runs of each case; for longer runs set it to 50.
 	worldSeeds = 2
-	// heldInError is the longest that an innocent request may be refused at a node on end:
-	// until the facts of all nodes have come together.
-	heldInError = time.Second
+	// maxWrongRefusal is the longest time for which a node may continuously refuse an
+	// innocent request: until the facts of all nodes have been combined.
+	maxWrongRefusal = time.Second
 )
 
-// world is a fleet whose nodes send requests to upstreams, some of which end them.
+// world simulates a fleet whose nodes send requests to upstreams; some of the requests
+// crash their upstream.
 type world struct {
 	t      *testing.T
 	random *rand.Rand
 	now    time.Time
 	nodes  []*member
-	// upstreams hold until when each is away, and its start.
+	// upstreams holds the upstreams with their current starts and the times up to which
+	// they are down.
 	upstreams []*upstream
-	// underway are the runs that have not ended, flying the reports on their way.
-	underway []*run
-	flying   []flight
-	// waiting are the requests whose verdict is not settled.
+	// runs holds the requests in progress, inTransit the reports that have not arrived
+	// yet.
+	runs      []*run
+	inTransit []transit
+	// waiting holds the requests for which the node has yet to decide whether they may be
+	// sent.
 	waiting []waiting
-	// lost is the part of reports that is lost, cut the nodes that neither hear nor are heard.
-	lost float64
-	cut  map[definer.VM]bool
-	// guilty holds what became of each request that ends its upstreams.
+	// lossRate is the fraction of reports that are lost; cut holds the nodes that are
+	// partitioned from all others.
+	lossRate float64
+	cut      map[definer.VM]bool
+	// guilty holds the outcome of each request that crashes its upstreams.
 	guilty map[definer.RequestIdentity]*outcome
-	// refusedSince is since when an innocent request has been refused at a node on end, and
-	// longest the longest of those spans.
-	refusedSince map[refusalKey]time.Time
-	longest      time.Duration
-	served       int
-	refused      int
-	// facts counts those that were told.
+	// refusedSince is the time since which a node has continuously refused an innocent
+	// request, and longestRefusal the longest of these periods.
+	refusedSince   map[refusalKey]time.Time
+	longestRefusal time.Duration
+	served         int
+	refused        int
+	// facts counts the facts that were sent in reports.
 	facts int
 }
 
@@ -71,13 +78,13 @@
 	peer      Peer
 	exchanger *Exchanger
 	suspects  *quarantiner.Quarantiner
-	// disturbed is when it was last started, cut off or joined again.
+	// disturbed is when the node was last started, partitioned or reconnected.
 	disturbed time.Time
 }
 
 type upstream struct {
-	start  definer.UpstreamStart
-	awayTo time.Time
+	start     definer.UpstreamStart
+	downUntil time.Time
 }
 
 // run is one request at one upstream.
@@ -90,13 +97,14 @@
 	crashes  bool
 }
 
-type flight struct {
+type transit struct {
 	at       time.Time
 	from, to definer.VM
 	report   *messenger.LoadReport
 }
 
-// waiting is a request that waits at a node until it is settled whether it may be sent.
+// waiting is a request that waits at a node until the node decides whether it may be
+// sent.
 type waiting struct {
 	node     *member
 	identity definer.RequestIdentity
@@ -108,10 +116,11 @@
 	identity definer.RequestIdentity
 }
 
-// outcome is what a request that ends its upstreams came to.
+// outcome records the crashes that a request caused, and its sends after the allowed
+// time.
 type outcome struct {
-	ends []time.Time
-	late int
+	crashes   []time.Time
+	lateSends int
 }
 
 func newWorld(t *testing.T, seed uint64, upstreams int, sizes ...int) *world {
@@ -139,7 +148,7 @@
 	return world
 }
 
-// start starts a node, for the first time or again.
+// start starts or restarts a node.
 func (world *world) start(node *member) {
 	node.suspects = quarantiner.New()
 	node.exchanger = New(node.peer, selector.New(node.peer.DataCentre), nil, WithSuspicions(node.suspects))
@@ -151,7 +160,7 @@
 	node.disturbed = world.now
 }
 
-// play lets time pass; each is called once in a tick.
+// play advances the simulated time by span and calls each once in a tick.
 func (world *world) play(span time.Duration, each func()) {
 	for end := world.now.Add(span); world.now.Before(end); world.now = world.now.Add(tick) {
 		world.deliver()
@@ -162,41 +171,42 @@
 			world.send(waiting.node, waiting.identity, waiting.takes)
 		}
 		into := time.Duration(world.now.UnixNano()) % interval
-		if into%stageLag == 0 && into/stageLag < time.Duration(stageCount) {
-			world.report(stage(into / stageLag))
+		if into%stageInterval == 0 && into/stageInterval < time.Duration(stageCount) {
+			world.report(stage(into / stageInterval))
 		}
 		each()
 	}
 }
 
-// report has all nodes tell what is due at a stage; reports take 1 to 3 ticks.
+// report sends the reports of all nodes that are due at a stage; they take 1 to 3 ticks
+// to arrive.
 func (world *world) report(due stage) {
 	for _, node := range world.nodes {
 		for _, outgoing := range node.exchanger.compose(world.now, due) {
 			for _, fall := range outgoing.report.Falls {
 				world.facts += len(fall.Suspects) + len(fall.Cleared)
 			}
-			if world.random.Float64() < world.lost {
+			if world.random.Float64() < world.lossRate {
 				continue
 			}
-			way := time.Duration(1+world.random.IntN(int(longestWay/tick))) * tick
-			world.flying = append(world.flying, flight{world.now.Add(way), node.peer.VM, definer.VM(outgoing.address), outgoing.report})
+			way := time.Duration(1+world.random.IntN(int(maxLatency/tick))) * tick
+			world.inTransit = append(world.inTransit, transit{world.now.Add(way), node.peer.VM, definer.VM(outgoing.address), outgoing.report})
 		}
 	}
 }
 
 func (world *world) deliver() {
-	var later []flight
-	for _, flight := range world.flying {
-		if flight.at.After(world.now) {
-			later = append(later, flight)
+	var later []transit
+	for _, transit := range world.inTransit {
+		if transit.at.After(world.now) {
+			later = append(later, transit)
 			continue
 		}
-		if to := world.node(flight.to); !world.cut[flight.from] && !world.cut[flight.to] {
-			to.exchanger.receive(world.now, definer.Member{VM: flight.from}, flight.report)
+		if to := world.node(transit.to); !world.cut[transit.from] && !world.cut[transit.to] {
+			to.exchanger.receive(world.now, definer.Member{VM: transit.from}, transit.report)
 		}
 	}
-	world.flying = later
+	world.inTransit = later
 }
 
 func (world *world) node(vm definer.VM) *member {
@@ -204,36 +214,37 @@
 	return world.nodes[place]
 }
 
-// endRuns ends the runs that are over, and those at upstreams that end by them.
+// endRuns ends the runs that are over, and those whose upstream has crashed.
 func (world *world) endRuns() {
 	var left []*run
-	for _, run := range world.underway {
+	for _, run := range world.runs {
 		switch {
 		case run.upstream.start != run.start:
-			// The upstream has ended under it.
+			// The upstream has crashed during the run.
 			run.node.suspects.Fell(world.now, run.start, run.identity)
 		case run.ends.After(world.now):
 			left = append(left, run)
 		case run.crashes:
 			world.end(run.upstream)
 			outcome := world.guilty[run.identity]
-			outcome.ends = append(outcome.ends, world.now)
+			outcome.crashes = append(outcome.crashes, world.now)
 			run.node.suspects.Fell(world.now, run.start, run.identity)
 		default:
 			run.node.suspects.Served(world.now, run.identity)
 			world.served++
 		}
 	}
-	world.underway = left
+	world.runs = left
 }
 
-// end ends an upstream; the runs there find out within a tick.
+// end crashes an upstream; the runs on it are ended within a tick.
 func (world *world) end(upstream *upstream) {
 	upstream.start.Incarnation++
-	upstream.awayTo = world.now.Add(backAfter)
+	upstream.downUntil = world.now.Add(restartTime)
 }
 
-// send sends a request through a node, if that lets it, to an upstream that is there.
+// send sends a request through a node to a random upstream, unless the node refuses it or
+// the upstream is down.
 func (world *world) send(node *member, identity definer.RequestIdentity, takes time.Duration) {
 	key := refusalKey{node, identity}
 	outcome := world.guilty[identity]
@@ -250,21 +261,21 @@
 	}
 	delete(world.refusedSince, key)
 	upstream := world.upstreams[world.random.IntN(len(world.upstreams))]
-	if upstream.awayTo.After(world.now) {
+	if upstream.downUntil.After(world.now) {
 		return
 	}
 	run := &run{node: node, upstream: upstream, start: upstream.start, identity: identity, ends: world.now.Add(takes)}
 	if outcome != nil {
-		run.crashes, run.ends = true, world.now.Add(endsAfter)
-		inTouch := !world.cut[node.peer.VM] && world.now.Sub(node.disturbed) >= knownWithin
-		if len(outcome.ends) >= crashedEnough && world.now.Sub(outcome.ends[crashedEnough-1]) > knownWithin && inTouch {
-			outcome.late++
+		run.crashes, run.ends = true, world.now.Add(crashDelay)
+		inTouch := !world.cut[node.peer.VM] && world.now.Sub(node.disturbed) >= propagationBound
+		if len(outcome.crashes) >= crashesUntilHeld && world.now.Sub(outcome.crashes[crashesUntilHeld-1]) > propagationBound && inTouch {
+			outcome.lateSends++
 		}
 	}
-	world.underway = append(world.underway, run)
+	world.runs = append(world.runs, run)
 }
 
-// refuse notes that an innocent request was refused.
+// refuse records that an innocent request was refused.
 func (world *world) refuse(key refusalKey) {
 	world.refused++
 	since, known := world.refusedSince[key]
@@ -272,32 +283,32 @@
 		world.refusedSince[key] = world.now
 		return
 	}
-	world.longest = max(world.longest, world.now.Sub(since))
+	world.longestRefusal = max(world.longestRefusal, world.now.Sub(since))
 }
 
-// pick returns a node drawn anew.
+// pick returns a random node.
 func (world *world) pick() *member { return world.nodes[world.random.IntN(len(world.nodes))] }
 
-// name returns the identity that a name stands for.
-func name(text string) definer.RequestIdentity {
+// identityOf returns the identity of a request with the given text.
+func identityOf(text string) definer.RequestIdentity {
 	return quarantiner.Identify(&quarantiner.Subject{Target: text})
 }
 
-// load is some requests that end their upstreams, each sent by several callers at once, and
-// others beside them.
+// load describes requests that crash their upstreams, each sent by several callers at
+// once, and innocent requests beside them.
 type load struct {
 	guilty  int
 	callers int
-	// every is the mean time between two attempts of a caller, others the requests beside it
-	// in a second, of which a third are always one and the same.
+	// every is the mean time between two attempts of a caller; others is the number of
+	// innocent requests per second, of which a third are one and the same request.
 	every  time.Duration
 	others int
 }
 
-// carry has the world carry a load, with the given trouble at each tick.
-func (world *world) carry(span time.Duration, load load, trouble func()) {
+// runLoad runs a load for the given time and calls trouble at each tick.
+func (world *world) runLoad(span time.Duration, load load, trouble func()) {
 	for number := range load.guilty {
-		world.guilty[name(fmt.Sprint("guilty ", number))] = &outcome{}
+		world.guilty[identityOf(fmt.Sprint("guilty ", number))] = &outcome{}
 	}
 	count := 0
 	world.play(span, func() {
@@ -305,7 +316,7 @@
 		for number := range load.guilty {
 			for range load.callers {
 				if world.random.Float64() < float64(tick)/float64(load.every) {
-					world.send(world.pick(), name(fmt.Sprint("guilty ", number)), endsAfter)
+					world.send(world.pick(), identityOf(fmt.Sprint("guilty ", number)), crashDelay)
 				}
 			}
 		}
@@ -318,21 +329,23 @@
 			if count%3 == 0 {
 				asked = "asked often"
 			}
-			world.send(world.pick(), name(asked), time.Duration(50+world.random.IntN(400))*time.Millisecond)
+			world.send(world.pick(), identityOf(asked), time.Duration(50+world.random.IntN(400))*time.Millisecond)
 		}
 	})
 }
 
-// span is long enough for a request to end a dozen upstreams unless it is held off.
+// span returns a time in which a request could crash a dozen upstreams if it were not
+// held off.
 func (load load) span() time.Duration { return max(8*time.Second, 12*load.every) }
 
-// check holds the bound on each guilty request, and how long an innocent one was refused.
+// check checks the bound on each guilty request, and the longest refusal of an innocent
+// one.
 func (world *world) check() {
 	world.t.Helper()
 	for identity, outcome := range world.guilty {
-		world.t.Logf("%v: %d ends, %d late; others: %d served, %d refused, %v on end; %d facts told", identity, len(outcome.ends), outcome.late, world.served, world.refused, world.longest, world.facts)
-		assert.Check(world.t, len(outcome.ends) >= crashedEnough, "%v: %d ends are no trial", identity, len(outcome.ends))
-		assert.Check(world.t, outcome.late <= sendsAllowed, "%v: %d late sends, %d ends", identity, outcome.late, len(outcome.ends))
+		world.t.Logf("%v: %d crashes, %d late sends; others: %d served, %d refused, for up to %v; %d facts sent", identity, len(outcome.crashes), outcome.lateSends, world.served, world.refused, world.longestRefusal, world.facts)
+		assert.Check(world.t, len(outcome.crashes) >= crashesUntilHeld, "%v: %d crashes are too few to test the bound", identity, len(outcome.crashes))
+		assert.Check(world.t, outcome.lateSends <= lateSendsAllowed, "%v: %d late sends, %d crashes", identity, outcome.lateSends, len(outcome.crashes))
 	}
-	assert.Check(world.t, world.longest <= heldInError, "an innocent request was refused for %v", world.longest)
+	assert.Check(world.t, world.longestRefusal <= maxWrongRefusal, "an innocent request was refused for %v", world.longestRefusal)
 }
