--- a/tallier/tallier.go
+++ b/tallier/tallier.go
@@ -1,7 +1,8 @@
-// Package tallier counts the requests of each organisation that began at upstreams, by
-// window of time. Each process counts its own; nodes tell each other what they and others
-// counted. Counts only grow, and each is told under the process that counted it, so that
-// messages may be lost, repeated, late, or come by several ways.
+// Package tallier counts the requests of each organisation that began at upstreams, per
+// window of time, and merges the counts of all processes. Each process counts its own
+// requests; nodes exchange reports of the counts they know. Counts only grow and are kept
+// by the process that counted them, so that merging is idempotent and commutative:
+// reports may be lost, repeated, delayed, or arrive over several paths.
 package tallier
 
 import (
@@ -13,104 +14,113 @@
 )
 
 const (
-	// keptWindows is how many windows are kept before the current one, for a store that is
-	// away: 2 min of windows of 5 s. At 2,100 requests a second that is some 20 MB.
+	// keptWindows is the number of windows kept before the current one: 2 min of windows
+	// of 5 s, to bridge an outage of the store. At 2,100 requests a second that takes
+	// some 20 MB.
 	keptWindows = 24
-	// repeatedWindows is how many windows are told whole again and again: those whose last
-	// counts may just have been lost on the way.
-	repeatedWindows = 3
-	// heardLife is how long a process counts as running after it was heard.
-	heardLife = 2500 * time.Millisecond
-	// wholeEvery is how many reports to a node make one that holds all that is known, for
-	// what was lost on the way.
-	wholeEvery = 4
-	// mostProcesses bounds what is kept: several starts of each node of a large deployment.
-	mostProcesses = 4096
+	// resentWindows is the number of newest windows that full reports contain whole, in
+	// case the report with their last counts was lost.
+	resentWindows = 3
+	// processTimeout is how long a process counts as running after its last report.
+	processTimeout = 2500 * time.Millisecond
+	// reportsPerFullReport makes one of so many reports to a node a full one, which
+	// repeats the counts of the newest windows in case earlier reports were lost.
+	reportsPerFullReport = 4
+	// maxProcesses bounds the processes whose counts are kept: several starts of each
+	// node of a large deployment.
+	maxProcesses = 4096
 )
 
-// Window is the number of a window of time: it begins that many widths after 1970.
+// Window is the number of a window of time: window n begins n window widths after the
+// start of 1970.
 type Window uint64
 
-// count is one organisation's in one window of one process.
+// count is the number of requests of one organisation in one window of one process.
 type count struct {
 	requests uint64
-	// revision is that of the last change.
+	// revision is the revision of the Tallier at the last change.
 	revision uint64
 }
 
-// sheet is what is known of one process's counts.
-type sheet struct {
-	// until is the true time, since 1970, up to which the counts are whole.
-	until time.Duration
-	// heardAt is when until was last told; for the own process it does not count.
-	heardAt time.Time
-	// direct is set if the process itself told, so that this node passes it on.
+// processRecord holds the known counts of one process.
+type processRecord struct {
+	// completeUntil is the true time, as a duration since 1970, up to which the counts
+	// are complete.
+	completeUntil time.Duration
+	// updatedAt is when completeUntil last advanced; it is not used for the own process.
+	updatedAt time.Time
+	// direct is set if the process itself reported to this node, which then passes its
+	// counts on.
 	direct  bool
 	windows map[Window]map[definer.OrganisationName]*count
 }
 
-// receiver is what a node was told.
-type receiver struct {
-	// revision is that up to which it was told, reports counts the reports to it.
-	revision uint64
-	reports  int
+// receiverState records what a node has been sent.
+type receiverState struct {
+	// revision is the revision up to which the node has been sent changes, reportCount
+	// the number of reports to it.
+	revision    uint64
+	reportCount int
 }
 
-// Tallier counts. It is safe for concurrent use.
+// Tallier counts the requests of its process and merges the reports of others. The times
+// passed to its methods are true times of day, as far as the node knows them, not
+// readings of the VM's clock. It is safe for concurrent use.
 type Tallier struct {
 	self  definer.Member
 	width time.Duration
 
-	// mutex guards the rest; no other lock is taken under it.
+	// mutex guards the fields below. No other lock is acquired while it is held.
 	mutex    sync.Mutex
 	revision uint64
-	// newest is the newest window that was begun; older ones than keptWindows before it
-	// are forgotten.
+	// newest is the newest window seen; windows more than keptWindows before it are
+	// removed.
 	newest    Window
-	sheets    map[definer.Member]*sheet
-	receivers map[definer.VM]*receiver
+	records   map[definer.Member]*processRecord
+	receivers map[definer.VM]*receiverState
 }
 
-// New returns a Tallier of a process for windows of the width.
+// New returns a Tallier for the process self with windows of the given width.
 func New(self definer.Member, width time.Duration) *Tallier {
-	tallier := &Tallier{self: self, width: width, sheets: make(map[definer.Member]*sheet), receivers: make(map[definer.VM]*receiver)}
-	tallier.sheets[self] = newSheet()
-	tallier.sheets[self].direct = true
+	tallier := &Tallier{self: self, width: width, records: make(map[definer.Member]*processRecord), receivers: make(map[definer.VM]*receiverState)}
+	tallier.records[self] = newProcessRecord()
+	tallier.records[self].direct = true
 	return tallier
 }
 
-func newSheet() *sheet {
-	return &sheet{windows: make(map[Window]map[definer.OrganisationName]*count)}
+func newProcessRecord() *processRecord {
+	return &processRecord{windows: make(map[Window]map[definer.OrganisationName]*count)}
 }
 
-// At returns the window that a true time is in.
+// At returns the window that contains a time.
 func (tallier *Tallier) At(now time.Time) Window {
 	return Window(time.Duration(now.UnixNano()) / tallier.width)
 }
 
-// End returns when a window ends.
+// End returns the end of a window.
 func (tallier *Tallier) End(window Window) time.Time {
 	return time.Unix(0, int64(time.Duration(window+1)*tallier.width))
 }
 
-// Count counts one request that began at the true time.
+// Count counts one request of an organisation that began at now.
 func (tallier *Tallier) Count(now time.Time, organisation definer.OrganisationName) {
 	tallier.mutex.Lock()
 	defer tallier.mutex.Unlock()
 	window := tallier.At(now)
 	tallier.advance(window)
-	known := tallier.sheets[tallier.self].count(window, organisation)
+	known := tallier.records[tallier.self].count(window, organisation)
 	tallier.revision++
 	known.requests++
 	known.revision = tallier.revision
 }
 
-// count returns an organisation's count in a window.
-func (sheet *sheet) count(window Window, organisation definer.OrganisationName) *count {
-	counts := sheet.windows[window]
+// count returns the count of an organisation in a window, and creates it if there is
+// none.
+func (record *processRecord) count(window Window, organisation definer.OrganisationName) *count {
+	counts := record.windows[window]
 	if counts == nil {
 		counts = make(map[definer.OrganisationName]*count)
-		sheet.windows[window] = counts
+		record.windows[window] = counts
 	}
 	known := counts[organisation]
 	if known == nil {
@@ -120,85 +130,87 @@
 	return known
 }
 
-// advance forgets what is too old beside the window; mutex is held.
+// advance makes window the newest one, if it is newer, and removes counts that are too
+// old. The mutex is held.
 func (tallier *Tallier) advance(window Window) {
 	if window <= tallier.newest {
 		return
 	}
 	tallier.newest = window
-	for member, sheet := range tallier.sheets {
-		for known := range sheet.windows {
-			if !tallier.keeps(known) {
-				delete(sheet.windows, known)
+	for member, record := range tallier.records {
+		for known := range record.windows {
+			if !tallier.retains(known) {
+				delete(record.windows, known)
 			}
 		}
-		if len(sheet.windows) == 0 && member != tallier.self && !tallier.keeps(Window(sheet.until/tallier.width)) {
-			delete(tallier.sheets, member)
+		if len(record.windows) == 0 && member != tallier.self && !tallier.retains(Window(record.completeUntil/tallier.width)) {
+			delete(tallier.records, member)
 		}
 	}
 }
 
-// keeps tells whether counts of a window are kept; mutex is held.
-func (tallier *Tallier) keeps(window Window) bool {
+// retains reports whether counts of a window are kept. The mutex is held.
+func (tallier *Tallier) retains(window Window) bool {
 	return window+keptWindows >= tallier.newest && window <= tallier.newest+1
 }
 
-// Tell returns the report to a node at the true time, of what this node and those that
-// report to it counted: what has changed since the last one, and now and then all of the
-// newest windows.
+// Tell returns the report to send to a node at now: the counts of this process and of
+// those that report to it directly, as far as they have changed since the last report to
+// that node. Full reports also repeat all counts of the newest windows.
 func (tallier *Tallier) Tell(now time.Time, to definer.VM) *messenger.UsageReport {
 	tallier.mutex.Lock()
 	defer tallier.mutex.Unlock()
 	tallier.advance(tallier.At(now))
-	tallier.sheets[tallier.self].until = time.Duration(now.UnixNano())
-	told := tallier.receivers[to]
-	if told == nil {
-		told = &receiver{}
-		tallier.receivers[to] = told
+	tallier.records[tallier.self].completeUntil = time.Duration(now.UnixNano())
+	state := tallier.receivers[to]
+	if state == nil {
+		state = &receiverState{}
+		tallier.receivers[to] = state
 	}
-	since := told.revision
-	repeats := told.reports%wholeEvery == 0
-	told.reports++
-	told.revision = tallier.revision
-	composed := &composition{report: &messenger.UsageReport{}, places: make(map[definer.OrganisationName]int)}
-	for member, sheet := range tallier.sheets {
-		if !sheet.direct {
+	since := state.revision
+	full := state.reportCount%reportsPerFullReport == 0
+	state.reportCount++
+	state.revision = tallier.revision
+	builder := &reportBuilder{report: &messenger.UsageReport{}, indexes: make(map[definer.OrganisationName]int)}
+	for member, record := range tallier.records {
+		if !record.direct {
 			continue
 		}
-		process := messenger.ProcessUsage{Member: member, Until: sheet.until}
-		for window, counts := range sheet.windows {
+		process := messenger.ProcessUsage{Member: member, Until: record.completeUntil}
+		for window, counts := range record.windows {
 			from := since
-			if repeats && window+repeatedWindows > tallier.newest {
+			if full && window+resentWindows > tallier.newest {
 				from = 0
 			}
-			process.Windows = composed.add(process.Windows, window, counts, from)
+			process.Windows = builder.appendWindow(process.Windows, window, counts, from)
 		}
-		composed.report.Processes = append(composed.report.Processes, process)
+		builder.report.Processes = append(builder.report.Processes, process)
 	}
-	return composed.report
+	return builder.report
 }
 
-// composition is a report in the making.
-type composition struct {
+// reportBuilder assembles a report.
+type reportBuilder struct {
 	report *messenger.UsageReport
-	// places are those of the organisations that are named so far.
-	places map[definer.OrganisationName]int
+	// indexes holds the indexes of the organisations that are in the report so far.
+	indexes map[definer.OrganisationName]int
 }
 
-// add appends what has changed in a window after a revision, if anything has.
-func (composition *composition) add(windows []messenger.WindowUsage, window Window, counts map[definer.OrganisationName]*count, since uint64) []messenger.WindowUsage {
+// appendWindow appends the counts of a window that have changed since a revision, if
+// there are any, to windows.
+func (builder *reportBuilder) appendWindow(windows []messenger.WindowUsage, window Window, counts map[definer.OrganisationName]*count, since uint64) []messenger.WindowUsage {
 	usage := messenger.WindowUsage{Window: uint64(window)}
 	for organisation, count := range counts {
 		if count.revision <= since {
 			continue
 		}
-		place, named := composition.places[organisation]
+		position, named := builder.indexes[organisation]
 		if !named {
-			place = len(composition.report.Organisations)
-			composition.places[organisation] = place
-			composition.report.Organisations = append(composition.report.Organisations, organisation)
+			position = len(builder.report.Organisations)
+			builder.indexes[organisation] = position
+			builder.report.Organisations = append(builder.report.Organisations, organisation)
 		}
-		usage.Organisations = append(usage.Organisations, place)
+		usage.Organisations = append(usage.Organisations, position)
 		usage.Requests = append(usage.Requests, count.requests)
 	}
 	if len(usage.Organisations) == 0 {
@@ -207,7 +219,7 @@
 	return append(windows, usage)
 }
 
-// Take takes in what a peer told at the true time. What cannot be is left out.
+// Take merges the report of a peer that was received at now. Invalid entries are ignored.
 func (tallier *Tallier) Take(now time.Time, from definer.Member, report *messenger.UsageReport) {
 	tallier.mutex.Lock()
 	defer tallier.mutex.Unlock()
@@ -217,17 +229,17 @@
 		if process.Member == tallier.self {
 			continue
 		}
-		known := tallier.sheets[process.Member]
-		if known == nil && len(tallier.sheets) >= mostProcesses {
+		known := tallier.records[process.Member]
+		if known == nil && len(tallier.records) >= maxProcesses {
 			continue
 		}
 		if known == nil {
-			known = newSheet()
-			tallier.sheets[process.Member] = known
+			known = newProcessRecord()
+			tallier.records[process.Member] = known
 		}
 		known.direct = known.direct || process.Member == from
-		if process.Until > known.until {
-			known.until, known.heardAt = process.Until, now
+		if process.Until > known.completeUntil {
+			known.completeUntil, known.updatedAt = process.Until, now
 		}
 		for _, usage := range process.Windows {
 			tallier.merge(known, &usage, report.Organisations)
@@ -235,16 +247,16 @@
 	}
 }
 
-// merge takes in one window of a process; mutex is held.
-func (tallier *Tallier) merge(sheet *sheet, usage *messenger.WindowUsage, names []definer.OrganisationName) {
-	if !tallier.keeps(Window(usage.Window)) || len(usage.Organisations) != len(usage.Requests) {
+// merge merges the counts of one window of a process. The mutex is held.
+func (tallier *Tallier) merge(record *processRecord, usage *messenger.WindowUsage, names []definer.OrganisationName) {
+	if !tallier.retains(Window(usage.Window)) || len(usage.Organisations) != len(usage.Requests) {
 		return
 	}
-	for index, place := range usage.Organisations {
-		if place < 0 || place >= len(names) {
+	for index, position := range usage.Organisations {
+		if position < 0 || position >= len(names) {
 			continue
 		}
-		known := sheet.count(Window(usage.Window), names[place])
+		known := record.count(Window(usage.Window), names[position])
 		if usage.Requests[index] > known.requests {
 			tallier.revision++
 			known.requests, known.revision = usage.Requests[index], tallier.revision
@@ -252,38 +264,38 @@
 	}
 }
 
-// Usage is what is known of a window.
+// Usage is the usage of a window, as far as it is known.
 type Usage struct {
 	Requests map[definer.OrganisationName]uint64
-	// Running counts the processes that run, this one among them; Whole those of them
-	// whose counts of the window are whole.
+	// Running is the number of running processes, this one included; Whole is the number
+	// of them whose counts of the window are complete.
 	Running int
 	Whole   int
-	// Lost counts the processes that ended within the window or before their counts of it
-	// were whole.
+	// Lost is the number of processes that ended within the window or before their counts
+	// of it were complete.
 	Lost int
 }
 
-// Usage returns what is known of a window at the true time.
+// Usage returns the usage of a window as it is known at now.
 func (tallier *Tallier) Usage(now time.Time, window Window) Usage {
 	tallier.mutex.Lock()
 	defer tallier.mutex.Unlock()
 	tallier.advance(tallier.At(now))
 	end := time.Duration(tallier.End(window).UnixNano())
 	usage := Usage{Requests: make(map[definer.OrganisationName]uint64)}
-	for member, sheet := range tallier.sheets {
-		for organisation, count := range sheet.windows[window] {
+	for member, record := range tallier.records {
+		for organisation, count := range record.windows[window] {
 			usage.Requests[organisation] += count.requests
 		}
-		whole := sheet.until >= end || member == tallier.self
-		running := member == tallier.self || now.Sub(sheet.heardAt) < heardLife
+		whole := record.completeUntil >= end || member == tallier.self
+		running := member == tallier.self || now.Sub(record.updatedAt) < processTimeout
 		switch {
 		case running && whole:
 			usage.Running++
 			usage.Whole++
 		case running:
 			usage.Running++
-		case !whole && sheet.until > end-tallier.width:
+		case !whole && record.completeUntil > end-tallier.width:
 			usage.Lost++
 		}
 	}
--- a/tallier/tallier_test.go
+++ b/tallier/tallier_test.go
@@ -13,16 +13,16 @@
 	"limpetcleat/tallier"
 )
 
-// width is that of a window.
+// width is the width of a window.
 const width = 5 * time.Second
 
 func member(number int) definer.Member {
 	return definer.Member{VM: definer.VM(fmt.Sprintf("n%03d", number)), Incarnation: definer.Incarnation(number + 1)}
 }
 
-// TestReportsMayBeLostRepeatedAndLate draws counts and reports that are lost, come twice or
-// in another order, by two nodes in between: a node never knows more than was counted, and
-// once reports get through it knows all.
+// TestReportsMayBeLostRepeatedAndLate draws requests and reports, which pass through two
+// nodes and may be lost, repeated or reordered. It checks that the last node never knows
+// more requests than were counted, and knows all of them once reports get through.
 func TestReportsMayBeLostRepeatedAndLate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_800_000_000, 0)
@@ -39,7 +39,7 @@
 		tell := func(from *tallier.Tallier, self definer.Member, to *tallier.Tallier, vm definer.VM) {
 			report := from.Tell(now, vm)
 			switch rapid.IntRange(0, 3).Draw(t, "fate") {
-			case 0: // It is lost.
+			case 0: // The report is lost.
 			case 1:
 				waiting = append(waiting, late{to, self, report})
 			case 2:
@@ -89,15 +89,15 @@
 		}
 		for window := range truth {
 			if window+2 < last.At(now) {
-				delete(truth, window) // What was lost of older windows is told no more.
+				delete(truth, window) // Lost counts of older windows are not sent again.
 			}
 		}
 		check(true)
 	})
 }
 
-// TestWholeAndLost holds that a window counts as whole once every process that runs has
-// told beyond its end, and that those which ended before are known as lost.
+// TestWholeAndLost checks that a window is complete once every running process has
+// reported beyond its end, and that processes which ended earlier count as lost.
 func TestWholeAndLost(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	node, other := tallier.New(member(0), width), tallier.New(member(1), width)
@@ -116,7 +116,8 @@
 	assert.Equal(t, usage.Lost, 0)
 }
 
-// TestOldWindowsAreForgotten holds that memory is bounded by windows.
+// TestOldWindowsAreForgotten checks that the counts of old windows are removed, which
+// bounds the memory used.
 func TestOldWindowsAreForgotten(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	node := tallier.New(member(0), width)
@@ -126,7 +127,8 @@
 	assert.Equal(t, len(node.Usage(now.Add(5*time.Minute), window).Requests), 0)
 }
 
-// FuzzTake holds that no report crashes a node.
+// FuzzTake checks that no report makes a node panic or adds organisations that it does
+// not name.
 func FuzzTake(f *testing.F) {
 	f.Add(uint64(360_000_000), 0, 1, uint64(3), int64(1_800_000_000))
 	f.Add(uint64(1)<<63, -1, 9, uint64(1), int64(-1))
@@ -144,9 +146,9 @@
 	})
 }
 
-// BenchmarkLargeDeployment measures what the first node takes in and settles of 390 nodes
-// with 1,900 organisations and 2,100 requests a second: the reports of one interval of 25
-// aggregators, and a window.
+// BenchmarkLargeDeployment measures the work of the first node among 390 with 1,900
+// organisations and 2,100 requests a second: merging the reports of 25 aggregators in one
+// interval, and computing the usage of a window.
 func BenchmarkLargeDeployment(b *testing.B) {
 	const nodes, organisations, perSecond = 390, 1900, 2100
 	now := time.Unix(1_800_000_000, 0)
--- a/timekeeper/timekeeper.go
+++ b/timekeeper/timekeeper.go
@@ -1,5 +1,5 @@
-// Package timekeeper knows the true time of day as well as a node can: by its VM's clock,
-// by the steady clock where that one jumps, and by the clocks of peers.
+// Package timekeeper estimates the time of day. It combines the clock of the node's VM,
+// the monotonic clock, which replaces it while it has jumped, and the clocks of peers.
 package timekeeper
 
 import (
@@ -11,35 +11,39 @@
 )
 
 const (
-	// largestAdjustment is how far the VM's clock may be from what the steady clock makes
-	// of it to count as adjusted. Beyond, it has jumped, and is not followed.
-	largestAdjustment = 100 * time.Millisecond
-	// jumpPatience is how long a jump lasts until it is taken for a correction.
-	jumpPatience = 10 * time.Minute
-	// readingLife is how long a peer's clock counts after it was heard. Within that the
-	// reading that was least late on its way counts.
-	readingLife = 10 * time.Second
-	// guidanceLife is how long a node goes by its aggregator's time.
-	guidanceLife = 5 * time.Second
+	// maxAdjustment is the largest difference between the VM's clock and the time
+	// expected by the monotonic clock that counts as an adjustment. A larger difference
+	// is a jump, which is not followed at first.
+	maxAdjustment = 100 * time.Millisecond
+	// jumpAcceptDelay is how long a jump must last to be accepted as a correction.
+	jumpAcceptDelay = 10 * time.Minute
+	// readingLifetime is how long a reading of a peer's clock is used. Among the readings
+	// within this time the one with the least delay on its way is used.
+	readingLifetime = 10 * time.Second
+	// aggregatorReadingLifetime is how long a node uses its aggregator's time.
+	aggregatorReadingLifetime = 5 * time.Second
 )
 
-// reading is what a peer's clock showed.
+// reading is a received time, compared with the VM's own clock.
 type reading struct {
-	// ahead is how far it was before the VM's own clock, less its time on the way.
-	ahead time.Duration
-	// heardAt is when it was heard, by the steady clock.
-	heardAt time.Duration
-	// set tells a reading from none.
-	set bool
+	// offset is how far the received time was ahead of the VM's own clock; the delay on
+	// its way reduces it.
+	offset time.Duration
+	// receivedAt is when it was received, by the monotonic clock.
+	receivedAt time.Duration
+	// valid is false for the zero value, which stands for no reading.
+	valid bool
 }
 
-// fresh tells whether it counts at a steady time.
-func (reading reading) fresh(steady, life time.Duration) bool {
-	return reading.set && steady-reading.heardAt < life
+// isFresh reports whether the reading may still be used at a monotonic time, given its
+// lifetime.
+func (reading reading) isFresh(monotonic, life time.Duration) bool {
+	return reading.valid && monotonic-reading.receivedAt < life
 }
 
-// Clock returns a VM's time of day, and a steady time since any moment.
-type Clock func() (shown time.Time, steady time.Duration)
+// Clock returns the time of day by a VM's clock, and a monotonic time since an arbitrary
+// moment.
+type Clock func() (shown time.Time, monotonic time.Duration)
 
 // System returns the clock of this VM.
 func System() Clock {
@@ -50,84 +54,88 @@
 	}
 }
 
-// Timekeeper knows the time. It is safe for concurrent use.
+// Timekeeper estimates the time of day. It is safe for concurrent use.
 type Timekeeper struct {
 	clock Clock
 
-	// mutex guards the rest; no other lock is taken under it.
+	// mutex guards the fields below. No other lock is acquired while it is held.
 	mutex sync.Mutex
-	// anchor is the latest reading of the VM's clock that is followed, anchoredAt when that
-	// was by the steady clock.
+	// anchor is the last reading of the VM's clock that was accepted, anchoredAt its
+	// monotonic time.
 	anchor     time.Time
 	anchoredAt time.Duration
-	// jumped is set while the clock shows another time, since jumpedAt.
+	// jumped is set while the VM's clock differs from the expected time, jumpedAt is
+	// since when.
 	jumped   bool
 	jumpedAt time.Duration
-	// readings are those of peers' own clocks; guidance is that of this node's aggregator,
-	// which has compared several.
-	readings map[definer.VM]reading
-	guidance reading
+	// readings holds the readings of peers' own clocks. aggregatorReading is the time as
+	// estimated by this node's aggregator, which compares several clocks.
+	readings          map[definer.VM]reading
+	aggregatorReading reading
 }
 
-// New returns a Timekeeper over the VM's clock.
+// New returns a Timekeeper that uses the VM's clock.
 func New(clock Clock) *Timekeeper {
 	timekeeper := &Timekeeper{clock: clock, readings: make(map[definer.VM]reading)}
-	timekeeper.follow(clock())
+	timekeeper.setAnchor(clock())
 	return timekeeper
 }
 
-// follow goes by the clock from now on; mutex is held.
-func (timekeeper *Timekeeper) follow(shown time.Time, steady time.Duration) {
-	timekeeper.anchor, timekeeper.anchoredAt, timekeeper.jumped = shown, steady, false
+// setAnchor accepts a reading of the VM's clock; later times are expected relative to it.
+// The mutex is held.
+func (timekeeper *Timekeeper) setAnchor(shown time.Time, monotonic time.Duration) {
+	timekeeper.anchor, timekeeper.anchoredAt, timekeeper.jumped = shown, monotonic, false
 }
 
-// Own returns the time by this VM's clock alone, without its jumps.
+// Own returns the time by this VM's clock alone, without jumps.
 func (timekeeper *Timekeeper) Own() time.Time {
 	timekeeper.mutex.Lock()
 	defer timekeeper.mutex.Unlock()
-	own, _ := timekeeper.own()
+	own, _ := timekeeper.readClock()
 	return own
 }
 
-// own looks at the VM's clock and returns the time by it, and the steady time; mutex is held.
-func (timekeeper *Timekeeper) own() (own time.Time, steady time.Duration) {
-	shown, steady := timekeeper.clock()
-	expected := timekeeper.anchor.Add(steady - timekeeper.anchoredAt)
-	if shown.Sub(expected).Abs() <= largestAdjustment {
-		timekeeper.follow(shown, steady)
-		return shown, steady
+// readClock reads the VM's clock and returns the time by it, without jumps, and the
+// monotonic time. The mutex is held.
+func (timekeeper *Timekeeper) readClock() (own time.Time, monotonic time.Duration) {
+	shown, monotonic := timekeeper.clock()
+	expected := timekeeper.anchor.Add(monotonic - timekeeper.anchoredAt)
+	if shown.Sub(expected).Abs() <= maxAdjustment {
+		timekeeper.setAnchor(shown, monotonic)
+		return shown, monotonic
 	}
 	if !timekeeper.jumped {
-		timekeeper.jumped, timekeeper.jumpedAt = true, steady
+		timekeeper.jumped, timekeeper.jumpedAt = true, monotonic
 	}
-	if steady-timekeeper.jumpedAt > jumpPatience {
-		timekeeper.follow(shown, steady)
-		return shown, steady
+	if monotonic-timekeeper.jumpedAt > jumpAcceptDelay {
+		timekeeper.setAnchor(shown, monotonic)
+		return shown, monotonic
 	}
-	return expected, steady
+	return expected, monotonic
 }
 
-// Now returns what is taken for the true time: that of the aggregator if it tells, else
-// the median of this VM's clock and those of the peers heard.
+// Now returns the estimated true time: that of the aggregator if a fresh one is known,
+// otherwise the median of this VM's clock and the clocks of peers.
 func (timekeeper *Timekeeper) Now() time.Time {
 	timekeeper.mutex.Lock()
 	defer timekeeper.mutex.Unlock()
-	own, steady := timekeeper.own()
-	return own.Add(timekeeper.behind(steady))
+	own, monotonic := timekeeper.readClock()
+	return own.Add(timekeeper.offset(monotonic))
 }
 
-// behind returns how far this VM's clock is behind the true time; mutex is held.
-func (timekeeper *Timekeeper) behind(steady time.Duration) time.Duration {
-	if timekeeper.guidance.fresh(steady, guidanceLife) {
-		return timekeeper.guidance.ahead
+// offset returns how far the estimated true time is ahead of this VM's clock. The mutex
+// is held.
+func (timekeeper *Timekeeper) offset(monotonic time.Duration) time.Duration {
+	if timekeeper.aggregatorReading.isFresh(monotonic, aggregatorReadingLifetime) {
+		return timekeeper.aggregatorReading.offset
 	}
 	differences := []time.Duration{0}
 	for vm, reading := range timekeeper.readings {
-		if !reading.fresh(steady, readingLife) {
+		if !reading.isFresh(monotonic, readingLifetime) {
 			delete(timekeeper.readings, vm)
 			continue
 		}
-		differences = append(differences, reading.ahead)
+		differences = append(differences, reading.offset)
 	}
 	slices.Sort(differences)
 	middle := len(differences) / 2
@@ -137,28 +145,28 @@
 	return (differences[middle-1] + differences[middle]) / 2
 }
 
-// Hear takes in what a peer's own clock shows.
+// Hear stores a reading of a peer's own clock.
 func (timekeeper *Timekeeper) Hear(from definer.VM, shown time.Time) {
 	timekeeper.mutex.Lock()
 	defer timekeeper.mutex.Unlock()
-	timekeeper.readings[from] = timekeeper.better(timekeeper.readings[from], shown, readingLife)
-	timekeeper.guidance = reading{} // Peers report to this node: it compares by itself.
+	timekeeper.readings[from] = timekeeper.betterReading(timekeeper.readings[from], shown, readingLifetime)
+	timekeeper.aggregatorReading = reading{} // A node that receives reports of peers' clocks is an aggregator itself.
 }
 
-// Follow takes in what this node's aggregator takes for the true time.
-func (timekeeper *Timekeeper) Follow(told time.Time) {
+// Follow stores the time as estimated by this node's aggregator.
+func (timekeeper *Timekeeper) Follow(estimated time.Time) {
 	timekeeper.mutex.Lock()
 	defer timekeeper.mutex.Unlock()
-	timekeeper.guidance = timekeeper.better(timekeeper.guidance, told, guidanceLife)
+	timekeeper.aggregatorReading = timekeeper.betterReading(timekeeper.aggregatorReading, estimated, aggregatorReadingLifetime)
 }
 
-// better returns the later one of two readings, or the earlier one while that counts and
-// was less late; mutex is held.
-func (timekeeper *Timekeeper) better(known reading, shown time.Time, life time.Duration) reading {
-	own, steady := timekeeper.own()
-	ahead := shown.Sub(own)
-	if known.fresh(steady, life) && known.ahead > ahead {
+// betterReading returns a reading of the time shown, or the known reading while that is
+// fresh and was delayed less. The mutex is held.
+func (timekeeper *Timekeeper) betterReading(known reading, shown time.Time, life time.Duration) reading {
+	own, monotonic := timekeeper.readClock()
+	offset := shown.Sub(own)
+	if known.isFresh(monotonic, life) && known.offset > offset {
 		return known
 	}
-	return reading{ahead: ahead, heardAt: steady, set: true}
+	return reading{offset: offset, receivedAt: monotonic, valid: true}
 }
