--- a/informer/announcement.go
+++ b/informer/announcement.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	// announcePause is the time between two tries to write this node's entry;
-	// announceTimeout and longestAnnounce bound each, which may take twice as long as
-	// the one before: an answer that was lost never comes, and one that takes longer
-	// than a bound must come within the next.
-	announcePause   = time.Second
-	announceTimeout = 2 * time.Second
-	longestAnnounce = 20 * time.Second
-	// withdrawTimeout bounds removing this node's entry at a planned stop.
+	// announceRetryDelay is the delay between two attempts to write this node's entry.
+	// The timeout of an attempt starts at announceTimeout and doubles up to
+	// maxAnnounceTimeout: a lost answer never arrives, and an answer that is slower than
+	// one timeout has to arrive within the next.
+	announceRetryDelay = time.Second
+	announceTimeout    = 2 * time.Second
+	maxAnnounceTimeout = 20 * time.Second
+	// withdrawTimeout limits the removal of this node's entry at a planned stop.
 	withdrawTimeout = 300 * time.Millisecond
 )
 
-// announce writes this node's entry, so that peers find it; it tries again until
-// that is done.
+// announce writes this node's entry, by which peers find it, and retries until that
+// succeeds.
 func (informer *Informer) announce(ctx context.Context) {
 	for tries := 0; ctx.Err() == nil; tries++ {
-		err := informer.announceWithin(ctx, timer.Doubled(announceTimeout, longestAnnounce, tries))
+		err := informer.announceWithin(ctx, timer.Doubled(announceTimeout, maxAnnounceTimeout, tries))
 		if err == nil {
 			return
 		}
 		informer.log(logger.EventStoreAway, "feed", "announce", "failures", tries+1, "cause", err)
-		_ = timer.Sleep(ctx, announcePause) // The loop sees the context end.
+		_ = timer.Sleep(ctx, announceRetryDelay) // The loop condition checks the context.
 	}
 }
 
@@ -40,8 +40,8 @@
 	return informer.peerList.Announce(ctx, informer.self)
 }
 
-// Withdraw removes this node's entry; a failure leaves it there, which costs
-// peers a message now and then.
+// Withdraw removes this node's entry. If that fails the entry stays, at the cost of an
+// occasional message from peers to a node that is gone.
 func (informer *Informer) Withdraw() {
 	ctx, cancel := context.WithTimeout(follower.WithReason(context.Background(), follower.Announcing), withdrawTimeout)
 	defer cancel()
--- a/informer/courier.go
+++ b/informer/courier.go
@@ -8,107 +8,113 @@
 )
 
 const (
-	// partBytes is how much of a configuration goes into one message: 13 ms of a link of
-	// 20 Mbit/s, so that what else goes there waits for no longer.
+	// partBytes is how many bytes of a configuration one message carries. A part takes
+	// 13 ms of a link of 20 Mbit/s, which is the longest that it delays other messages.
 	partBytes = 32 << 10
-	// mostShared is the largest configuration, as it goes between nodes, that is got from
-	// a peer first: a group of 16 on links of 10 Mbit/s has it within a second. Others are
-	// read from the store, unless that does not answer for storePatience.
-	mostShared    = 64 << 10
-	storePatience = 2500 * time.Millisecond
-	// partPatience is how long a part may take to come until it is asked for again, and
-	// the store is asked besides.
-	partPatience = 300 * time.Millisecond
-	// maxEncoded bounds what is kept of a configuration that a peer tells.
-	maxEncoded = 4 << 20
+	// maxPeerFetchBytes is the size of the largest encoded configuration that is fetched
+	// from a peer first: a group of 16 nodes on links of 10 Mbit/s receives it within a
+	// second. Larger configurations are read from the store; if the store has not
+	// supplied one after storeReadTimeout, it is fetched from a peer.
+	maxPeerFetchBytes = 64 << 10
+	storeReadTimeout  = 2500 * time.Millisecond
+	// partTimeout is how long a part may take to arrive before it is requested again and
+	// the store is read as well.
+	partTimeout = 300 * time.Millisecond
+	// maxEncodedBytes limits how much of an encoded configuration from a peer is kept in
+	// memory.
+	maxEncodedBytes = 4 << 20
 )
 
-// step is what a courier wants done.
-type step struct {
-	// ask is a part to be asked for, nil for none.
+// fetchStep is what the caller of a fetcher has to do next.
+type fetchStep struct {
+	// ask is the request for a part to be sent, nil for none.
 	ask *messenger.DefinitionAsk
-	// whole is the encoded form of the version once all of it has come.
-	whole   []byte
+	// encoded is the complete encoded configuration once all parts have arrived, else
+	// nil.
+	encoded []byte
 	version uint64
-	// look is set when the store is to be looked at.
-	look bool
+	// readStore is set when the configuration should be read from the store.
+	readStore bool
 }
 
-// courier gets the configuration of a version from a peer, part by part. It is safe for
-// concurrent use.
-type courier struct {
-	// self is where parts are to be sent.
-	self string
-	// mutex guards the rest; no other lock is taken under it.
+// fetcher assembles one version of the configuration from the parts that peers send. It
+// is safe for concurrent use.
+type fetcher struct {
+	// replyTo is the address of this node, to which peers send the parts.
+	replyTo string
+	// mutex guards the fields below; no other lock is taken while it is held.
 	mutex sync.Mutex
-	// version is that which is being got; 0 is none.
-	version uint64
-	since   time.Time
-	askedAt time.Time
-	data    []byte
-	// size is that of the whole, 0 before the first part.
+	// version is the version being fetched; 0 is none.
+	version   uint64
+	startedAt time.Time
+	askedAt   time.Time
+	data      []byte
+	// size is the size of the whole encoded configuration, 0 before the first part.
 	size int
 }
 
-// want notes that a peer has a version that this node lacks; it is called again and again
-// while that is so.
-func (courier *courier) want(now time.Time, version uint64) step {
-	courier.mutex.Lock()
-	defer courier.mutex.Unlock()
-	if version > courier.version {
-		courier.begin(now, version)
-		return courier.ask(now)
+// requestVersion is called repeatedly while a peer has a version that this node lacks.
+// It starts the fetch, and requests a part again that has not arrived within
+// partTimeout.
+func (fetcher *fetcher) requestVersion(now time.Time, version uint64) fetchStep {
+	fetcher.mutex.Lock()
+	defer fetcher.mutex.Unlock()
+	if version > fetcher.version {
+		fetcher.reset(now, version)
+		return fetcher.nextRequest(now)
 	}
-	if now.Sub(courier.askedAt) < partPatience {
-		return step{}
+	if now.Sub(fetcher.askedAt) < partTimeout {
+		return fetchStep{}
 	}
-	if courier.tooLarge(now) {
-		return step{look: true}
+	if fetcher.tooLarge(now) {
+		return fetchStep{readStore: true}
 	}
-	next := courier.ask(now)
-	next.look = true
+	next := fetcher.nextRequest(now)
+	next.readStore = true
 	return next
 }
 
-// take takes in a part.
-func (courier *courier) take(now time.Time, part *messenger.DefinitionPart) step {
-	courier.mutex.Lock()
-	defer courier.mutex.Unlock()
-	if part.Version < courier.version || courier.version == 0 || part.Size <= 0 || part.Size > maxEncoded {
-		return step{}
+// addPart appends a part that arrived and returns the request for the next one, or the
+// whole configuration. Parts that are out of order, too large or of an older version are
+// ignored; a part of a newer version starts the fetch of that version.
+func (fetcher *fetcher) addPart(now time.Time, part *messenger.DefinitionPart) fetchStep {
+	fetcher.mutex.Lock()
+	defer fetcher.mutex.Unlock()
+	if part.Version < fetcher.version || fetcher.version == 0 || part.Size <= 0 || part.Size > maxEncodedBytes {
+		return fetchStep{}
 	}
-	if part.Version > courier.version || courier.size != 0 && part.Size != courier.size {
-		courier.begin(now, part.Version)
+	if part.Version > fetcher.version || fetcher.size != 0 && part.Size != fetcher.size {
+		fetcher.reset(now, part.Version)
 	}
-	if part.Offset != len(courier.data) || len(courier.data)+len(part.Data) > part.Size || len(part.Data) == 0 {
-		return step{}
+	if part.Offset != len(fetcher.data) || len(fetcher.data)+len(part.Data) > part.Size || len(part.Data) == 0 {
+		return fetchStep{}
 	}
-	courier.size = part.Size
-	if courier.tooLarge(now) {
-		return step{look: true}
+	fetcher.size = part.Size
+	if fetcher.tooLarge(now) {
+		return fetchStep{readStore: true}
 	}
-	courier.data = append(courier.data, part.Data...)
-	if len(courier.data) < courier.size {
-		return courier.ask(now)
+	fetcher.data = append(fetcher.data, part.Data...)
+	if len(fetcher.data) < fetcher.size {
+		return fetcher.nextRequest(now)
 	}
-	whole := step{whole: courier.data, version: courier.version}
-	courier.data = nil
+	whole := fetchStep{encoded: fetcher.data, version: fetcher.version}
+	fetcher.data = nil
 	return whole
 }
 
-// begin forgets what has come; mutex is held.
-func (courier *courier) begin(now time.Time, version uint64) {
-	courier.version, courier.since, courier.data, courier.size = version, now, nil, 0
+// reset discards the parts received and starts the fetch of a version; mutex is held.
+func (fetcher *fetcher) reset(now time.Time, version uint64) {
+	fetcher.version, fetcher.startedAt, fetcher.data, fetcher.size = version, now, nil, 0
 }
 
-// tooLarge tells whether the configuration is left to the store for the time being; mutex
-// is held.
-func (courier *courier) tooLarge(now time.Time) bool {
-	return courier.size > mostShared && now.Sub(courier.since) < storePatience
+// tooLarge reports whether the configuration is larger than maxPeerFetchBytes and is for
+// now left to the store; mutex is held.
+func (fetcher *fetcher) tooLarge(now time.Time) bool {
+	return fetcher.size > maxPeerFetchBytes && now.Sub(fetcher.startedAt) < storeReadTimeout
 }
 
-// ask asks for the next part; mutex is held.
-func (courier *courier) ask(now time.Time) step {
-	courier.askedAt = now
-	return step{ask: &messenger.DefinitionAsk{Version: courier.version, Offset: len(courier.data), ReplyTo: courier.self}}
+// nextRequest returns the request for the next part; mutex is held.
+func (fetcher *fetcher) nextRequest(now time.Time) fetchStep {
+	fetcher.askedAt = now
+	return fetchStep{ask: &messenger.DefinitionAsk{Version: fetcher.version, Offset: len(fetcher.data), ReplyTo: fetcher.replyTo}}
 }
--- a/informer/definition.go
+++ b/informer/definition.go
@@ -13,22 +13,24 @@
 // Kind classifies an Error.
 type Kind string
 
-// Malformed marks a configuration of a peer that cannot be read.
+// Malformed marks a configuration that cannot be encoded, or one from a peer that cannot
+// be decoded.
 const Malformed Kind = "malformed"
 
-// Error is the one error type of this package.
+// Error is the error type of this package.
 type Error = failer.Error[Kind]
 
 func fail(operation string, format string, values ...any) *Error {
 	return failer.New("informer."+operation, Malformed, format, values...)
 }
 
-// maxDecoded bounds a configuration of a peer, in bytes: some 30 times the largest object
-// of the platform's store, so that a few bytes cannot fill the memory.
-const maxDecoded = 32 << 20
+// maxDecodedBytes limits the decompressed size of a peer's configuration, in bytes, so
+// that a few compressed bytes cannot exhaust the memory. It is some 30 times the largest
+// object of the platform's store.
+const maxDecodedBytes = 32 << 20
 
-// encode returns a configuration as it goes between nodes: 1,400 rules, 300 KB in the
-// store, become some 20 KB.
+// encode returns a configuration in the compressed form that nodes send to each other:
+// 1,400 rules, which take 300 KB in the store, take some 20 KB.
 func encode(definition router.Definition) ([]byte, error) {
 	var encoded bytes.Buffer
 	compressor, err := flate.NewWriter(&encoded, flate.BestSpeed)
@@ -44,15 +46,16 @@
 	return encoded.Bytes(), nil
 }
 
-// decode returns the configuration of the version. The error is of kind Malformed.
+// decode returns the configuration in encoded, which has to be of the given version. The
+// error is of kind Malformed.
 func decode(encoded []byte, version uint64) (router.Definition, error) {
 	var definition router.Definition
-	plain := io.LimitReader(flate.NewReader(bytes.NewReader(encoded)), maxDecoded)
+	plain := io.LimitReader(flate.NewReader(bytes.NewReader(encoded)), maxDecodedBytes)
 	if err := gob.NewDecoder(plain).Decode(&definition); err != nil {
 		return router.Definition{}, fail("decode", "%w", err)
 	}
 	if definition.Version != version {
-		return router.Definition{}, fail("decode", "version %d under the name of %d", definition.Version, version)
+		return router.Definition{}, fail("decode", "the peer sent version %d of the configuration labelled as version %d", definition.Version, version)
 	}
 	return definition, nil
 }
--- a/informer/delegation.go
+++ b/informer/delegation.go
@@ -12,36 +12,38 @@
 )
 
 const (
-	// freshWord is how old the word of peers may be for a node that does not ask the store
-	// itself to say that a key or a rule is unknown; older, it says that it cannot tell.
-	freshWord = 3500 * time.Millisecond
-	// meetTimeout bounds the first look at the list of nodes; without it a node waits to
-	// be found by the others.
-	meetTimeout = time.Second
+	// healthyConfirmationAge is the age of the peers' last confirmation up to which a
+	// node that does not read the store counts as healthy and may answer that a key or a
+	// rule is unknown. Beyond it, the node answers that it cannot tell.
+	healthyConfirmationAge = 3500 * time.Millisecond
+	// peerReadTimeout limits the read of the list of nodes at the start. A node whose
+	// read fails waits until other nodes contact it.
+	peerReadTimeout = time.Second
 )
 
-// duties tell the followers when this node asks the store.
+// duties tell the followers whether this node reads the store.
 type duties struct {
-	// configurations is that of the operator's configurations, entries that of the lists of
-	// upstreams and nodes: these are not asked for while the first one fails.
+	// configurations is the duty to follow the operator's configurations, entries the
+	// duty to follow the lists of upstreams and nodes. The lists are not read while
+	// reads of configurations fail.
 	configurations *follower.Duty
 	entries        *follower.Duty
 }
 
-// delegate makes what decides whether this node asks the store.
-func (informer *Informer) delegate() {
+// initDelegation creates the state that decides whether this node reads the store.
+func (informer *Informer) initDelegation() {
 	alone := informer.delegator == nil
 	informer.duties = &duties{configurations: follower.NewDuty(alone), entries: follower.NewDuty(alone)}
-	informer.met = make(chan struct{})
-	informer.pause.Store(int64(delegator.LongestPause(delegator.Situation{})))
-	informer.asking(alone)
+	informer.peerReadDone = make(chan struct{})
+	informer.retryDelayLimit.Store(int64(delegator.MaxRetryDelay(delegator.Situation{})))
+	informer.askingChanged(alone)
 	if !alone {
 		informer.knowledge = newKnowledge(informer)
 	}
 }
 
-// exchangerOptions returns those of the exchanger in the way that this node follows the
-// store.
+// exchangerOptions returns the options of the exchanger. With delegation it exchanges
+// the lists of upstreams and nodes with peers too.
 func (informer *Informer) exchangerOptions() []exchanger.Option {
 	options := []exchanger.Option{exchanger.WithLog(informer.log), exchanger.WithIncarnation(informer.incarnation)}
 	if informer.suspicions != nil {
@@ -56,49 +58,52 @@
 	if informer.knowledge == nil {
 		return append(options, exchanger.WithConfirmations(informer.confirmer))
 	}
-	return append(options, exchanger.WithConfirmations(chain{informer}), exchanger.WithKnowledge(informer.knowledge))
+	return append(options, exchanger.WithConfirmations(confirmationRelay{informer}), exchanger.WithKnowledge(informer.knowledge))
 }
 
-// longestPause returns the bound of the pause behind calls to the store that fail.
-func (informer *Informer) longestPause() time.Duration { return time.Duration(informer.pause.Load()) }
+// maxRetryDelay returns the longest delay before a failed call to the store is retried.
+func (informer *Informer) maxRetryDelay() time.Duration {
+	return time.Duration(informer.retryDelayLimit.Load())
+}
 
-// meetPeers reads the list of nodes, which may be seconds old, so that a node that starts
-// among others knows who may tell it the rest.
-func (informer *Informer) meetPeers(ctx context.Context) {
-	defer close(informer.met)
+// readPeersAtStart reads the list of nodes, which may be seconds old, so that a node
+// that starts among others knows which nodes can send it the rest.
+func (informer *Informer) readPeersAtStart(ctx context.Context) {
+	defer close(informer.peerReadDone)
 	if informer.knowledge == nil || informer.first {
-		return // At the first start of all the list is being written, and an old one is empty.
+		return // At the first start of a deployment, nodes still write the list and a stale answer is empty.
 	}
-	meeting, cancel := context.WithTimeout(follower.WithReason(follower.WithStale(ctx), follower.Starting), meetTimeout)
+	meeting, cancel := context.WithTimeout(follower.WithReason(follower.WithStale(ctx), follower.Starting), peerReadTimeout)
 	defer cancel()
 	list, revision, err := informer.peerList.List(meeting)
 	if err != nil {
 		informer.log(logger.EventStoreAway, "feed", "peers", "failures", 1, "cause", err)
 		return
 	}
-	peerLedger{informer.knowledge.peers}.Replace(list, follower.Reading{Revision: revision, Stale: true})
+	peerReplicaSink{informer.knowledge.peers}.Replace(list, follower.Reading{Revision: revision, Stale: true})
 }
 
-// assign settles whether this node asks the store.
-func (informer *Informer) assign(now time.Time) {
+// updateDuties decides whether this node reads the store, and sets its duties
+// accordingly.
+func (informer *Informer) updateDuties(now time.Time) {
 	if informer.delegator == nil {
 		return
 	}
 	standing := informer.exchanger.Standing(now)
 	situation := delegator.Situation{
-		Leads:      standing.Leads,
-		First:      standing.First,
-		Aggregates: standing.Aggregates,
-		Rank:       standing.Rank,
-		Heard:      standing.Heard,
-		Confirmed:  informer.Confirmed(),
-		ByPeers:    informer.confirmer.ByPeers(),
+		Leads:            standing.Leads,
+		First:            standing.First,
+		Aggregates:       standing.Aggregates,
+		Rank:             standing.Rank,
+		HearsPeers:       standing.Heard,
+		Confirmed:        informer.Confirmed(),
+		ConfirmedByPeers: informer.confirmer.ByPeers(),
 	}
-	informer.pause.Store(int64(delegator.LongestPause(situation)))
-	informer.freshens.Store(informer.delegator.Freshens(now, situation))
+	informer.retryDelayLimit.Store(int64(delegator.MaxRetryDelay(situation)))
+	informer.keepsFresh.Store(informer.delegator.KeepsFresh(now, situation))
 	asks := informer.delegator.Asks(now, situation)
 	if asks != informer.duties.configurations.On() {
-		informer.asking(asks)
+		informer.askingChanged(asks)
 		informer.log(logger.EventStoreAsker, "asks", asks, "leads", standing.Leads, "aggregates", standing.Aggregates,
 			"rank", standing.Rank, "heard", standing.Heard, "confirmedAgoMs", now.Sub(situation.Confirmed).Milliseconds())
 	}
@@ -106,12 +111,13 @@
 	informer.duties.entries.Set(asks && !informer.configurations.Failing())
 }
 
-// wantsConfiguration tells whether a peer has told of a newer version than that in force.
+// wantsConfiguration reports whether a peer has announced a newer version than the one
+// in force.
 func (informer *Informer) wantsConfiguration() bool {
-	return informer.version() < informer.word.Load().version
+	return informer.version() < informer.peerConfirmation.Load().version
 }
 
-// version returns that of the configuration in force; 0 is none.
+// version returns the version of the configuration in force; 0 if there is none.
 func (informer *Informer) version() uint64 {
 	table := informer.holder.Table()
 	if table == nil {
@@ -120,39 +126,41 @@
 	return table.Version()
 }
 
-// configurationSink takes in the operator's configurations.
+// configurationSink applies the operator's configurations.
 type configurationSink struct{ informer *Informer }
 
-// Replace takes in what a list returned. One that may be seconds old counts only if it is
-// as new as what a peer told of: an older one is not in force any more.
+// Replace applies the configurations that a list call returned. A stale answer, which
+// may be seconds old, counts only if it is at least as new as the version that a peer
+// confirmed, because an older version is no longer in force.
 func (sink configurationSink) Replace(definitions []router.Definition, reading follower.Reading) {
 	for _, definition := range definitions {
-		if !reading.Stale || definition.Version >= sink.informer.word.Load().version {
+		if !reading.Stale || definition.Version >= sink.informer.peerConfirmation.Load().version {
 			sink.informer.holder.Apply([]router.Definition{definition}, reading)
 		}
 	}
 }
 
-// Apply takes in changes.
+// Apply applies changes.
 func (sink configurationSink) Apply(definitions []router.Definition, reading follower.Reading) {
 	sink.informer.holder.Apply(definitions, reading)
 }
 
-// chain passes on up to when the configuration in force is known to be the newest, be it
-// by the store or by a peer: a time that holds for one node holds for all.
-type chain struct{ informer *Informer }
-
-// Direct returns the newest version that is known and that time; it is zero when there is
-// none. A version that this node was told of and still lacks is passed on too: others may
-// get it sooner. What the store itself confirms counts only while the lists of upstreams
-// and nodes are followed too: whoever takes this node's word leaves it to this node to ask
-// for them.
-func (chain chain) Direct() (uint64, time.Time) {
-	informer := chain.informer
-	if word := informer.word.Load(); word.version > informer.version() {
-		return word.version, word.at
+// confirmationRelay forwards the latest time at which the configuration in force is
+// known to have been the newest, whether the store or a peer confirmed it: such a time
+// is valid for all nodes.
+type confirmationRelay struct{ informer *Informer }
+
+// Direct returns the newest known version and the latest time at which it was confirmed;
+// the time is zero if it never was. A version that a peer confirmed and that this node
+// still lacks is forwarded too, since other nodes may fetch it sooner. A confirmation by
+// the store itself counts only while the lists of upstreams and nodes are followed as
+// well: a node that relies on this node's confirmation leaves reading those lists to it.
+func (relay confirmationRelay) Direct() (uint64, time.Time) {
+	informer := relay.informer
+	if confirmation := informer.peerConfirmation.Load(); confirmation.version > informer.version() {
+		return confirmation.version, confirmation.at
 	}
-	// The time is read first: a version that comes into force in between is newer.
+	// The time is read before the version: a version applied in between is newer.
 	at := informer.confirmer.ByPeers()
 	if direct := informer.configurations.Confirmed(); direct.After(at) && informer.upstreams.Healthy() && informer.peers.Healthy() {
 		at = direct
@@ -160,5 +168,7 @@
 	return informer.version(), at
 }
 
-// Learn takes in that a version was the newest at the time.
-func (chain chain) Learn(version uint64, at time.Time) { chain.informer.confirmer.Learn(version, at) }
+// Learn records that a version was the newest at the time.
+func (relay confirmationRelay) Learn(version uint64, at time.Time) {
+	relay.informer.confirmer.Learn(version, at)
+}
--- a/informer/fleet_test.go
+++ b/informer/fleet_test.go
@@ -12,55 +12,56 @@
 )
 
 const (
-	// seeds is how many random runs are played.
-	seeds = 6
-	// recovery is how long after the last trouble all are up to date: a node that was
-	// silent may be passed over for 30 s, and one that it would hear from asks by itself
-	// once its knowledge is old.
-	recovery = 8 * time.Second
+	// seedCount is how many random runs TestUpToDateAfterAnyTrouble simulates.
+	seedCount = 6
+	// recoveryTime is how long after the last fault ends all nodes are up to date. A
+	// node that was silent may be passed over for 30 s; a node that would receive data
+	// from it reads the store itself once its copy is old.
+	recoveryTime = 8 * time.Second
 )
 
-// inWorld runs a test with a fleet that started together a while ago.
-func inWorld(t *testing.T, seed uint64, sizes []int, test func(world *world)) {
+// withCluster runs a test with a cluster whose nodes started together 6 s ago.
+func withCluster(t *testing.T, seed uint64, sizes []int, test func(cluster *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		world := newWorld(t, seed, sizes...)
-		world.startAll(true)
-		world.step(6 * time.Second)
-		world.checkUpToDate(inForceWithin)
-		world.checkMet()
-		test(world)
-		world.stop()
+		cluster := newCluster(t, seed, sizes...)
+		cluster.startAll(true)
+		cluster.run(6 * time.Second)
+		cluster.checkUpToDate(maxPropagation)
+		cluster.checkPeersListed()
+		test(cluster)
+		cluster.stop()
 		synctest.Wait()
 	})
 }
 
-// TestCallsDoNotGrowWithNodes holds that a fleet at rest, and one whose configuration and
-// upstreams change, asks the store as its data centres need it, however many nodes there
-// are; a start costs each node one call to be listed. The figures of larger fleets stand in
-// docs/design/store.md.
+// TestCallsDoNotGrowWithNodes checks that the calls to the store depend on the data centres
+// and hardly on the number of nodes, both at rest and while the configuration and upstreams
+// change; a start costs each node one call to write its entry. The figures of larger
+// clusters are in docs/design/store.md.
 func TestCallsDoNotGrowWithNodes(t *testing.T) {
 	var rest []float64
 	for _, sizes := range [][]int{{5, 5, 5, 5, 5, 5}, {20, 20, 20, 20, 20, 20}} {
 		nodes := float64(len(sizes)) * float64(sizes[0])
-		inWorld(t, 1, sizes, func(world *world) {
-			started, reasons := world.billed()
+		withCluster(t, 1, sizes, func(cluster *cluster) {
+			started, reasons := cluster.takeCosts()
 			t.Logf("start of %.0f nodes: %.1f calls %v", nodes, started, reasons)
-			world.messages = 0
-			world.step(20 * time.Second)
-			resting, reasons := world.billed()
-			t.Logf("20 s of rest: %.1f calls %v, %.1f messages a node and second", resting, reasons, float64(world.messages)/20/nodes)
+			cluster.messages = 0
+			cluster.run(20 * time.Second)
+			resting, reasons := cluster.takeCosts()
+			t.Logf("20 s at rest: %.1f calls %v, %.1f messages per node and second", resting, reasons, float64(cluster.messages)/20/nodes)
 			rest = append(rest, resting)
 			for number := range 4 {
-				world.configure()
-				world.list(fmt.Sprintf("u%02d", number), true)
-				world.step(3 * time.Second)
-				world.checkUpToDate(inForceWithin)
+				cluster.configure()
+				cluster.listUpstream(fmt.Sprintf("u%02d", number), true)
+				cluster.run(3 * time.Second)
+				cluster.checkUpToDate(maxPropagation)
 			}
-			changed, reasons := world.billed()
+			changed, reasons := cluster.takeCosts()
 			t.Logf("4 changes of each kind in 12 s: %.1f calls %v", changed, reasons)
-			// Those that ask before they are found list three kinds each: 80 to 99 calls at
-			// 30 nodes with other draws, 484 at 294.
+			// Nodes that read the store before another node contacts them list all three
+			// kinds of entries: 80 to 99 calls at 30 nodes with other random numbers,
+			// 484 at 294.
 			assert.Assert(t, started < 1.5*nodes+100, "%v", reasons)
 			assert.Assert(t, changed < 4*(0.1*nodes+24)+60, "%v", reasons)
 		})
@@ -68,205 +69,206 @@
 	assert.Assert(t, rest[1] <= rest[0]*1.2+5, "%.1f calls at 30 nodes, %.1f at 120", rest[0], rest[1])
 }
 
-// TestNodesThatAreTurnedAwayAreFed holds that nodes which the store turns away, leaders
-// among them, go on as if nothing was, while the others ask.
+// TestNodesThatAreTurnedAwayAreFed checks that nodes whose calls the store rejects,
+// leaders among them, stay up to date through the nodes that can read the store.
 func TestNodesThatAreTurnedAwayAreFed(t *testing.T) {
-	inWorld(t, 2, []int{8, 20, 3}, func(world *world) {
-		var away []definer.VM
-		for place, peer := range world.order {
+	withCluster(t, 2, []int{8, 20, 3}, func(cluster *cluster) {
+		var rejectedVMs []definer.VM
+		for place, peer := range cluster.order {
 			if place%3 == 0 {
-				away = append(away, peer.VM)
+				rejectedVMs = append(rejectedVMs, peer.VM)
 			}
 		}
-		world.billed()
-		world.reachAs(turnedAway, away...)
+		cluster.takeCosts()
+		cluster.setReachability(rejected, rejectedVMs...)
 		for number := range 4 {
-			world.configure()
-			world.list(fmt.Sprintf("u%02d", number), true)
-			world.step(inForceWithin)
-			world.checkUpToDate(inForceWithin)
+			cluster.configure()
+			cluster.listUpstream(fmt.Sprintf("u%02d", number), true)
+			cluster.run(maxPropagation)
+			cluster.checkUpToDate(maxPropagation)
 		}
-		calls, reasons := world.billed()
-		t.Logf("%.1f calls while %d of %d nodes are turned away for 8 s: %v", calls, len(away), len(world.order), reasons)
-		world.reachAs(served, away...)
-		world.step(5 * time.Second)
-		world.checkUpToDate(inForceWithin)
+		calls, reasons := cluster.takeCosts()
+		t.Logf("%.1f calls while %d of %d nodes are rejected for 8 s: %v", calls, len(rejectedVMs), len(cluster.order), reasons)
+		cluster.setReachability(served, rejectedVMs...)
+		cluster.run(5 * time.Second)
+		cluster.checkUpToDate(maxPropagation)
 	})
 }
 
-// TestStoreThatIsAway holds that a store which answers nobody is not asked by all: the
-// aggregators probe, and all are up to date soon after its return.
+// TestStoreThatIsAway checks that only the aggregators keep calling a store that answers
+// no node, and that all nodes are up to date soon after it returns.
 func TestStoreThatIsAway(t *testing.T) {
-	for _, how := range []reach{turnedAway, cut} {
-		inWorld(t, 3, []int{30, 30}, func(world *world) {
-			world.billed()
-			for _, peer := range world.order {
-				world.reachAs(how, peer.VM)
+	for _, state := range []reachability{rejected, unreachable} {
+		withCluster(t, 3, []int{30, 30}, func(cluster *cluster) {
+			cluster.takeCosts()
+			for _, peer := range cluster.order {
+				cluster.setReachability(state, peer.VM)
 			}
-			world.step(4500 * time.Millisecond)
-			world.configure()
-			world.list("u03", true)
-			calls, reasons := world.billed()
-			t.Logf("%.1f calls in 4.5 s of a store that is away for 60 nodes: %v", calls, reasons)
+			cluster.run(4500 * time.Millisecond)
+			cluster.configure()
+			cluster.listUpstream("u03", true)
+			calls, reasons := cluster.takeCosts()
+			t.Logf("%.1f calls in 4.5 s while the store is unavailable to 60 nodes: %v", calls, reasons)
 			assert.Assert(t, calls < 90, "%v", reasons)
-			for _, peer := range world.order {
-				world.reachAs(served, peer.VM)
+			for _, peer := range cluster.order {
+				cluster.setReachability(served, peer.VM)
 			}
-			world.step(inForceWithin)
-			world.checkUpToDate(inForceWithin)
+			cluster.run(maxPropagation)
+			cluster.checkUpToDate(maxPropagation)
 		})
 	}
 }
 
-// TestLeadersMayEnd holds that the nodes that ask may be killed at any moment, all at
-// once, without anybody being late beyond the bounds.
+// TestLeadersMayEnd checks that all other nodes stay up to date within the bounds when
+// the nodes that read the store are killed at the same time.
 func TestLeadersMayEnd(t *testing.T) {
-	inWorld(t, 4, []int{20, 20}, func(world *world) {
+	withCluster(t, 4, []int{20, 20}, func(cluster *cluster) {
 		for _, vm := range []definer.VM{"0-000", "0-001", "1-000", "1-001"} {
-			world.kill(vm)
+			cluster.kill(vm)
 		}
-		world.configure()
-		world.list("u04", true)
-		world.step(inForceWithin)
-		world.checkUpToDate(inForceWithin)
-		for _, peer := range world.order {
-			if _, runs := world.nodes[peer.VM]; !runs {
-				world.start(peer, false)
+		cluster.configure()
+		cluster.listUpstream("u04", true)
+		cluster.run(maxPropagation)
+		cluster.checkUpToDate(maxPropagation)
+		for _, peer := range cluster.order {
+			if _, runs := cluster.nodes[peer.VM]; !runs {
+				cluster.start(peer, false)
 			}
 		}
-		world.step(inForceWithin)
-		world.checkUpToDate(inForceWithin)
+		cluster.run(maxPropagation)
+		cluster.checkUpToDate(maxPropagation)
 	})
 }
 
-// TestAllStartAgain holds that a fleet whose power was gone is up to date soon, for few
-// calls: its nodes find each other by the list that they left.
+// TestAllStartAgain checks that after a power loss all nodes are soon up to date at the
+// cost of few calls: they find each other through the list of nodes still in the store.
 func TestAllStartAgain(t *testing.T) {
-	inWorld(t, 5, []int{30, 30}, func(world *world) {
-		world.stop()
-		world.billed()
-		world.step(time.Second)
-		world.startAll(false)
-		world.step(time.Second)
-		world.checkUpToDate(900 * time.Millisecond)
-		calls, reasons := world.billed()
+	withCluster(t, 5, []int{30, 30}, func(cluster *cluster) {
+		cluster.stop()
+		cluster.takeCosts()
+		cluster.run(time.Second)
+		cluster.startAll(false)
+		cluster.run(time.Second)
+		cluster.checkUpToDate(900 * time.Millisecond)
+		calls, reasons := cluster.takeCosts()
 		t.Logf("%.1f calls: %v", calls, reasons)
 		assert.Assert(t, calls < 60*1.3+20, "%v", reasons)
 	})
 }
 
-// TestDataCentreThatIsCutOff holds that the nodes of a data centre that reach neither the
-// store nor the others go on for the time that keys are honoured, ask it little, and are
-// up to date soon after.
+// TestDataCentreThatIsCutOff checks that the other nodes stay up to date while a data
+// centre reaches neither the store nor the other data centres, for longer than revoked keys
+// are accepted, and that all nodes are up to date soon after it is reachable again. The cost
+// of the calls during the partition is logged only.
 func TestDataCentreThatIsCutOff(t *testing.T) {
-	inWorld(t, 6, []int{20, 20}, func(world *world) {
+	withCluster(t, 6, []int{20, 20}, func(cluster *cluster) {
 		var vms []definer.VM
-		for _, peer := range world.order {
+		for _, peer := range cluster.order {
 			if peer.DataCentre == "1" {
 				vms = append(vms, peer.VM)
 			}
 		}
-		world.sever(func(from, to definer.VM) bool { return from[0] != to[0] })
-		world.reachAs(cut, vms...)
-		world.disturb(vms...)
-		world.billed()
-		world.configure()
-		world.list("u05", true)
+		cluster.partition(func(from, to definer.VM) bool { return from[0] != to[0] })
+		cluster.setReachability(unreachable, vms...)
+		cluster.markDisturbed(vms...)
+		cluster.takeCosts()
+		cluster.configure()
+		cluster.listUpstream("u05", true)
 		for range 11 {
-			world.disturb(vms...)
-			world.step(500 * time.Millisecond)
-			world.checkUpToDate(inForceWithin)
+			cluster.markDisturbed(vms...)
+			cluster.run(500 * time.Millisecond)
+			cluster.checkUpToDate(maxPropagation)
 		}
-		calls, reasons := world.billed()
+		calls, reasons := cluster.takeCosts()
 		t.Logf("%.1f calls: %v", calls, reasons)
-		world.sever(func(_, _ definer.VM) bool { return false })
-		world.reachAs(served, vms...)
-		world.step(3 * time.Second)
-		world.checkUpToDate(inForceWithin)
+		cluster.partition(func(_, _ definer.VM) bool { return false })
+		cluster.setReachability(served, vms...)
+		cluster.run(3 * time.Second)
+		cluster.checkUpToDate(maxPropagation)
 	})
 }
 
-// trouble is one disturbance of a random run; it returns what ends it.
-func trouble(world *world, kind int) (end func()) {
-	all := make([]definer.VM, 0, len(world.order))
-	for _, peer := range world.order {
+// startFault starts a random fault and returns the function that ends it.
+func startFault(cluster *cluster, kind int) (stop func()) {
+	all := make([]definer.VM, 0, len(cluster.order))
+	for _, peer := range cluster.order {
 		all = append(all, peer.VM)
 	}
-	some := func(most int) []definer.VM {
-		world.script.Shuffle(len(all), func(left, right int) { all[left], all[right] = all[right], all[left] })
-		return append([]definer.VM(nil), all[:1+world.script.IntN(most)]...)
+	randomVMs := func(limit int) []definer.VM {
+		cluster.faultRandom.Shuffle(len(all), func(left, right int) { all[left], all[right] = all[right], all[left] })
+		return append([]definer.VM(nil), all[:1+cluster.faultRandom.IntN(limit)]...)
 	}
 	switch kind {
-	case 0, 1: // Some cannot reach the store, the leaders as likely as others.
-		vms := some(len(all))
-		world.reachAs(reach(1+kind), vms...)
-		return func() { world.reachAs(served, vms...) }
-	case 2: // Some are killed and started again.
-		vms := some(len(all) / 2)
+	case 0, 1: // Some nodes, leaders as likely as others, cannot reach the store.
+		vms := randomVMs(len(all))
+		cluster.setReachability(reachability(1+kind), vms...)
+		return func() { cluster.setReachability(served, vms...) }
+	case 2: // Some nodes are killed and started again.
+		vms := randomVMs(len(all) / 2)
 		for _, vm := range vms {
-			if _, runs := world.nodes[vm]; runs {
-				world.kill(vm)
+			if _, runs := cluster.nodes[vm]; runs {
+				cluster.kill(vm)
 			}
 		}
 		return func() {
-			for _, peer := range world.order {
-				if _, runs := world.nodes[peer.VM]; !runs {
-					world.start(peer, false)
+			for _, peer := range cluster.order {
+				if _, runs := cluster.nodes[peer.VM]; !runs {
+					cluster.start(peer, false)
 				}
 			}
 		}
-	case 3: // Some are cut off from all others.
-		alone := make(map[definer.VM]bool)
-		for _, vm := range some(len(all)) {
-			alone[vm] = true
+	case 3: // Some nodes are partitioned from all others.
+		isolated := make(map[definer.VM]bool)
+		for _, vm := range randomVMs(len(all)) {
+			isolated[vm] = true
 		}
-		world.sever(func(from, to definer.VM) bool { return alone[from] != alone[to] })
-		return func() { world.sever(func(_, _ definer.VM) bool { return false }) }
-	case 4: // Messages one way are lost.
+		cluster.partition(func(from, to definer.VM) bool { return isolated[from] != isolated[to] })
+		return func() { cluster.partition(func(_, _ definer.VM) bool { return false }) }
+	case 4: // Some nodes receive no messages, though their own are delivered.
 		deaf := make(map[definer.VM]bool)
-		for _, vm := range some(len(all)) {
+		for _, vm := range randomVMs(len(all)) {
 			deaf[vm] = true
 		}
-		world.sever(func(_, to definer.VM) bool { return deaf[to] })
-		return func() { world.sever(func(_, _ definer.VM) bool { return false }) }
+		cluster.partition(func(_, to definer.VM) bool { return deaf[to] })
+		return func() { cluster.partition(func(_, _ definer.VM) bool { return false }) }
 	case 5:
-		world.lose(0.3)
-		return func() { world.lose(0) }
+		cluster.setLoss(0.3)
+		return func() { cluster.setLoss(0) }
 	}
-	world.forget()
+	cluster.dropHistory()
 	return func() {}
 }
 
-// TestUpToDateAfterAnyTrouble plays troubles in random order that overlap, while the
-// configuration, the upstreams and the nodes change: at no moment does a node go back to
-// an earlier version or take one for the newest after it was replaced, and soon after the
-// last trouble all know all there is.
+// TestUpToDateAfterAnyTrouble runs overlapping faults in random order while the
+// configuration, the upstreams and the nodes change. A node must never return to an
+// earlier version or take a version for the newest after it was replaced, and all nodes
+// must be up to date soon after the last fault ends.
 func TestUpToDateAfterAnyTrouble(t *testing.T) {
-	for seed := range uint64(seeds) {
-		inWorld(t, seed, []int{5, 18, 2}, func(world *world) {
-			var ends []func()
+	for seed := range uint64(seedCount) {
+		withCluster(t, seed, []int{5, 18, 2}, func(cluster *cluster) {
+			var stops []func()
 			for range 12 {
-				ends = append(ends, trouble(world, world.script.IntN(7)))
-				world.configure()
-				name := fmt.Sprintf("u%02d", world.script.IntN(30))
-				switch world.script.IntN(3) {
+				stops = append(stops, startFault(cluster, cluster.faultRandom.IntN(7)))
+				cluster.configure()
+				name := fmt.Sprintf("u%02d", cluster.faultRandom.IntN(30))
+				switch cluster.faultRandom.IntN(3) {
 				case 0:
-					world.remove(name)
+					cluster.removeUpstream(name)
 				default:
-					world.list(name, world.script.IntN(2) == 0)
+					cluster.listUpstream(name, cluster.faultRandom.IntN(2) == 0)
 				}
-				world.step(time.Duration(world.script.IntN(2500)) * time.Millisecond)
-				if len(ends) > world.script.IntN(3) {
-					ends[0]()
-					ends = ends[1:]
+				cluster.run(time.Duration(cluster.faultRandom.IntN(2500)) * time.Millisecond)
+				if len(stops) > cluster.faultRandom.IntN(3) {
+					stops[0]()
+					stops = stops[1:]
 				}
 			}
-			for _, end := range ends {
-				end()
+			for _, stop := range stops {
+				stop()
 			}
-			world.step(recovery)
-			world.checkUpToDate(inForceWithin)
-			world.checkMet()
+			cluster.run(recoveryTime)
+			cluster.checkUpToDate(maxPropagation)
+			cluster.checkPeersListed()
 			if t.Failed() {
 				t.Logf("seed %d", seed)
 			}
@@ -274,22 +276,23 @@
 	}
 }
 
-// TestRollingRestartTellsLittleBetweenDataCentres restarts all nodes in turn, which changes
-// the list of nodes twice for each: what is told between data centres, where bytes are
-// billed, stays some times what changed, and nobody falls behind.
+// TestRollingRestartTellsLittleBetweenDataCentres restarts all nodes one after another,
+// which changes the list of nodes twice for each. The entries sent between data centres,
+// where bytes are billed, must stay within a small multiple of the changes, and all
+// nodes must stay up to date.
 func TestRollingRestartTellsLittleBetweenDataCentres(t *testing.T) {
-	inWorld(t, 7, []int{20, 20, 20, 20, 20, 20}, func(world *world) {
-		world.crossing = 0
-		for _, peer := range world.order {
-			world.withdraw(peer.VM)
-			time.AfterFunc(1500*time.Millisecond, func() { world.start(peer, false) })
-			world.step(100 * time.Millisecond)
+	withCluster(t, 7, []int{20, 20, 20, 20, 20, 20}, func(cluster *cluster) {
+		cluster.crossingEntries = 0
+		for _, peer := range cluster.order {
+			cluster.withdraw(peer.VM)
+			time.AfterFunc(1500*time.Millisecond, func() { cluster.start(peer, false) })
+			cluster.run(100 * time.Millisecond)
 		}
-		world.step(3 * time.Second)
-		world.checkUpToDate(inForceWithin)
-		world.checkMet()
-		each := float64(world.crossing) / float64(len(world.order))
-		t.Logf("%.0f entries told between data centres for each of %d restarts", each, len(world.order))
+		cluster.run(3 * time.Second)
+		cluster.checkUpToDate(maxPropagation)
+		cluster.checkPeersListed()
+		each := float64(cluster.crossingEntries) / float64(len(cluster.order))
+		t.Logf("%.0f entries sent between data centres for each of %d restarts", each, len(cluster.order))
 		assert.Assert(t, each < 600, "%.0f entries", each)
 	})
 }
--- a/informer/informer.go
+++ b/informer/informer.go
@@ -1,6 +1,7 @@
-// Package informer knows what the platform's store says: the operator's configuration,
-// the upstreams and the other nodes, and how fresh that is. It asks the store by itself or
-// hears it from other nodes, and tells these what it knows.
+// Package informer keeps a node's copy of what the platform's store holds: the
+// operator's configuration and the lists of upstreams and nodes. It reads the store
+// directly or receives the data from other nodes, forwards it to them, and tracks how
+// long ago the copy was known to be current.
 package informer
 
 import (
@@ -21,39 +22,40 @@
 	"limpetcleat/selector"
 )
 
-// tickInterval is how often entries that lapse, and who asks the store, are looked at.
+// tickInterval is the interval at which doubted list entries expire and at which the
+// node decides again whether it reads the store.
 const tickInterval = 200 * time.Millisecond
 
-// Feeds are what an Informer follows.
+// Feeds are the parts of the store that an Informer follows.
 type Feeds struct {
 	Configurations follower.Feed[router.Definition, router.Definition]
 	Upstreams      follower.Feed[registrar.Upstream, registrar.Change]
 	Peers          Peers
 }
 
-// Peers is the list of this product's nodes in the platform's store.
+// Peers is the list of the router's nodes in the platform's store.
 type Peers interface {
 	follower.Feed[exchanger.Peer, exchanger.PeerChange]
-	// Announce writes a node's entry.
+	// Announce writes the entry of a node.
 	Announce(ctx context.Context, peer exchanger.Peer) error
-	// Withdraw removes a node's entry.
+	// Withdraw removes the entry of a node.
 	Withdraw(ctx context.Context, vm definer.VM) error
 }
 
-// Informer knows what the store says. It is safe for concurrent use.
+// Informer keeps the node's copy of the store's data. It is safe for concurrent use.
 //
-// It owns its followers and the exchanger; Run waits for each.
+// It owns its followers and the exchanger; Run waits for all of them to end.
 type Informer struct {
 	self        exchanger.Peer
 	incarnation definer.Incarnation
 	// first is set at the first start of a whole deployment.
-	first bool
-	draw  func() float64
-	log   func(number int, pairs ...any)
-	// asking is told whether this node asks the store.
-	asking func(asks bool)
-	// changed is told of each change of the list of upstreams.
-	changed func(change registrar.Change)
+	first  bool
+	random func() float64
+	log    func(number int, pairs ...any)
+	// askingChanged is called when this node starts or stops reading the store.
+	askingChanged func(asks bool)
+	// upstreamChanged is called for each change of the list of upstreams.
+	upstreamChanged func(change registrar.Change)
 
 	holder         *follower.Holder
 	confirmer      *follower.Confirmer
@@ -63,35 +65,41 @@
 	peerList       Peers
 	peers          *follower.Follower[exchanger.Peer, exchanger.PeerChange]
 	exchanger      *exchanger.Exchanger
-	// suspicions are shared with peers; nil is none.
+	// suspicions are exchanged with peers; nil disables the exchange.
 	suspicions exchanger.Suspicions
-	// announcements are shared with peers; nil is none.
+	// announcements are exchanged with peers; nil disables the exchange.
 	announcements exchanger.Announcements
-	// clock is compared with those of peers; nil is none.
+	// clock is compared with the clocks of peers; nil disables the comparison.
 	clock exchanger.Clock
-	// knowledge and delegator are nil where each node asks the store by itself; the duties
+	// knowledge and delegator are nil where each node reads the store itself; the duties
 	// are then always on.
 	knowledge *knowledge
 	delegator *delegator.Delegator
 	duties    *duties
 	sender    exchanger.Sender
-	// courier gets configurations from peers, shared is that which this node gives them.
-	courier *courier
-	shared  shared
-	// met is closed once this node has looked for others.
-	met chan struct{}
-	// freshens is set while this node has to make sure by itself that what it knows is fresh.
-	freshens atomic.Bool
-	// pause bounds the pause behind calls to the store that fail, in nanoseconds.
-	pause atomic.Int64
-	// word is the latest word of peers of a version that this node lacked.
-	word atomic.Pointer[word]
-	// done is closed by Run.
+	// fetcher requests configurations from peers; encodedCache holds the encoded
+	// configuration that this node sends to them.
+	fetcher      *fetcher
+	encodedCache encodedCache
+	// peerReadDone is closed after the read of the list of nodes at the start, also if
+	// it failed.
+	peerReadDone chan struct{}
+	// keepsFresh is set while this node has to confirm by its own calls to the store
+	// that its configuration is the newest.
+	keepsFresh atomic.Bool
+	// retryDelayLimit is the longest delay before a failed call to the store is retried,
+	// in nanoseconds.
+	retryDelayLimit atomic.Int64
+	// peerConfirmation is the latest confirmation from peers of a version newer than
+	// this node's.
+	peerConfirmation atomic.Pointer[peerConfirmation]
+	// done is closed when Run returns.
 	done chan struct{}
 }
 
-// word is what a peer knows: that a version was the newest up to a time.
-type word struct {
+// peerConfirmation is a peer's statement that a version of the configuration was the
+// newest at a time.
+type peerConfirmation struct {
 	version uint64
 	at      time.Time
 }
@@ -99,79 +107,83 @@
 // Option changes one setting of an Informer.
 type Option func(*Informer)
 
-// WithLog sets where numbered events go; it must not block. The default drops them.
+// WithLog sets the function that receives numbered log events; it must not block. The
+// default drops them.
 func WithLog(log func(number int, pairs ...any)) Option {
 	return func(informer *Informer) { informer.log = log }
 }
 
-// WithIncarnation sets the number of this node's process, as its messages bear it.
+// WithIncarnation sets the number of this node's process that its messages carry.
 func WithIncarnation(incarnation definer.Incarnation) Option {
 	return func(informer *Informer) { informer.incarnation = incarnation }
 }
 
-// WithSuspicions has this node and its peers tell each other which requests make upstreams
+// WithSuspicions exchanges with peers which requests are suspected of making upstreams
 // end.
 func WithSuspicions(suspicions exchanger.Suspicions) Option {
 	return func(informer *Informer) { informer.suspicions = suspicions }
 }
 
-// WithAnnouncements has this node and its peers tell each other how upstreams want to be
-// asked.
+// WithAnnouncements exchanges with peers what upstreams announced about how they want to
+// be called.
 func WithAnnouncements(announcements exchanger.Announcements) Option {
 	return func(informer *Informer) { informer.announcements = announcements }
 }
 
-// WithClock has this node and its peers show each other their clocks.
+// WithClock exchanges clock readings with peers.
 func WithClock(clock exchanger.Clock) Option {
 	return func(informer *Informer) { informer.clock = clock }
 }
 
-// WithAsking sets what is told whether this node asks the store, whenever that changes.
+// WithAsking sets the function that is called when this node starts or stops reading the
+// store.
 func WithAsking(asking func(asks bool)) Option {
-	return func(informer *Informer) { informer.asking = asking }
+	return func(informer *Informer) { informer.askingChanged = asking }
 }
 
-// WithChanges sets what is told of each change of the list of upstreams.
+// WithChanges sets the function that is called for each change of the list of upstreams.
 func WithChanges(changed func(change registrar.Change)) Option {
-	return func(informer *Informer) { informer.changed = changed }
+	return func(informer *Informer) { informer.upstreamChanged = changed }
 }
 
-// WithDelegation has few nodes ask the store and tell the others, so that all go by a
-// revocation within the time; 0 is no bound. First is set at the first start of a whole
-// deployment.
+// WithDelegation lets a few nodes read the store and forward the data to the others,
+// such that all nodes apply the revocation of a key within the given time; 0 sets no
+// bound. First is set at the first start of a whole deployment.
 func WithDelegation(revocation time.Duration, first bool) Option {
 	return func(informer *Informer) {
-		informer.delegator = delegator.New(time.Now(), revocation, informer.draw(), first)
+		informer.delegator = delegator.New(time.Now(), revocation, informer.random(), first)
 		informer.first = first
 	}
 }
 
-// WithDraw sets where the numbers between 0 and 1 come from that spread nodes in the same
-// situation; it stands before WithDelegation.
-func WithDraw(draw func() float64) Option {
-	return func(informer *Informer) { informer.draw = draw }
+// WithRandom sets the source of the numbers between 0 and 1 that spread the calls of
+// nodes in the same situation. It has to come before WithDelegation in the list of
+// options.
+func WithRandom(random func() float64) Option {
+	return func(informer *Informer) { informer.random = random }
 }
 
-// New returns an Informer of the node that shares its selector's picture with peers.
+// New returns the Informer of a node; the load data of its selector is exchanged with
+// peers.
 func New(self exchanger.Peer, feeds Feeds, choice *selector.Selector, sender exchanger.Sender, options ...Option) *Informer {
 	informer := &Informer{
-		self:      self,
-		draw:      rand.Float64,
-		log:       func(int, ...any) {},
-		asking:    func(bool) {},
-		changed:   func(registrar.Change) {},
-		registrar: registrar.New(),
-		peerList:  feeds.Peers,
-		sender:    sender,
-		courier:   &courier{self: self.Address},
-		done:      make(chan struct{}),
+		self:            self,
+		random:          rand.Float64,
+		log:             func(int, ...any) {},
+		askingChanged:   func(bool) {},
+		upstreamChanged: func(registrar.Change) {},
+		registrar:       registrar.New(),
+		peerList:        feeds.Peers,
+		sender:          sender,
+		fetcher:         &fetcher{replyTo: self.Address},
+		done:            make(chan struct{}),
 	}
 	for _, option := range options {
 		option(informer)
 	}
-	informer.word.Store(&word{})
-	informer.holder = follower.NewHolder(informer.reportTable)
-	informer.delegate()
+	informer.peerConfirmation.Store(&peerConfirmation{})
+	informer.holder = follower.NewHolder(informer.logTable)
+	informer.initDelegation()
 	informer.followConfigurations(feeds.Configurations)
 	informer.exchanger = exchanger.New(self, choice, sender, informer.exchangerOptions()...)
 	informer.followPeers(feeds.Peers)
@@ -187,16 +199,16 @@
 	parts.Go(func() { informer.upstreams.Run(ctx) })
 	parts.Go(func() { informer.peers.Run(ctx) })
 	parts.Go(func() { informer.announce(ctx) })
-	parts.Go(func() { informer.meetPeers(ctx) })
+	parts.Go(func() { informer.readPeersAtStart(ctx) })
 	parts.Go(func() { informer.exchanger.Run(ctx) })
 	parts.Go(func() { informer.tick(ctx) })
 	parts.Wait()
 }
 
-// Done is closed once Run has ended.
+// Done returns a channel that is closed when Run returns.
 func (informer *Informer) Done() <-chan struct{} { return informer.done }
 
-// Receive takes in a message from a peer.
+// Receive handles a message from a peer.
 func (informer *Informer) Receive(from definer.Member, dataCentre definer.DataCentre, message messenger.Message) {
 	switch message := message.(type) {
 	case *messenger.LoadReport:
@@ -205,24 +217,24 @@
 			informer.fetch(from.VM, message.Confirmation.Version)
 		}
 	case *messenger.DefinitionAsk:
-		informer.share(message)
+		informer.sendPart(message)
 	case *messenger.DefinitionPart:
 		informer.receivePart(from, message)
 	}
 }
 
-// receivePart takes in a part of a configuration that this node has asked for.
+// receivePart handles a part of a configuration that this node requested.
 func (informer *Informer) receivePart(from definer.Member, part *messenger.DefinitionPart) {
 	if address, listed := informer.exchanger.Address(from.VM); listed && informer.knowledge != nil {
-		informer.carryOn(address, informer.courier.take(time.Now(), part))
+		informer.runStep(address, informer.fetcher.addPart(time.Now(), part))
 	}
 }
 
 // Upstreams returns the list of upstreams.
 func (informer *Informer) Upstreams() *registrar.Registrar { return informer.registrar }
 
-// Nodes returns all nodes, this one among them, and whether the list was read yet. The caller
-// must not change the slice.
+// Nodes returns all nodes, this one included, and whether the list has been read. The
+// caller must not change the slice.
 func (informer *Informer) Nodes() (nodes []exchanger.Peer, known bool) {
 	return informer.exchanger.Nodes()
 }
@@ -230,8 +242,8 @@
 // CountPeers returns how many other nodes are listed.
 func (informer *Informer) CountPeers() int { return informer.exchanger.Count() }
 
-// Precedence returns this node's place among those that may take on a duty of one node at a
-// time.
+// Precedence returns this node's position among the nodes that may take on a duty which
+// one node holds at a time.
 func (informer *Informer) Precedence(now time.Time, passedOver func(vm definer.VM) bool) exchanger.Precedence {
 	return informer.exchanger.Precedence(now, passedOver)
 }
@@ -239,36 +251,38 @@
 // Table returns the configuration in force, or nil.
 func (informer *Informer) Table() *router.Table { return informer.holder.Table() }
 
-// Confirmed returns the time since which the configuration in force is known to be the
-// newest.
+// Confirmed returns the latest time at which the configuration in force is known to have
+// been the newest.
 func (informer *Informer) Confirmed() time.Time { return informer.confirmer.Confirmed() }
 
-// Healthy tells whether the store answered the last call about configurations, or, where
-// others ask it, whether their word is fresh.
+// Healthy reports whether the store answered the last call about configurations. On a
+// node that does not read the store, it reports whether the confirmation of peers is
+// recent.
 func (informer *Informer) Healthy() bool {
 	if !informer.duties.configurations.On() {
-		return time.Since(informer.Confirmed()) < freshWord
+		return time.Since(informer.Confirmed()) < healthyConfirmationAge
 	}
 	return informer.configurations.Healthy()
 }
 
-// tick looks after what time alone changes.
+// tick expires doubted list entries and decides again whether this node reads the store,
+// every tickInterval.
 func (informer *Informer) tick(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	met := informer.met
+	peerReadDone := informer.peerReadDone
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-met:
-			met = nil
-			informer.assign(time.Now())
+		case <-peerReadDone:
+			peerReadDone = nil
+			informer.updateDuties(time.Now())
 		case now := <-ticker.C:
 			changes, _ := informer.registrar.Sweep(now)
-			informer.reportChanges(changes, "lapsed")
-			informer.assign(now)
-			informer.askForItself(now)
+			informer.publishChanges(changes, "lapsed")
+			informer.updateDuties(now)
+			informer.endStaleWatch(now)
 		}
 	}
 }
--- a/informer/knowledge.go
+++ b/informer/knowledge.go
@@ -12,32 +12,36 @@
 )
 
 const (
-	// mostUpstreams and mostPeers bound the entries told in one message: 128 upstreams are
-	// some 12 KB, so that a group of 16 that knows nothing takes 0.2 MB of its aggregator's
-	// link an interval; the list of nodes is told in one piece, 390 are some 20 KB, since a
-	// node can report to nobody without it.
-	mostUpstreams = 128
-	mostPeers     = 512
-	// mostSmall bounds the entries of a kind in small news: what changes in an interval,
-	// also while nodes or upstreams are replaced in turn.
-	mostSmall = 16
+	// maxUpstreams and maxPeers limit the entries of a kind in one message. 128
+	// upstreams take some 12 KB, so that a group of 16 nodes that have no entries yet
+	// uses 0.2 MB of its aggregator's link in an interval. The list of nodes is sent in
+	// one message (390 nodes take some 20 KB), since a node without it can report to
+	// nobody.
+	maxUpstreams = 128
+	maxPeers     = 512
+	// maxSmallNews limits the entries of a kind in a small message. It covers what
+	// changes in an interval, also while nodes or upstreams are being replaced in turn.
+	maxSmallNews = 16
 )
 
-// knowledge is what this node knows of the store's upstreams and nodes, whoever told it.
+// knowledge is this node's copy of the store's lists of upstreams and nodes, whether it
+// comes from the store or from peers.
 type knowledge struct {
-	upstreams *ledger[messenger.UpstreamEntry]
-	peers     *ledger[messenger.PeerEntry]
+	upstreams *replica[messenger.UpstreamEntry]
+	peers     *replica[messenger.PeerEntry]
 }
 
-// newKnowledge returns a knowledge of nothing that hands what is new to the informer's parts.
+// newKnowledge returns an empty knowledge that passes changes on to the informer's
+// registrar and exchanger.
 func newKnowledge(informer *Informer) *knowledge {
 	return &knowledge{
-		upstreams: newLedger(informer.takeUpstreams),
-		peers:     newLedger(informer.takePeers),
+		upstreams: newReplica(informer.applyUpstreams),
+		peers:     newReplica(informer.applyPeers),
 	}
 }
 
-// knownUpstreams returns up to where upstreams are known; 0 is nothing.
+// knownUpstreams returns the revision up to which all upstreams are known; 0 if none
+// are.
 func (knowledge *knowledge) knownUpstreams() uint64 {
 	if knowledge == nil {
 		return 0
@@ -45,7 +49,7 @@
 	return knowledge.upstreams.chronicler.Known()
 }
 
-// knownPeers returns up to where nodes are known; 0 is nothing.
+// knownPeers returns the revision up to which all nodes are known; 0 if none are.
 func (knowledge *knowledge) knownPeers() uint64 {
 	if knowledge == nil {
 		return 0
@@ -53,7 +57,8 @@
 	return knowledge.peers.chronicler.Known()
 }
 
-// Positions tells up to where this node knows the entries.
+// Positions returns the revisions up to which this node knows the upstreams and the
+// nodes.
 func (knowledge *knowledge) Positions() messenger.Positions {
 	return messenger.Positions{
 		Upstreams: knowledge.upstreams.chronicler.Position(),
@@ -61,11 +66,11 @@
 	}
 }
 
-// Since returns what one at the positions lacks, or nil.
+// Since returns the entries that a node at the positions lacks, or nil if it lacks none.
 func (knowledge *knowledge) Since(positions messenger.Positions, size exchanger.NewsSize) *messenger.News {
-	upstreams, peers := mostUpstreams, mostPeers
+	upstreams, peers := maxUpstreams, maxPeers
 	if size == exchanger.SmallNews {
-		upstreams, peers = mostSmall, mostSmall
+		upstreams, peers = maxSmallNews, maxSmallNews
 	}
 	news := &messenger.News{
 		Upstreams: knowledge.upstreams.since(positions.Upstreams, upstreams),
@@ -77,34 +82,36 @@
 	return news
 }
 
-// Take takes in what a peer told.
+// Take applies the entries that a peer sent.
 func (knowledge *knowledge) Take(news *messenger.News) {
-	knowledge.upstreams.told(news.Upstreams)
-	knowledge.peers.told(news.Peers)
+	knowledge.upstreams.applyExcerpt(news.Upstreams)
+	knowledge.peers.applyExcerpt(news.Peers)
 }
 
-// takeUpstreams hands what is new of upstreams to the registrar.
-func (informer *Informer) takeUpstreams(reading chronicler.Reading[messenger.UpstreamEntry]) {
+// applyUpstreams applies changes of the upstreams to the registrar.
+func (informer *Informer) applyUpstreams(reading chronicler.Reading[messenger.UpstreamEntry]) {
 	now := time.Now()
 	if reading.Whole {
 		list := make([]registrar.Upstream, 0, len(reading.All))
 		for _, record := range reading.All {
 			list = append(list, upstreamOf(record))
 		}
-		informer.reportChanges(informer.registrar.Replace(now, list, false), "listed")
+		informer.publishChanges(informer.registrar.Replace(now, list, false), "listed")
 	}
-	// As many as are doubted alike go together: each call sorts all upstreams anew.
-	for _, run := range doubtedAlike(reading.Records) {
+	// Consecutive records with the same value of Doubted are applied in one call, since
+	// each call sorts all upstreams again.
+	for _, run := range groupByDoubted(reading.Records) {
 		changes := make([]registrar.Change, 0, len(run))
 		for _, record := range run {
 			changes = append(changes, registrar.Change{Upstream: upstreamOf(record), Removed: record.Removed})
 		}
-		informer.reportChanges(informer.registrar.Apply(now, changes, run[0].Doubted), "watched")
+		informer.publishChanges(informer.registrar.Apply(now, changes, run[0].Doubted), "watched")
 	}
 }
 
-// doubtedAlike cuts records into runs that are doubted or not.
-func doubtedAlike[Entry any](records []chronicler.Record[Entry]) [][]chronicler.Record[Entry] {
+// groupByDoubted splits records into runs of consecutive records with the same value of
+// Doubted.
+func groupByDoubted[Entry any](records []chronicler.Record[Entry]) [][]chronicler.Record[Entry] {
 	var runs [][]chronicler.Record[Entry]
 	for index, record := range records {
 		if index == 0 || record.Doubted != records[index-1].Doubted {
@@ -116,8 +123,8 @@
 	return runs
 }
 
-// takePeers hands what is new of nodes to the exchanger.
-func (informer *Informer) takePeers(reading chronicler.Reading[messenger.PeerEntry]) {
+// applyPeers applies changes of the nodes to the exchanger.
+func (informer *Informer) applyPeers(reading chronicler.Reading[messenger.PeerEntry]) {
 	if reading.Whole {
 		list := make([]exchanger.Peer, 0, len(reading.All))
 		for _, record := range reading.All {
@@ -182,52 +189,52 @@
 	}
 }
 
-// upstreamLedger takes what the store tells of upstreams into the ledger.
-type upstreamLedger struct {
-	ledger *ledger[messenger.UpstreamEntry]
+// upstreamReplicaSink applies what the store returned about upstreams to the replica.
+type upstreamReplicaSink struct {
+	replica *replica[messenger.UpstreamEntry]
 }
 
-// Replace takes in a whole list.
-func (sink upstreamLedger) Replace(list []registrar.Upstream, reading follower.Reading) {
+// Replace takes a complete list.
+func (sink upstreamReplicaSink) Replace(list []registrar.Upstream, reading follower.Reading) {
 	records := make([]chronicler.Record[messenger.UpstreamEntry], 0, len(list))
 	for index := range list {
 		records = append(records, upstreamRecord(&list[index]))
 	}
-	sink.ledger.listed(records, reading.Revision, reading.Outage)
+	sink.replica.applyList(records, reading.Revision, reading.Outage)
 }
 
-// Apply takes in changes.
-func (sink upstreamLedger) Apply(changes []registrar.Change, reading follower.Reading) {
+// Apply takes changes.
+func (sink upstreamReplicaSink) Apply(changes []registrar.Change, reading follower.Reading) {
 	records := make([]chronicler.Record[messenger.UpstreamEntry], 0, len(changes))
 	for index := range changes {
 		record := upstreamRecord(&changes[index].Upstream)
 		record.Removed, record.Doubted = changes[index].Removed, changes[index].Removed && reading.Outage
 		records = append(records, record)
 	}
-	sink.ledger.watched(records, reading.Revision)
+	sink.replica.applyChanges(records, reading.Revision)
 }
 
-// peerLedger takes what the store tells of nodes into the ledger.
-type peerLedger struct {
-	ledger *ledger[messenger.PeerEntry]
+// peerReplicaSink applies what the store returned about nodes to the replica.
+type peerReplicaSink struct {
+	replica *replica[messenger.PeerEntry]
 }
 
-// Replace takes in a whole list.
-func (sink peerLedger) Replace(list []exchanger.Peer, reading follower.Reading) {
+// Replace takes a complete list.
+func (sink peerReplicaSink) Replace(list []exchanger.Peer, reading follower.Reading) {
 	records := make([]chronicler.Record[messenger.PeerEntry], 0, len(list))
 	for _, peer := range list {
 		records = append(records, peerRecord(peer))
 	}
-	sink.ledger.listed(records, reading.Revision, false)
+	sink.replica.applyList(records, reading.Revision, false)
 }
 
-// Apply takes in changes.
-func (sink peerLedger) Apply(changes []exchanger.PeerChange, reading follower.Reading) {
+// Apply takes changes.
+func (sink peerReplicaSink) Apply(changes []exchanger.PeerChange, reading follower.Reading) {
 	records := make([]chronicler.Record[messenger.PeerEntry], 0, len(changes))
 	for _, change := range changes {
 		record := peerRecord(change.Peer)
 		record.Removed = change.Removed
 		records = append(records, record)
 	}
-	sink.ledger.watched(records, reading.Revision)
+	sink.replica.applyChanges(records, reading.Revision)
 }
--- a/informer/ledger.go
+++ b/informer/ledger.go
@@ -6,49 +6,50 @@
 	"limpetcleat/chronicler"
 )
 
-// ledger keeps what the store and peers tell of one kind of entries, and hands on what is
-// new. It is safe for concurrent use.
-type ledger[Entry any] struct {
-	// mutex is held while a reading is handed on, so that readings arrive in their order.
-	// The chronicler's lock and those of the sink are taken under it.
+// replica is the node's copy of the store's entries of one kind, which the store or
+// peers supply. It passes changes on to a sink and is safe for concurrent use.
+type replica[Entry any] struct {
+	// mutex is held while a reading is passed on, so that readings reach the sink in
+	// order. The locks of the chronicler and of the sink are taken while it is held.
 	mutex      sync.Mutex
 	chronicler *chronicler.Chronicler[Entry]
-	// sink takes in each reading that holds anything.
+	// sink receives each reading that holds a change.
 	sink func(reading chronicler.Reading[Entry])
 }
 
-func newLedger[Entry any](sink func(reading chronicler.Reading[Entry])) *ledger[Entry] {
-	return &ledger[Entry]{chronicler: chronicler.New[Entry](), sink: sink}
+func newReplica[Entry any](sink func(reading chronicler.Reading[Entry])) *replica[Entry] {
+	return &replica[Entry]{chronicler: chronicler.New[Entry](), sink: sink}
 }
 
-// listed takes in all entries that the store had at the revision.
-func (ledger *ledger[Entry]) listed(records []chronicler.Record[Entry], revision uint64, doubted bool) {
-	ledger.take(func() chronicler.Reading[Entry] { return ledger.chronicler.Listed(records, revision, doubted) })
+// applyList replaces the entries by those that the store held at the revision.
+func (replica *replica[Entry]) applyList(records []chronicler.Record[Entry], revision uint64, doubted bool) {
+	replica.update(func() chronicler.Reading[Entry] { return replica.chronicler.Listed(records, revision, doubted) })
 }
 
-// watched takes in changes that the store made.
-func (ledger *ledger[Entry]) watched(records []chronicler.Record[Entry], revision uint64) {
-	ledger.take(func() chronicler.Reading[Entry] { return ledger.chronicler.Watched(records, revision) })
+// applyChanges applies changes that a watch on the store returned.
+func (replica *replica[Entry]) applyChanges(records []chronicler.Record[Entry], revision uint64) {
+	replica.update(func() chronicler.Reading[Entry] { return replica.chronicler.Watched(records, revision) })
 }
 
-// told takes in what a peer told; nil is nothing.
-func (ledger *ledger[Entry]) told(excerpt *chronicler.Excerpt[Entry]) {
+// applyExcerpt applies the entries that a peer sent; a nil excerpt is ignored.
+func (replica *replica[Entry]) applyExcerpt(excerpt *chronicler.Excerpt[Entry]) {
 	if excerpt != nil {
-		ledger.take(func() chronicler.Reading[Entry] { return ledger.chronicler.Told(*excerpt) })
+		replica.update(func() chronicler.Reading[Entry] { return replica.chronicler.Told(*excerpt) })
 	}
 }
 
-func (ledger *ledger[Entry]) take(read func() chronicler.Reading[Entry]) {
-	ledger.mutex.Lock()
-	defer ledger.mutex.Unlock()
+func (replica *replica[Entry]) update(read func() chronicler.Reading[Entry]) {
+	replica.mutex.Lock()
+	defer replica.mutex.Unlock()
 	if reading := read(); reading.Whole || len(reading.Records) > 0 {
-		ledger.sink(reading)
+		replica.sink(reading)
 	}
 }
 
-// since returns what one at the position lacks, at most so many records; nil is nothing.
-func (ledger *ledger[Entry]) since(position chronicler.Position, most int) *chronicler.Excerpt[Entry] {
-	excerpt, ok := ledger.chronicler.Since(position, most)
+// since returns the entries that a node at the position lacks, limited to the given
+// number of records, or nil if it lacks none.
+func (replica *replica[Entry]) since(position chronicler.Position, most int) *chronicler.Excerpt[Entry] {
+	excerpt, ok := replica.chronicler.Since(position, most)
 	if !ok {
 		return nil
 	}
--- a/informer/link_test.go
+++ b/informer/link_test.go
@@ -15,39 +15,39 @@
 	"limpetcleat/timer"
 )
 
-// link is one node's way to the store and to the other nodes.
+// link connects one node to the simulated store and to the other nodes.
 type link struct {
-	world *world
-	self  definer.Member
+	cluster *cluster
+	self    definer.Member
 }
 
-// Send delivers a message to a peer after its way, unless it is lost.
+// Send delivers a message to a peer after messageDelay, unless it is lost.
 func (link link) Send(_ context.Context, address string, message messenger.Message) {
-	world := link.world
+	cluster := link.cluster
 	to := definer.VM(address)
-	world.mutex.Lock()
-	world.messages++
+	cluster.mutex.Lock()
+	cluster.messages++
 	if report, ok := message.(*messenger.LoadReport); ok && link.self.VM[0] != to[0] {
-		world.crossing += told(report.News)
+		cluster.crossingEntries += countEntries(report.News)
 	}
-	lost := world.severed(link.self.VM, to) || world.random.Float64() < world.loss
-	world.mutex.Unlock()
+	lost := cluster.partitioned(link.self.VM, to) || cluster.random.Float64() < cluster.loss
+	cluster.mutex.Unlock()
 	if lost {
 		return
 	}
-	time.AfterFunc(wayTime, func() {
-		world.mutex.Lock()
-		node, runs := world.nodes[to]
-		runs = runs && !world.severed(link.self.VM, to)
-		world.mutex.Unlock()
+	time.AfterFunc(messageDelay, func() {
+		cluster.mutex.Lock()
+		node, runs := cluster.nodes[to]
+		runs = runs && !cluster.partitioned(link.self.VM, to)
+		cluster.mutex.Unlock()
 		if runs {
 			node.informer.Receive(link.self, definer.DataCentre(link.self.VM[:1]), message)
 		}
 	})
 }
 
-// told returns how many entries are told.
-func told(news *messenger.News) (entries int) {
+// countEntries returns how many entries the news carries.
+func countEntries(news *messenger.News) (entries int) {
 	if news != nil && news.Upstreams != nil {
 		entries += len(news.Upstreams.Records)
 	}
@@ -57,41 +57,41 @@
 	return entries
 }
 
-// enter counts a call and returns when the store answers it; the error says that it does
-// not.
-func (link link) enter(ctx context.Context) error {
-	world := link.world
-	price := 1.0
+// call counts a call to the store and waits for its answer; the error says why there is
+// none.
+func (link link) call(ctx context.Context) error {
+	cluster := link.cluster
+	cost := 1.0
 	if follower.IsStale(ctx) {
-		price = 0.1
-	}
-	world.mutex.Lock()
-	world.calls[follower.ReasonOf(ctx)] += price
-	reach := world.reaches[link.self.VM]
-	world.mutex.Unlock()
-	switch reach {
-	case turnedAway:
-		return follower.Fail("call", follower.Rejected, "turned away")
-	case cut:
+		cost = 0.1
+	}
+	cluster.mutex.Lock()
+	cluster.calls[follower.ReasonOf(ctx)] += cost
+	reachability := cluster.reaches[link.self.VM]
+	cluster.mutex.Unlock()
+	switch reachability {
+	case rejected:
+		return follower.Fail("call", follower.Rejected, "the store rejected the call")
+	case unreachable:
 		<-ctx.Done()
 		return follower.Fail("call", follower.Lost, "%w", ctx.Err())
 	case served:
 	}
-	if err := timer.Sleep(ctx, answerTime); err != nil {
+	if err := timer.Sleep(ctx, storeDelay); err != nil {
 		return follower.Fail("call", follower.Lost, "%w", err)
 	}
 	return nil
 }
 
-// listOf returns the entries of a kind and the revision that the list tells.
+// listOf returns the entries of a kind and the revision of the list.
 func listOf[Entry any](ctx context.Context, link link, table *table[Entry]) ([]change[Entry], uint64, error) {
-	if err := link.enter(ctx); err != nil {
+	if err := link.call(ctx); err != nil {
 		return nil, 0, err
 	}
-	world := link.world
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
-	at, revision := time.Now(), world.revision
+	cluster := link.cluster
+	cluster.mutex.Lock()
+	defer cluster.mutex.Unlock()
+	at, revision := time.Now(), cluster.revision
 	if follower.IsStale(ctx) {
 		at = at.Add(-staleness)
 	}
@@ -102,24 +102,24 @@
 	return slices.SortedFunc(maps.Values(entries), func(left, right change[Entry]) int { return int(left.revision) - int(right.revision) }), revision, nil
 }
 
-// watchOf returns the changes of a kind after a revision as soon as there are any, or none
-// after the wait. Removals bear the revision of the entry's last writing.
+// watchOf returns the changes of a kind after a revision as soon as there are any, or
+// none after the wait. Removals carry the revision of the entry's last write.
 func watchOf[Entry any](ctx context.Context, link link, table *table[Entry], revision uint64, wait time.Duration) ([]change[Entry], uint64, error) {
-	if err := link.enter(ctx); err != nil {
+	if err := link.call(ctx); err != nil {
 		return nil, 0, err
 	}
-	world := link.world
-	over := time.After(wait)
+	cluster := link.cluster
+	timeout := time.After(wait)
 	for waiting := true; ; {
-		world.mutex.Lock()
+		cluster.mutex.Lock()
 		changes := slices.Clone(table.changes)
-		current, changed, forgotten, reach := world.revision, world.changed, world.forgotten, world.reaches[link.self.VM]
-		world.mutex.Unlock()
-		if reach != served {
-			return nil, 0, follower.Fail("watch", follower.Lost, "broken off")
+		current, changed, forgotten, reachability := cluster.revision, cluster.changed, cluster.droppedUpTo, cluster.reaches[link.self.VM]
+		cluster.mutex.Unlock()
+		if reachability != served {
+			return nil, 0, follower.Fail("watch", follower.Lost, "the store became unreachable during the watch")
 		}
 		if revision < forgotten {
-			return nil, 0, follower.Fail("watch", follower.Gone, "forgotten")
+			return nil, 0, follower.Fail("watch", follower.Gone, "the revision precedes the history of the store")
 		}
 		changes = slices.DeleteFunc(changes, func(change change[Entry]) bool { return change.revision <= revision })
 		if len(changes) > 0 || !waiting {
@@ -127,7 +127,7 @@
 		}
 		select {
 		case <-changed:
-		case <-over:
+		case <-timeout:
 			waiting = false
 		case <-ctx.Done():
 			return nil, 0, follower.Fail("watch", follower.Lost, "%w", ctx.Err())
@@ -138,38 +138,38 @@
 type configurationFeed struct{ link link }
 
 func (feed configurationFeed) List(ctx context.Context) ([]router.Definition, uint64, error) {
-	changes, revision, err := listOf(ctx, feed.link, &feed.link.world.configurations)
+	changes, revision, err := listOf(ctx, feed.link, &feed.link.cluster.configurations)
 	return definitions(changes), revision, err
 }
 
 func (feed configurationFeed) Watch(ctx context.Context, revision uint64, wait time.Duration) ([]router.Definition, uint64, error) {
-	changes, revision, err := watchOf(ctx, feed.link, &feed.link.world.configurations, revision, wait)
+	changes, revision, err := watchOf(ctx, feed.link, &feed.link.cluster.configurations, revision, wait)
 	return definitions(changes), revision, err
 }
 
 func definitions(changes []change[uint64]) []router.Definition {
-	return each(changes, func(change change[uint64]) router.Definition { return router.Definition{Version: change.entry} })
+	return mapEach(changes, func(change change[uint64]) router.Definition { return router.Definition{Version: change.entry} })
 }
 
-// each returns what each of a list becomes.
-func each[From, To any](list []From, become func(From) To) []To {
-	became := make([]To, 0, len(list))
+// mapEach returns the results of convert for each element of a list.
+func mapEach[From, To any](list []From, convert func(From) To) []To {
+	converted := make([]To, 0, len(list))
 	for _, from := range list {
-		became = append(became, become(from))
+		converted = append(converted, convert(from))
 	}
-	return became
+	return converted
 }
 
 type upstreamFeed struct{ link link }
 
 func (feed upstreamFeed) List(ctx context.Context) ([]registrar.Upstream, uint64, error) {
-	changes, revision, err := listOf(ctx, feed.link, &feed.link.world.upstreams)
-	return each(changes, upstreamIn), revision, err
+	changes, revision, err := listOf(ctx, feed.link, &feed.link.cluster.upstreams)
+	return mapEach(changes, upstreamIn), revision, err
 }
 
 func (feed upstreamFeed) Watch(ctx context.Context, revision uint64, wait time.Duration) ([]registrar.Change, uint64, error) {
-	changes, revision, err := watchOf(ctx, feed.link, &feed.link.world.upstreams, revision, wait)
-	return each(changes, func(change change[registrar.Upstream]) registrar.Change {
+	changes, revision, err := watchOf(ctx, feed.link, &feed.link.cluster.upstreams, revision, wait)
+	return mapEach(changes, func(change change[registrar.Upstream]) registrar.Change {
 		return registrar.Change{Upstream: upstreamIn(change), Removed: change.removed}
 	}), revision, err
 }
@@ -178,7 +178,7 @@
 	upstream := change.entry
 	upstream.ID, upstream.Revision = definer.UpstreamName(change.name), change.revision
 	if change.removed {
-		upstream.Revision = 1 // The store may tell that of an earlier writing.
+		upstream.Revision = 1 // The store may return the revision of an earlier write.
 	}
 	return upstream
 }
@@ -186,13 +186,13 @@
 type peerFeed struct{ link link }
 
 func (feed peerFeed) List(ctx context.Context) ([]exchanger.Peer, uint64, error) {
-	changes, revision, err := listOf(ctx, feed.link, &feed.link.world.peers)
-	return each(changes, peerIn), revision, err
+	changes, revision, err := listOf(ctx, feed.link, &feed.link.cluster.peers)
+	return mapEach(changes, peerIn), revision, err
 }
 
 func (feed peerFeed) Watch(ctx context.Context, revision uint64, wait time.Duration) ([]exchanger.PeerChange, uint64, error) {
-	changes, revision, err := watchOf(ctx, feed.link, &feed.link.world.peers, revision, wait)
-	return each(changes, func(change change[exchanger.Peer]) exchanger.PeerChange {
+	changes, revision, err := watchOf(ctx, feed.link, &feed.link.cluster.peers, revision, wait)
+	return mapEach(changes, func(change change[exchanger.Peer]) exchanger.PeerChange {
 		return exchanger.PeerChange{Peer: peerIn(change), Removed: change.removed}
 	}), revision, err
 }
@@ -203,26 +203,26 @@
 	return peer
 }
 
-// Announce writes a node's entry.
+// Announce writes the entry of a node.
 func (feed peerFeed) Announce(ctx context.Context, peer exchanger.Peer) error {
-	if err := feed.link.enter(ctx); err != nil {
+	if err := feed.link.call(ctx); err != nil {
 		return err
 	}
-	world := feed.link.world
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
-	write(world, &world.peers, string(peer.VM), false, peer)
+	cluster := feed.link.cluster
+	cluster.mutex.Lock()
+	defer cluster.mutex.Unlock()
+	write(cluster, &cluster.peers, string(peer.VM), false, peer)
 	return nil
 }
 
-// Withdraw removes a node's entry.
+// Withdraw removes the entry of a node.
 func (feed peerFeed) Withdraw(ctx context.Context, vm definer.VM) error {
-	if err := feed.link.enter(ctx); err != nil {
+	if err := feed.link.call(ctx); err != nil {
 		return err
 	}
-	world := feed.link.world
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
-	write(world, &world.peers, string(vm), true, exchanger.Peer{})
+	cluster := feed.link.cluster
+	cluster.mutex.Lock()
+	defer cluster.mutex.Unlock()
+	write(cluster, &cluster.peers, string(vm), true, exchanger.Peer{})
 	return nil
 }
--- a/informer/sharing.go
+++ b/informer/sharing.go
@@ -12,54 +12,56 @@
 	"limpetcleat/router"
 )
 
-// shared is the encoded form of the configuration in force. It is safe for concurrent use.
-type shared struct {
-	// mutex guards the rest; no other lock is taken under it.
+// encodedCache holds the encoded form of the configuration in force. It is safe for
+// concurrent use.
+type encodedCache struct {
+	// mutex guards the fields below; no other lock is taken while it is held.
 	mutex   sync.Mutex
 	version uint64
 	encoded []byte
 }
 
-// of returns the encoded form of the table's definition. The error is of kind Malformed.
-func (shared *shared) of(table *router.Table) ([]byte, error) {
-	shared.mutex.Lock()
-	defer shared.mutex.Unlock()
-	if shared.version == table.Version() {
-		return shared.encoded, nil
+// get returns the table's definition in encoded form. The error is of kind Malformed.
+func (encodedCache *encodedCache) get(table *router.Table) ([]byte, error) {
+	encodedCache.mutex.Lock()
+	defer encodedCache.mutex.Unlock()
+	if encodedCache.version == table.Version() {
+		return encodedCache.encoded, nil
 	}
 	encoded, err := encode(table.Definition())
 	if err == nil {
-		shared.version, shared.encoded = table.Version(), encoded
+		encodedCache.version, encodedCache.encoded = table.Version(), encoded
 	}
 	return encoded, err
 }
 
-// fetch gets the configuration of a version from a peer that has it, unless this node's own
-// watch is about to bring it.
+// fetch requests a version of the configuration from a peer, unless this node has it or
+// its own watch on the store works and will return it.
 func (informer *Informer) fetch(from definer.VM, version uint64) {
 	if version <= informer.version() || informer.duties.configurations.On() && !informer.configurations.Failing() {
 		return
 	}
 	address, listed := informer.exchanger.Address(from)
-	next := informer.courier.want(time.Now(), version)
+	next := informer.fetcher.requestVersion(time.Now(), version)
 	if !listed {
 		next.ask = nil
 	}
-	informer.carryOn(address, next)
+	informer.runStep(address, next)
 }
 
-// carryOn does what the courier wants done.
-func (informer *Informer) carryOn(address string, next step) {
-	if next.look {
+// runStep does what a fetchStep says: it reads the store, sends a request to the peer at
+// the address, or applies the fetched configuration.
+func (informer *Informer) runStep(address string, next fetchStep) {
+	if next.readStore {
 		informer.duties.configurations.Look()
 	}
 	if next.ask != nil {
 		informer.sender.Send(context.Background(), address, next.ask)
 	}
-	if next.whole == nil {
+	if next.encoded == nil {
 		return
 	}
-	definition, err := decode(next.whole, next.version)
+	definition, err := decode(next.encoded, next.version)
 	if err != nil {
 		informer.log(logger.EventTableRejected, "cause", err)
 		informer.duties.configurations.Look()
@@ -68,13 +70,15 @@
 	informer.holder.Apply([]router.Definition{definition}, follower.Reading{})
 }
 
-// share answers a peer that asks for a part of the configuration in force.
-func (informer *Informer) share(ask *messenger.DefinitionAsk) {
+// sendPart sends a part of the configuration in force to the peer that requested it. It
+// sends the first part if the version in force is newer than the requested one, or if
+// the offset is out of range; it sends nothing if the version in force is older.
+func (informer *Informer) sendPart(ask *messenger.DefinitionAsk) {
 	table := informer.Table()
 	if table == nil || table.Version() < ask.Version {
 		return
 	}
-	encoded, err := informer.shared.of(table)
+	encoded, err := informer.encodedCache.get(table)
 	if err != nil {
 		informer.log(logger.EventTableRejected, "cause", err)
 		return
--- a/informer/world_test.go
+++ b/informer/world_test.go
@@ -20,20 +20,21 @@
 )
 
 const (
-	// answerTime is that of the store, wayTime that between two nodes.
-	answerTime = 4 * time.Millisecond
-	wayTime    = time.Millisecond
-	// staleness is how old what the store may answer old is.
+	// storeDelay is the time the store takes to answer, messageDelay the time a message
+	// takes between two nodes.
+	storeDelay   = 4 * time.Millisecond
+	messageDelay = time.Millisecond
+	// staleness is the age of the data in a stale answer of the store.
 	staleness = 2 * time.Second
 	pool      = definer.PoolName("pool")
-	// revocation is the users' bound on how long a revoked key is honoured.
+	// revocation is the users' bound on how long a revoked key may be accepted.
 	revocation = 5 * time.Second
-	// inForceWithin is how long after a change a node in touch may take to go by it, the
-	// users' bound for their small deployments; large ones allow 4 s.
-	inForceWithin = 2 * time.Second
+	// maxPropagation is how long after a change a connected node may take to apply it.
+	// It is the users' bound for their small deployments; large ones allow 4 s.
+	maxPropagation = 2 * time.Second
 )
 
-// change is one change of the store.
+// change is one change of an entry in the store.
 type change[Entry any] struct {
 	name     string
 	revision uint64
@@ -42,10 +43,10 @@
 	entry    Entry
 }
 
-// table is the changes of one kind of entries.
+// table holds the changes of one kind of entries in order.
 type table[Entry any] struct{ changes []change[Entry] }
 
-// at returns the entries as of a time, and the revision of the last change until then.
+// at returns the entries as of a time, and the revision of the last change up to it.
 func (table *table[Entry]) at(now time.Time) (map[string]change[Entry], uint64) {
 	entries := make(map[string]change[Entry])
 	var revision uint64
@@ -63,45 +64,47 @@
 	return entries, revision
 }
 
-// reach is how a node reaches the store.
-type reach int
+// reachability says whether a node reaches the store.
+type reachability int
 
 const (
-	served reach = iota
-	// turnedAway nodes get a refusal at once, cut ones no answer.
-	turnedAway
-	cut
+	served reachability = iota
+	// Calls of rejected nodes fail at once; calls of unreachable nodes get no answer.
+	rejected
+	unreachable
 )
 
-// world is a store and the nodes of a fleet, on the clock of the test's bubble.
-type world struct {
+// cluster simulates a store and a set of nodes, on the fake clock of the synctest
+// bubble.
+type cluster struct {
 	t *testing.T
-	// script draws the troubles of a random run.
-	script *rand.Rand
+	// faultRandom draws the faults of a random run.
+	faultRandom *rand.Rand
 
-	// mutex guards the rest; the locks of the nodes' parts are never taken under it.
+	// mutex guards the fields below; no lock of a node is taken while it is held.
 	mutex sync.Mutex
-	// random decides on the loss of messages.
+	// random decides which messages are lost, and supplies the random numbers of the nodes.
 	random         *rand.Rand
 	revision       uint64
 	configurations table[uint64]
 	upstreams      table[registrar.Upstream]
 	peers          table[exchanger.Peer]
-	// changed is closed and replaced at each change, forgotten is up to where the history
-	// is gone.
-	changed   chan struct{}
-	forgotten uint64
-	// reaches tells how nodes reach the store, severed whether two nodes are cut off from
-	// each other; loss is the part of messages between nodes that is lost.
-	reaches map[definer.VM]reach
-	severed func(from, to definer.VM) bool
-	loss    float64
-	nodes   map[definer.VM]*member
-	order   []exchanger.Peer
-	// crossing counts the entries told between data centres.
-	crossing int
-	// calls counts the calls to the store by reason, those that may be answered old with a
-	// tenth, as they are billed; messages counts those between nodes.
+	// changed is closed and replaced at each change; droppedUpTo is the revision up to
+	// which the history has been dropped.
+	changed     chan struct{}
+	droppedUpTo uint64
+	// reaches says which nodes reach the store (served if absent), partitioned whether
+	// two nodes cannot reach each other; loss is the fraction of the messages between
+	// nodes that is lost.
+	reaches     map[definer.VM]reachability
+	partitioned func(from, to definer.VM) bool
+	loss        float64
+	nodes       map[definer.VM]*member
+	order       []exchanger.Peer
+	// crossingEntries counts the entries sent between data centres.
+	crossingEntries int
+	// calls sums the cost of the calls to the store by reason: one that accepts a stale
+	// answer is billed as a tenth of a call. messages counts the messages between nodes.
 	calls    map[follower.Reason]float64
 	messages int
 }
@@ -110,241 +113,244 @@
 type member struct {
 	informer *Informer
 	end      context.CancelFunc
-	// version is the highest that it had in force.
+	// version is the highest version that it has had in force.
 	version uint64
-	// calmSince is since when nothing has disturbed it.
+	// calmSince is when a fault last affected it, or when it started.
 	calmSince time.Time
 }
 
-// newWorld returns a store with a configuration and upstreams, and the places of so many
-// nodes in each data centre, which are not started.
-func newWorld(t *testing.T, seed uint64, sizes ...int) *world {
-	world := &world{
-		t: t, script: rand.New(rand.NewPCG(seed, 1)), random: rand.New(rand.NewPCG(seed, 2)),
-		changed: make(chan struct{}), severed: func(_, _ definer.VM) bool { return false },
-		reaches: make(map[definer.VM]reach), nodes: make(map[definer.VM]*member), calls: make(map[follower.Reason]float64),
+// newCluster returns a store with a configuration and 20 upstreams, and the nodes of data
+// centres of the given sizes, which are not started.
+func newCluster(t *testing.T, seed uint64, sizes ...int) *cluster {
+	cluster := &cluster{
+		t: t, faultRandom: rand.New(rand.NewPCG(seed, 1)), random: rand.New(rand.NewPCG(seed, 2)),
+		changed: make(chan struct{}), partitioned: func(_, _ definer.VM) bool { return false },
+		reaches: make(map[definer.VM]reachability), nodes: make(map[definer.VM]*member), calls: make(map[follower.Reason]float64),
 	}
 	for place, size := range sizes {
 		for index := range size {
 			vm := definer.VM(fmt.Sprintf("%d-%03d", place, index))
-			world.order = append(world.order, exchanger.Peer{VM: vm, DataCentre: definer.DataCentre(fmt.Sprint(place)), Address: string(vm)})
+			cluster.order = append(cluster.order, exchanger.Peer{VM: vm, DataCentre: definer.DataCentre(fmt.Sprint(place)), Address: string(vm)})
 		}
 	}
-	world.configure()
+	cluster.configure()
 	for number := range 20 {
-		world.list(fmt.Sprintf("u%02d", number), false)
+		cluster.listUpstream(fmt.Sprintf("u%02d", number), false)
 	}
-	return world
+	return cluster
 }
 
-// write appends a change to a kind; mutex is held.
-func write[Entry any](world *world, table *table[Entry], name string, removed bool, entry Entry) {
-	world.revision++
-	table.changes = append(table.changes, change[Entry]{name: name, revision: world.revision, at: time.Now(), removed: removed, entry: entry})
-	close(world.changed)
-	world.changed = make(chan struct{})
+// write appends a change to a table; mutex is held.
+func write[Entry any](cluster *cluster, table *table[Entry], name string, removed bool, entry Entry) {
+	cluster.revision++
+	table.changes = append(table.changes, change[Entry]{name: name, revision: cluster.revision, at: time.Now(), removed: removed, entry: entry})
+	close(cluster.changed)
+	cluster.changed = make(chan struct{})
 }
 
-// configure writes the next version.
-func (world *world) configure() {
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
-	write(world, &world.configurations, "main", false, world.newest()+1)
+// configure writes the next version of the configuration.
+func (cluster *cluster) configure() {
+	cluster.mutex.Lock()
+	defer cluster.mutex.Unlock()
+	write(cluster, &cluster.configurations, "main", false, cluster.newest()+1)
 }
 
 // newest returns the newest version; mutex is held.
-func (world *world) newest() uint64 {
-	if len(world.configurations.changes) == 0 {
+func (cluster *cluster) newest() uint64 {
+	if len(cluster.configurations.changes) == 0 {
 		return 0
 	}
-	return world.configurations.changes[len(world.configurations.changes)-1].entry
+	return cluster.configurations.changes[len(cluster.configurations.changes)-1].entry
 }
 
-// list writes an upstream's entry.
-func (world *world) list(name string, leaving bool) {
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
-	write(world, &world.upstreams, name, false, registrar.Upstream{ID: definer.UpstreamName(name), Service: pool, Address: name, Leaving: leaving})
+// listUpstream writes the entry of an upstream.
+func (cluster *cluster) listUpstream(name string, leaving bool) {
+	cluster.mutex.Lock()
+	defer cluster.mutex.Unlock()
+	write(cluster, &cluster.upstreams, name, false, registrar.Upstream{ID: definer.UpstreamName(name), Service: pool, Address: name, Leaving: leaving})
 }
 
-// remove removes an upstream's entry.
-func (world *world) remove(name string) {
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
-	write(world, &world.upstreams, name, true, registrar.Upstream{})
+// removeUpstream removes the entry of an upstream.
+func (cluster *cluster) removeUpstream(name string) {
+	cluster.mutex.Lock()
+	defer cluster.mutex.Unlock()
+	write(cluster, &cluster.upstreams, name, true, registrar.Upstream{})
 }
 
-// forget drops the history.
-func (world *world) forget() {
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
-	world.forgotten = world.revision
+// dropHistory drops the history, so that watches from older revisions fail.
+func (cluster *cluster) dropHistory() {
+	cluster.mutex.Lock()
+	defer cluster.mutex.Unlock()
+	cluster.droppedUpTo = cluster.revision
 }
 
-// reachAs sets how nodes reach the store.
-func (world *world) reachAs(reach reach, vms ...definer.VM) {
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
+// setReachability sets whether nodes reach the store.
+func (cluster *cluster) setReachability(reachability reachability, vms ...definer.VM) {
+	cluster.mutex.Lock()
+	defer cluster.mutex.Unlock()
 	for _, vm := range vms {
-		world.reaches[vm] = reach
+		cluster.reaches[vm] = reachability
 	}
 }
 
-// sever sets which nodes are cut off from each other.
-func (world *world) sever(severed func(from, to definer.VM) bool) {
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
-	world.severed = severed
+// partition sets which nodes cannot reach each other.
+func (cluster *cluster) partition(severed func(from, to definer.VM) bool) {
+	cluster.mutex.Lock()
+	defer cluster.mutex.Unlock()
+	cluster.partitioned = severed
 }
 
-// lose sets which part of the messages between nodes is lost.
-func (world *world) lose(loss float64) {
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
-	world.loss = loss
+// setLoss sets the fraction of the messages between nodes that is lost.
+func (cluster *cluster) setLoss(loss float64) {
+	cluster.mutex.Lock()
+	defer cluster.mutex.Unlock()
+	cluster.loss = loss
 }
 
-// draw returns a number between 0 and 1.
-func (world *world) draw() float64 {
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
-	return world.random.Float64()
+// randomFloat returns a random number between 0 and 1.
+func (cluster *cluster) randomFloat() float64 {
+	cluster.mutex.Lock()
+	defer cluster.mutex.Unlock()
+	return cluster.random.Float64()
 }
 
-// start starts a node's process.
-func (world *world) start(peer exchanger.Peer, first bool) {
-	ctx, end := context.WithCancel(world.t.Context())
-	link := link{world, definer.Member{VM: peer.VM, Incarnation: definer.Incarnation(time.Now().UnixNano())}}
+// start starts the process of a node.
+func (cluster *cluster) start(peer exchanger.Peer, first bool) {
+	ctx, end := context.WithCancel(cluster.t.Context())
+	link := link{cluster, definer.Member{VM: peer.VM, Incarnation: definer.Incarnation(time.Now().UnixNano())}}
 	informer := New(peer, Feeds{Configurations: configurationFeed{link}, Upstreams: upstreamFeed{link}, Peers: peerFeed{link}},
-		selector.New(peer.DataCentre), link, WithDraw(world.draw), WithDelegation(revocation, first), WithIncarnation(link.self.Incarnation))
-	world.mutex.Lock()
-	world.nodes[peer.VM] = &member{informer: informer, end: end, calmSince: time.Now()}
-	world.mutex.Unlock()
+		selector.New(peer.DataCentre), link, WithRandom(cluster.randomFloat), WithDelegation(revocation, first), WithIncarnation(link.self.Incarnation))
+	cluster.mutex.Lock()
+	cluster.nodes[peer.VM] = &member{informer: informer, end: end, calmSince: time.Now()}
+	cluster.mutex.Unlock()
 	go informer.Run(ctx)
 }
 
-// startAll starts all nodes at nearly the same time.
-func (world *world) startAll(first bool) {
-	for _, peer := range world.order {
-		world.start(peer, first)
+// startAll starts all nodes, 1 ms apart.
+func (cluster *cluster) startAll(first bool) {
+	for _, peer := range cluster.order {
+		cluster.start(peer, first)
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// kill ends a node's process; its entry stays.
-func (world *world) kill(vm definer.VM) {
-	world.mutex.Lock()
-	killed := world.nodes[vm]
-	delete(world.nodes, vm)
-	world.mutex.Unlock()
+// kill ends the process of a node without removing its entry.
+func (cluster *cluster) kill(vm definer.VM) {
+	cluster.mutex.Lock()
+	killed := cluster.nodes[vm]
+	delete(cluster.nodes, vm)
+	cluster.mutex.Unlock()
 	killed.end()
 	<-killed.informer.Done()
 }
 
-// withdraw ends a node's process as a planned stop does.
-func (world *world) withdraw(vm definer.VM) {
-	world.mutex.Lock()
-	node := world.nodes[vm]
-	world.mutex.Unlock()
+// withdraw ends the process of a node as a planned stop does, after removing its entry.
+func (cluster *cluster) withdraw(vm definer.VM) {
+	cluster.mutex.Lock()
+	node := cluster.nodes[vm]
+	cluster.mutex.Unlock()
 	node.informer.Withdraw()
-	world.kill(vm)
+	cluster.kill(vm)
 }
 
 // stop ends all processes.
-func (world *world) stop() {
-	for vm := range maps.Clone(world.nodes) {
-		world.kill(vm)
+func (cluster *cluster) stop() {
+	for vm := range maps.Clone(cluster.nodes) {
+		cluster.kill(vm)
 	}
 }
 
-// disturb notes that nodes are not calm from now on until settled later.
-func (world *world) disturb(vms ...definer.VM) {
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
+// markDisturbed records that a fault affects the nodes now; checkUpToDate skips them for
+// a time.
+func (cluster *cluster) markDisturbed(vms ...definer.VM) {
+	cluster.mutex.Lock()
+	defer cluster.mutex.Unlock()
 	for _, vm := range vms {
-		if node, runs := world.nodes[vm]; runs {
+		if node, runs := cluster.nodes[vm]; runs {
 			node.calmSince = time.Now()
 		}
 	}
 }
 
-// step lets time pass and checks all nodes every 50 ms.
-func (world *world) step(passes time.Duration) {
+// run lets simulated time pass and checks the invariants every 50 ms.
+func (cluster *cluster) run(passes time.Duration) {
 	const every = 50 * time.Millisecond
 	for range passes / every {
 		time.Sleep(every)
-		world.check()
+		cluster.checkInvariants()
 	}
 }
 
-// check holds what is promised of every node at every moment: its version never goes back,
-// and is never taken for the newest later than it was.
-func (world *world) check() {
-	world.mutex.Lock()
-	nodes := maps.Clone(world.nodes)
-	written := slices.Clone(world.configurations.changes)
-	world.mutex.Unlock()
+// checkInvariants checks what holds for every node at every moment: its version never
+// decreases, and is never confirmed as the newest for a time after it was replaced.
+func (cluster *cluster) checkInvariants() {
+	cluster.mutex.Lock()
+	nodes := maps.Clone(cluster.nodes)
+	written := slices.Clone(cluster.configurations.changes)
+	cluster.mutex.Unlock()
 	for vm, node := range nodes {
-		// The time is read first: a version that comes into force in between is newer.
+		// The time is read before the version: a version applied in between is newer.
 		confirmed, version := node.informer.Confirmed(), node.informer.version()
-		assert.Assert(world.t, version >= node.version, "%s goes back from version %d to %d", vm, node.version, version)
+		assert.Assert(cluster.t, version >= node.version, "%s returned from version %d to %d", vm, node.version, version)
 		node.version = version
 		if next := int(version); version > 0 && next < len(written) {
 			replaced := written[next].at
-			assert.Assert(world.t, !confirmed.After(replaced), "%s takes version %d for the newest %v after it was replaced", vm, version, confirmed.Sub(replaced))
+			assert.Assert(cluster.t, !confirmed.After(replaced), "%s confirmed version %d as the newest %v after it was replaced", vm, version, confirmed.Sub(replaced))
 		}
 	}
 }
 
-// checkUpToDate holds that nodes which nothing has disturbed for a time go by all that was
-// written a time ago, and are sure of it.
-func (world *world) checkUpToDate(within time.Duration) {
-	world.t.Helper()
+// checkUpToDate checks that nodes which no fault has affected for the given time apply
+// all changes older than that time, and that the confirmation of their configuration is
+// recent.
+func (cluster *cluster) checkUpToDate(within time.Duration) {
+	cluster.t.Helper()
 	now := time.Now()
-	world.mutex.Lock()
-	nodes := maps.Clone(world.nodes)
-	configurations, _ := world.configurations.at(now.Add(-within))
-	upstreams, _ := world.upstreams.at(now.Add(-within))
-	current, _ := world.upstreams.at(now)
-	world.mutex.Unlock()
+	cluster.mutex.Lock()
+	nodes := maps.Clone(cluster.nodes)
+	configurations, _ := cluster.configurations.at(now.Add(-within))
+	upstreams, _ := cluster.upstreams.at(now.Add(-within))
+	current, _ := cluster.upstreams.at(now)
+	cluster.mutex.Unlock()
 	for vm, node := range nodes {
 		if now.Sub(node.calmSince) < within {
 			continue
 		}
-		assert.Assert(world.t, node.informer.version() >= configurations["main"].entry, "%s has version %d, not %d", vm, node.informer.version(), configurations["main"].entry)
+		assert.Assert(cluster.t, node.informer.version() >= configurations["main"].entry, "%s has version %d, not %d", vm, node.informer.version(), configurations["main"].entry)
 		age := now.Sub(node.informer.Confirmed())
-		assert.Assert(world.t, age < 4700*time.Millisecond, "%s is sure up to %v ago", vm, age)
+		assert.Assert(cluster.t, age < 4700*time.Millisecond, "%s was last confirmed %v ago", vm, age)
 		listed := make(map[string]bool)
 		for _, upstream := range node.informer.Upstreams().Of(pool) {
 			listed[string(upstream.ID)] = true
 		}
 		for name, change := range upstreams {
 			if current[name].revision == change.revision {
-				assert.Assert(world.t, listed[name] != change.entry.Leaving, "%s and upstream %s: listed %t, leaving %t", vm, name, listed[name], change.entry.Leaving)
+				assert.Assert(cluster.t, listed[name] != change.entry.Leaving, "%s and upstream %s: listed %t, leaving %t", vm, name, listed[name], change.entry.Leaving)
 			}
 		}
 		for name := range listed {
 			_, was := upstreams[name]
 			_, is := current[name]
-			assert.Assert(world.t, was || is, "%s lists %s, which is gone", vm, name)
+			assert.Assert(cluster.t, was || is, "%s lists upstream %s, which was removed", vm, name)
 		}
 	}
 }
 
-// checkMet holds that every node lists every other that runs.
-func (world *world) checkMet() {
-	world.t.Helper()
-	for vm, node := range world.nodes {
-		assert.Assert(world.t, node.informer.CountPeers() >= len(world.nodes)-1, "%s lists %d of %d others", vm, node.informer.CountPeers(), len(world.nodes)-1)
+// checkPeersListed checks that every node lists all other running nodes.
+func (cluster *cluster) checkPeersListed() {
+	cluster.t.Helper()
+	for vm, node := range cluster.nodes {
+		assert.Assert(cluster.t, node.informer.CountPeers() >= len(cluster.nodes)-1, "%s lists %d of %d others", vm, node.informer.CountPeers(), len(cluster.nodes)-1)
 	}
 }
 
-// billed returns what the calls since the last time cost, in calls.
-func (world *world) billed() (total float64, byReason map[follower.Reason]float64) {
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
-	byReason = world.calls
-	world.calls = make(map[follower.Reason]float64)
+// takeCosts returns the cost of the calls since the last takeCosts, in billed calls, and
+// resets it.
+func (cluster *cluster) takeCosts() (total float64, byReason map[follower.Reason]float64) {
+	cluster.mutex.Lock()
+	defer cluster.mutex.Unlock()
+	byReason = cluster.calls
+	cluster.calls = make(map[follower.Reason]float64)
 	for _, count := range byReason {
 		total += count
 	}
