--- a/detector/budget_test.go
+++ b/detector/budget_test.go
@@ -11,34 +11,33 @@
 	"limpetcleat/messenger"
 )
 
-// counter counts what a stream of a connection carries.
-type counter struct{ bytes int }
+// byteCounter counts the bytes that are written to one connection.
+type byteCounter struct{ bytes int }
 
-func (counter *counter) Write(data []byte) (int, error) {
+func (counter *byteCounter) Write(data []byte) (int, error) {
 	counter.bytes += len(data)
 	return len(data), nil
 }
 
-// traffic is what one member sent and got.
+// traffic is what one member sent and received.
 type traffic struct{ messages, bytes int }
 
-// overhead is what a message costs beside its frame: the call's and the
-// answer's header of net/rpc and two TCP/IP segments with their
-// acknowledgements.
+// overhead is the number of bytes of a message beyond its frame: the net/rpc
+// headers of call and answer and two TCP/IP segments with their acknowledgements.
 const overhead = 180
 
-// wire counts messages as the codec writes them on connections that stay open.
+// wire counts messages as the codec encodes them on connections that stay open.
 type wire struct {
-	counters map[[2]definer.VM]*counter
+	counters map[[2]definer.VM]*byteCounter
 	encoders map[[2]definer.VM]*gob.Encoder
 	members  map[definer.VM]*traffic
 }
 
 func newWire() *wire {
-	return &wire{counters: make(map[[2]definer.VM]*counter), encoders: make(map[[2]definer.VM]*gob.Encoder), members: make(map[definer.VM]*traffic)}
+	return &wire{counters: make(map[[2]definer.VM]*byteCounter), encoders: make(map[[2]definer.VM]*gob.Encoder), members: make(map[definer.VM]*traffic)}
 }
 
-// total returns the sum over all members and the most of any of them.
+// total returns the sum over all members and the largest value of any of them.
 func (wire *wire) total() (sum, most traffic) {
 	for _, one := range wire.members {
 		sum.messages += one.messages
@@ -52,7 +51,7 @@
 func (wire *wire) count(t *testing.T, from, to *node, message messenger.Message) {
 	key := [2]definer.VM{from.member.VM, to.member.VM}
 	if wire.encoders[key] == nil {
-		wire.counters[key] = &counter{}
+		wire.counters[key] = &byteCounter{}
 		wire.encoders[key] = gob.NewEncoder(wire.counters[key])
 	}
 	before := wire.counters[key].bytes
@@ -67,16 +66,16 @@
 	}
 }
 
-// TestControlStaysWithinItsBudget counts the bytes that a member sends and
-// gets at the size of the capacity page, first in peace and then with a restart
-// every 10 s, twenty times the rate of an ordinary day.
+// TestControlStaysWithinItsBudget counts the bytes that a member sends and receives
+// at the size of the capacity page, first without changes and then with a restart
+// every 10 s, which is twenty times the rate of an ordinary day.
 func TestControlStaysWithinItsBudget(t *testing.T) {
 	const budget, row = 4096, 10
 	network := newNetwork(5, 78)
-	network.introduce()
+	network.shareMembers()
 	wire := newWire()
 	network.sent = func(from, to *node, message messenger.Message) { wire.count(t, from, to, message) }
-	// The first seconds open the connections and drain the gossip of the start.
+	// The first seconds open connections and carry the gossip of the start.
 	network.run(3 * row * time.Second)
 	for round := range 2 {
 		var restarted definer.VM
@@ -87,7 +86,7 @@
 		clear(wire.members)
 		network.run(row * time.Second)
 		if started := wire.members[restarted]; started != nil {
-			t.Logf("the one that restarted: %d messages and %d bytes in all", started.messages, started.bytes)
+			t.Logf("restarted member: %d messages and %d bytes in all", started.messages, started.bytes)
 			delete(wire.members, restarted)
 		}
 		sum, most := wire.total()
@@ -96,11 +95,12 @@
 		assert.Assert(t, sum.bytes/len(wire.members)/row < budget/2, "the mean member leaves no margin")
 		assert.Assert(t, most.bytes/row < budget*3/2, "some member is far above the budget")
 	}
-	assert.Assert(t, network.agree())
+	assert.Assert(t, network.converged())
 }
 
-// introduce lets every member know all others, as long after a start.
-func (network *network) introduce() {
+// shareMembers gives every member a full table of the members, as if all had been
+// running for long.
+func (network *network) shareMembers() {
 	network.queue = nil
 	var table []messenger.MemberChange
 	for _, node := range network.sorted() {
--- a/detector/capacity_test.go
+++ b/detector/capacity_test.go
@@ -16,7 +16,7 @@
 		b.Run(fmt.Sprint("members ", 5*each), func(b *testing.B) {
 			before := measurer.HeapInUse()
 			network := newNetwork(5, each)
-			network.introduce()
+			network.shareMembers()
 			network.run(20 * time.Second)
 			members := float64(len(network.nodes))
 			table := (measurer.HeapInUse() - before) / members
--- a/detector/detector.go
+++ b/detector/detector.go
@@ -10,93 +10,103 @@
 	"limpetcleat/messenger"
 )
 
-// Proposal is one member that the platform's list names.
+// Proposal is a possible member, taken from the platform's list.
 type Proposal struct {
 	VM         definer.VM
 	DataCentre definer.DataCentre
 	Address    string
 }
 
-// Outgoing is one message to send.
+// Outgoing is a message to send and its recipient.
 type Outgoing struct {
 	To      definer.VM
 	Address string
 	Message messenger.Message
 }
 
-// Output is what one step of a Detector asks for and tells.
+// Output holds the messages and the changes that result from one call of a
+// Detector's method.
 type Output struct {
 	Messages []Outgoing
-	// Came lists members that are now alive, Gone those that no longer are.
+	// Came lists the members that became alive or restarted, Gone those that
+	// left, failed or ended with a restart, as last known.
 	Came, Gone []messenger.MemberChange
-	// Changed says that Members would now return something else.
+	// Changed reports whether the result of Members changed.
 	Changed bool
-	// Paused says that this process was not running for a while, so that
-	// others may have taken it for dead.
+	// Paused reports whether this process was suspended long enough that
+	// others may have declared it failed.
 	Paused bool
 }
 
-// peer is what is believed of one other member.
+// peer is the known state of one other member.
 type peer struct {
 	change messenger.MemberChange
-	// since is when the present state was learned.
-	since time.Time
-	// heard is the last word from it, or when this node began to watch it.
-	heard time.Time
-	// probed is when it was asked for a word; zero when it was not.
-	probed time.Time
+	// stateSince is when the present state was learned.
+	stateSince time.Time
+	// lastHeard is when the last message from the member was received, or when
+	// this node began to watch it.
+	lastHeard time.Time
+	// probedAt is when the unanswered probe was sent; zero if there is none.
+	probedAt time.Time
 }
 
-// Detector keeps one node's view of the members. It is not safe for concurrent
+// Detector keeps one node's view of the membership. It is not safe for concurrent
 // use.
 type Detector struct {
 	settings settings
 	// self is this node's own entry; its state is Alive or Left.
 	self messenger.MemberChange
-	// peers never holds the node's own VM.
+	// peers holds all other known members, live or not.
 	peers map[definer.VM]*peer
-	// proposals is the platform's list without the node's own VM.
+	// proposals is the platform's last list without the node's own VM.
 	proposals map[definer.VM]Proposal
-	rumours   map[definer.VM]*rumour
-	// relays holds the probes made for others by their sequence.
+	// rumours holds the changes that are still gossiped.
+	rumours map[definer.VM]*rumour
+	// relays holds the probes made for other members, by the sequence number of
+	// the probing heartbeat.
 	relays map[uint64]relay
-	// probes numbers the heartbeats that want an answer.
-	probes uint64
-	// ring is empty when it has to be worked out anew.
+	// lastSequence is the sequence number of the last heartbeat that asks for an
+	// answer.
+	lastSequence uint64
+	// ring is empty when it has to be computed again.
 	ring ring
-	// lastTick is zero before Start.
-	lastTick, lastBeat time.Time
-	// beats counts the periods.
-	beats uint64
-	// cursor walks over the beliefs that reconciling heartbeats carry.
+	// lastTick and lastPeriod are when Tick last ran and when it last began a
+	// period; zero before Start.
+	lastTick, lastPeriod time.Time
+	// periods counts the periods since the start.
+	periods uint64
+	// cursor is the index, in the order of names, of the member that a
+	// reconciling heartbeat carried last.
 	cursor int
-	// pushes is how many heartbeats may be sent out of turn.
-	pushes int
-	// urgent says that a change waits to be pushed.
+	// immediateRounds is how many rounds of heartbeats may be sent before the next
+	// period.
+	immediateRounds int
+	// urgent reports whether a change waits for an immediate round.
 	urgent bool
-	// met says that some other member was ever heard of.
-	met    bool
-	output Output
+	// foundPeers reports whether another member was ever known.
+	foundPeers bool
+	output     Output
 }
 
-// relay is a probe made for another member.
+// relay is a probe of target that asker requested in the heartbeat with the given
+// sequence number.
 type relay struct {
 	asker    definer.VM
 	sequence uint64
 	target   definer.VM
-	at       time.Time
+	sentAt   time.Time
 }
 
-// New returns a detector that knows only its own node.
+// New returns a Detector that knows only its own node, which is alive.
 func New(self definer.Member, dataCentre definer.DataCentre, address string, options ...Option) *Detector {
 	detector := &Detector{
-		settings:  settings{period: defaultPeriod, watchers: defaultWatchers, forgetAfter: defaultForgetAfter},
-		self:      messenger.MemberChange{Member: self, DataCentre: dataCentre, Address: address, State: messenger.Alive},
-		peers:     make(map[definer.VM]*peer),
-		proposals: make(map[definer.VM]Proposal),
-		rumours:   make(map[definer.VM]*rumour),
-		relays:    make(map[uint64]relay),
-		pushes:    maxPushes,
+		settings:        settings{period: defaultPeriod, watchers: defaultWatchers, forgetAfter: defaultForgetAfter},
+		self:            messenger.MemberChange{Member: self, DataCentre: dataCentre, Address: address, State: messenger.Alive},
+		peers:           make(map[definer.VM]*peer),
+		proposals:       make(map[definer.VM]Proposal),
+		rumours:         make(map[definer.VM]*rumour),
+		relays:          make(map[uint64]relay),
+		immediateRounds: maxImmediateRounds,
 	}
 	for _, option := range options {
 		option(&detector.settings)
@@ -104,93 +114,97 @@
 	return detector
 }
 
-// Interval returns the time between two calls of Tick.
+// Interval returns the time that should pass between two calls of Tick.
 func (detector *Detector) Interval() time.Duration { return detector.period() / ticksPerPeriod }
 
-// Met tells whether the node ever heard of another member.
-func (detector *Detector) Met() bool { return detector.met }
+// Met reports whether the node ever knew another member.
+func (detector *Detector) Met() bool { return detector.foundPeers }
 
-// Start begins the watch.
+// Start begins the detection and announces this node. Call it before Tick.
 func (detector *Detector) Start(now time.Time) Output {
-	detector.lastTick, detector.lastBeat = now, now
-	detector.announce()
+	detector.lastTick, detector.lastPeriod = now, now
+	detector.announceSelf()
 	return detector.flush()
 }
 
-// Propose takes in the platform's list and greets whom it does not know.
+// Propose replaces the list of proposed members and contacts some of those that
+// are unknown or failed.
 func (detector *Detector) Propose(now time.Time, proposals []Proposal) Output {
-	detector.check(now)
+	detector.detectPause(now)
 	clear(detector.proposals)
 	for _, proposal := range proposals {
 		if proposal.VM != detector.self.Member.VM {
 			detector.proposals[proposal.VM] = proposal
 		}
 	}
-	detector.greet()
+	detector.contactUnreachable()
 	return detector.flush()
 }
 
-// Check notices that this process was paused. It is cheap and belongs before
-// any step that relies on the view.
+// Check detects whether this process was suspended. It is cheap; call it before
+// any step that relies on the membership.
 func (detector *Detector) Check(now time.Time) Output {
-	detector.check(now)
+	detector.detectPause(now)
 	return detector.flush()
 }
 
-// Tick does what is due; it is to be called every Interval.
+// Tick probes, suspects and fails silent members and sends the heartbeats that are
+// due. Call it every Interval.
 func (detector *Detector) Tick(now time.Time) Output {
-	detector.check(now)
+	detector.detectPause(now)
 	detector.lastTick = now
 	if detector.self.State == messenger.Left {
 		return detector.flush()
 	}
-	detector.watch(now)
-	if now.Sub(detector.lastBeat) >= detector.period()-detector.Interval()/2 {
-		detector.lastBeat = now
-		detector.beat(now)
+	detector.checkWatched(now)
+	if now.Sub(detector.lastPeriod) >= detector.period()-detector.Interval()/2 {
+		detector.lastPeriod = now
+		detector.runPeriod(now)
 	}
 	return detector.flush()
 }
 
-// Receive takes in a heartbeat or its answer; any other message is only a word
-// from its sender.
+// Receive processes a heartbeat or its answer. Any other message only shows that
+// its sender is alive.
 func (detector *Detector) Receive(now time.Time, from definer.Member, message messenger.Message) Output {
-	detector.check(now)
+	detector.detectPause(now)
 	switch message := message.(type) {
 	case *messenger.Heartbeat:
-		detector.take(now, message.Changes)
-		detector.hear(now, from)
+		detector.receiveChanges(now, message.Changes)
+		detector.recordContact(now, from)
 		detector.respond(now, from, message)
 	case *messenger.HeartbeatAnswer:
-		detector.take(now, message.Changes)
-		detector.answered(now, from, message)
+		detector.receiveChanges(now, message.Changes)
+		detector.handleAnswer(now, from, message)
 	default:
-		detector.hear(now, from)
+		detector.recordContact(now, from)
 	}
 	return detector.flush()
 }
 
-// Draining tells the others whether this node owns shards and takes requests.
+// Draining sets whether this node drains, that is, neither owns shards nor takes
+// requests, and announces a change to the other members.
 func (detector *Detector) Draining(_ time.Time, draining bool) Output {
 	if detector.self.Draining != draining {
 		detector.self.Draining = draining
 		detector.output.Changed = true
-		detector.announce()
+		detector.announceSelf()
 	}
 	return detector.flush()
 }
 
-// Leave tells the others that this node stops.
+// Leave announces to the other members that this node stops. Tick then begins no
+// more periods.
 func (detector *Detector) Leave(_ time.Time) Output {
 	detector.self.State = messenger.Left
 	detector.output.Changed = true
-	detector.announce()
-	detector.pushes = max(detector.pushes, 1)
+	detector.announceSelf()
+	detector.immediateRounds = max(detector.immediateRounds, 1)
 	return detector.flush()
 }
 
-// Members returns this node's own entry and those of all members that are
-// alive or only suspected, by name.
+// Members returns this node's own entry and those of all members that are alive or
+// suspected, sorted by VM.
 func (detector *Detector) Members() []messenger.MemberChange {
 	members := []messenger.MemberChange{detector.self}
 	for _, peer := range detector.peers {
@@ -202,51 +216,55 @@
 	return members
 }
 
-// period returns the time between heartbeats at the system's present size.
+// period returns the time between two heartbeats at the present number of members.
 func (detector *Detector) period() time.Duration {
-	stretch := min(max(float64(len(detector.peers)+1)/stretchFrom, 1), maxStretch)
+	stretch := min(max(float64(len(detector.peers)+1)/stretchThreshold, 1), maxStretch)
 	return time.Duration(float64(detector.settings.period) * stretch)
 }
 
-func (detector *Detector) part(count time.Duration) time.Duration {
-	return detector.period() / eighths * count
+// timeout returns a number of eighths of the present period.
+func (detector *Detector) timeout(eighths time.Duration) time.Duration {
+	return detector.period() / eighthsPerPeriod * eighths
 }
 
-// check finds out whether this process was paused. If so it accuses nobody for
-// a while and announces itself anew, since others may have given it up.
-func (detector *Detector) check(now time.Time) {
+// detectPause detects whether this process was suspended. If so, it restarts all
+// timeouts, so that no member is suspected or failed for the time of the pause, and
+// announces this node again, since others may have declared it failed.
+func (detector *Detector) detectPause(now time.Time) {
 	if detector.lastTick.IsZero() || now.Sub(detector.lastTick) <= detector.Interval()+detector.period() {
 		return
 	}
-	detector.lastTick, detector.lastBeat = now, now
-	if !detector.met || detector.self.State == messenger.Left {
+	detector.lastTick, detector.lastPeriod = now, now
+	if !detector.foundPeers || detector.self.State == messenger.Left {
 		return
 	}
 	for _, peer := range detector.peers {
-		peer.heard, peer.probed = now, time.Time{}
+		peer.lastHeard, peer.probedAt = now, time.Time{}
 		if peer.change.State == messenger.Suspect {
-			peer.since = now
+			peer.stateSince = now
 		}
 	}
 	detector.output.Paused = true
 	detector.output.Changed = true
-	detector.pushes = maxPushes
-	detector.announce()
+	detector.immediateRounds = maxImmediateRounds
+	detector.announceSelf()
 	for index, vm := range detector.targets() {
-		detector.hello(vm, index == 0)
+		detector.contact(vm, index == 0)
 	}
 }
 
-// announce spreads this node's own entry with a higher sequence.
-func (detector *Detector) announce() {
+// announceSelf gossips this node's own entry with a higher sequence number.
+func (detector *Detector) announceSelf() {
 	detector.self.Sequence++
-	detector.spread(detector.self)
+	detector.disseminate(detector.self)
 }
 
+// live reports whether a member in the state still counts as a member.
 func live(state messenger.MemberState) bool {
 	return state == messenger.Alive || state == messenger.Suspect
 }
 
-func sorted[Key cmp.Ordered, Value any](table map[Key]Value) []Key {
+// sortedKeys returns the keys of a map in ascending order.
+func sortedKeys[Key cmp.Ordered, Value any](table map[Key]Value) []Key {
 	return slices.Sorted(maps.Keys(table))
 }
--- a/detector/detector_test.go
+++ b/detector/detector_test.go
@@ -16,7 +16,7 @@
 	for _, size := range [][2]int{{1, 1}, {1, 2}, {3, 3}, {4, 2}, {5, 12}} {
 		t.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(t *testing.T) {
 			network := newNetwork(size[0], size[1])
-			t.Logf("all found after %v", network.until(t, 5*time.Second, network.agree))
+			t.Logf("all found after %v", network.runUntil(t, 5*time.Second, network.converged))
 		})
 	}
 }
@@ -30,10 +30,10 @@
 				for round := range rounds {
 					network := newNetwork(size[0], size[1])
 					network.loss = loss
-					found = max(found, network.until(t, 30*time.Second, network.agree))
+					found = max(found, network.runUntil(t, 30*time.Second, network.converged))
 					network.run(time.Second + time.Duration(round)*70*time.Millisecond)
 					delete(network.nodes, "dc0-vm1")
-					longest = max(longest, network.until(t, 3*time.Second, network.agree))
+					longest = max(longest, network.runUntil(t, 3*time.Second, network.converged))
 				}
 				t.Logf("all found after at most %v, a failure known to all after at most %v", found, longest)
 				assert.Assert(t, longest <= 2500*time.Millisecond)
@@ -61,15 +61,15 @@
 			frozen.frozen = true
 			network.run(freeze)
 			network.resume(frozen)
-			t.Logf("alive to all after %v", network.until(t, 2*time.Second, network.agree))
+			t.Logf("alive to all after %v", network.runUntil(t, 2*time.Second, network.converged))
 			network.run(5 * time.Second)
-			assert.Assert(t, frozen.pauses >= 1)
+			assert.Assert(t, frozen.pausesNoticed >= 1)
 			for _, node := range network.sorted() {
 				for _, gone := range node.gone {
-					assert.Equal(t, gone.Member, frozen.member, "%s gave up a member that ran", node.member.VM)
+					assert.Equal(t, gone.Member, frozen.member, "%s declared a running member failed", node.member.VM)
 				}
 			}
-			assert.Assert(t, network.agree())
+			assert.Assert(t, network.converged())
 		})
 	}
 }
@@ -85,7 +85,7 @@
 		}
 	}
 	network.cut = nil
-	t.Logf("healed after %v", network.until(t, 6*time.Second, network.agree))
+	t.Logf("healed after %v", network.runUntil(t, 6*time.Second, network.converged))
 }
 
 func TestRestartIsAnotherMember(t *testing.T) {
@@ -93,11 +93,11 @@
 	network.run(3 * time.Second)
 	old := network.nodes["dc0-vm1"]
 	network.start(network.listed[1], 2)
-	network.until(t, time.Second, network.agree)
+	network.runUntil(t, time.Second, network.converged)
 	watcher := network.nodes["dc0-vm0"]
 	assert.Equal(t, watcher.gone[0].Member, old.member)
-	// A late message of the earlier run changes nothing.
-	network.carry(watcher, watcher.detector.Receive(network.now, old.member, &messenger.Heartbeat{Changes: []messenger.MemberChange{
+	// A late message of the earlier incarnation changes nothing.
+	network.process(watcher, watcher.detector.Receive(network.now, old.member, &messenger.Heartbeat{Changes: []messenger.MemberChange{
 		{Member: old.member, DataCentre: old.dataCentre, Address: "dc0-vm1", State: messenger.Alive, Sequence: 99},
 	}}))
 	assert.Assert(t, !watcher.sees(old.member))
@@ -107,21 +107,21 @@
 	network := newNetwork(2, 2)
 	ghost := detector.Proposal{VM: "ghost", DataCentre: "dc0", Address: "ghost"}
 	network.listed = append(network.listed, ghost)
-	network.relist()
+	network.proposeListed()
 	network.run(5 * time.Second)
-	assert.Assert(t, network.agree(), "a listed VM that never answered is no member")
+	assert.Assert(t, network.converged(), "a listed VM that never answered is no member")
 	network.listed = network.listed[:1]
-	network.relist()
+	network.proposeListed()
 	network.run(20 * time.Second)
-	assert.Assert(t, network.agree(), "members that answer stay without the list")
+	assert.Assert(t, network.converged(), "members that answer stay without the list")
 	delete(network.nodes, "dc1-vm1")
 	network.run(20 * time.Second)
-	assert.Assert(t, network.agree())
+	assert.Assert(t, network.converged())
 }
 
-func (network *network) relist() {
+func (network *network) proposeListed() {
 	for _, node := range network.sorted() {
-		network.carry(node, node.detector.Propose(network.now, network.listed))
+		network.process(node, node.detector.Propose(network.now, network.listed))
 	}
 }
 
@@ -129,8 +129,8 @@
 	network := newNetwork(4, 2)
 	network.run(3 * time.Second)
 	leaver := network.nodes["dc0-vm1"]
-	network.carry(leaver, leaver.detector.Draining(network.now, true))
-	took := network.until(t, time.Second, func() bool {
+	network.process(leaver, leaver.detector.Draining(network.now, true))
+	took := network.runUntil(t, time.Second, func() bool {
 		for _, node := range network.nodes {
 			for _, member := range node.detector.Members() {
 				if member.Member == leaver.member && !member.Draining {
@@ -141,10 +141,10 @@
 		return true
 	})
 	t.Logf("draining known to all after %v", took)
-	network.carry(leaver, leaver.detector.Leave(network.now))
+	network.process(leaver, leaver.detector.Leave(network.now))
 	network.run(100 * time.Millisecond)
 	delete(network.nodes, "dc0-vm1")
-	t.Logf("leaving known to all after %v more", network.until(t, time.Second, network.agree))
+	t.Logf("leaving known to all after %v more", network.runUntil(t, time.Second, network.converged))
 }
 
 func TestMembersAreReplacedOneByOne(t *testing.T) {
@@ -157,8 +157,8 @@
 		network.start(network.listed[index], definer.Incarnation(10+index))
 		network.run(time.Second)
 		if index%3 == 0 {
-			network.relist()
+			network.proposeListed()
 		}
 	}
-	network.until(t, 4*time.Second, network.agree)
+	network.runUntil(t, 4*time.Second, network.converged)
 }
--- a/detector/doc.go
+++ b/detector/doc.go
@@ -1,9 +1,12 @@
-// Package detector decides which members of the system live. The platform's
-// list proposes members; heartbeats decide. Each member is watched by a few
-// others on a ring, as in SWIM with the refinements of Lifeguard: a silent
-// member is asked directly and through others, then suspected, and fails unless
-// it refutes in time. Changes spread piggybacked on heartbeats.
+// Package detector maintains the cluster membership and detects failed nodes with
+// the SWIM protocol and the refinements of Lifeguard. The platform's list only
+// proposes members; heartbeats decide which of them are alive.
 //
-// The package is free of input, output, clocks and goroutines: messages and
-// times go in, messages and changes come out.
+// The members form a hash ring, on which a few others watch each member. A silent
+// member is probed directly and through other members, then suspected, and
+// declared failed unless it refutes the suspicion in time. Membership updates are
+// piggybacked on heartbeats.
+//
+// The package does no input or output, reads no clock and starts no goroutine:
+// callers pass in messages and times, and get back messages to send and changes.
 package detector
--- a/detector/gossip.go
+++ b/detector/gossip.go
@@ -11,22 +11,23 @@
 	"limpetcleat/messenger"
 )
 
-// rumour is a change that is still passed on.
+// rumour is a change that is still gossiped.
 type rumour struct {
 	change messenger.MemberChange
-	// sent counts the heartbeats that carried it.
+	// sent counts the heartbeats that carried the change.
 	sent int
 }
 
-// spread makes a change part of the gossip.
-func (detector *Detector) spread(change messenger.MemberChange) {
+// disseminate gossips a change and marks it as urgent.
+func (detector *Detector) disseminate(change messenger.MemberChange) {
 	detector.rumours[change.Member.VM] = &rumour{change: change}
 	detector.urgent = true
 }
 
-// pick returns the changes for one heartbeat to a member: first what is held
-// against it, so that it can refute, then the least sent.
-func (detector *Detector) pick(to definer.VM) []messenger.MemberChange {
+// selectChanges returns the changes for one heartbeat to a member: first its own
+// state unless that is alive, so that it can refute it, then the changes that were
+// sent least often.
+func (detector *Detector) selectChanges(to definer.VM) []messenger.MemberChange {
 	var changes []messenger.MemberChange
 	if peer, ok := detector.peers[to]; ok && peer.change.State != messenger.Alive {
 		changes = append(changes, peer.change)
@@ -36,7 +37,7 @@
 		return cmp.Or(cmp.Compare(detector.rumours[a].sent, detector.rumours[b].sent), cmp.Compare(a, b))
 	})
 	bound := retransmits * bits.Len(uint(len(detector.peers)+1))
-	for _, vm := range vms[:min(len(vms), maxChanges)] {
+	for _, vm := range vms[:min(len(vms), maxPiggybacked)] {
 		rumour := detector.rumours[vm]
 		rumour.sent++
 		if rumour.sent >= bound {
@@ -49,43 +50,47 @@
 	return changes
 }
 
-// slice returns the next few beliefs in turn, and this node's own entry.
-func (detector *Detector) slice() []messenger.MemberChange {
-	vms := sorted(detector.peers)
+// nextReconciled returns this node's own entry and the next maxReconciled known
+// members in turn.
+func (detector *Detector) nextReconciled() []messenger.MemberChange {
+	vms := sortedKeys(detector.peers)
 	changes := []messenger.MemberChange{detector.self}
-	for range min(len(vms), syncChanges) {
+	for range min(len(vms), maxReconciled) {
 		detector.cursor = (detector.cursor + 1) % len(vms)
 		changes = append(changes, detector.peers[vms[detector.cursor]].change)
 	}
 	return changes
 }
 
-// table returns everything that is believed.
-func (detector *Detector) table() []messenger.MemberChange {
+// snapshot returns this node's own entry and all known members, up to maxSnapshot
+// in all.
+func (detector *Detector) snapshot() []messenger.MemberChange {
 	changes := []messenger.MemberChange{detector.self}
-	for _, vm := range sorted(detector.peers) {
-		if len(changes) < maxTable {
+	for _, vm := range sortedKeys(detector.peers) {
+		if len(changes) < maxSnapshot {
 			changes = append(changes, detector.peers[vm].change)
 		}
 	}
 	return changes
 }
 
-// take takes in gossip. What came in bulk is known elsewhere and not passed on.
-func (detector *Detector) take(now time.Time, changes []messenger.MemberChange) {
-	bulk := len(changes) > syncChanges+maxChanges
+// receiveChanges applies received changes and gossips those that are new. Changes
+// from a bulk answer are not gossiped, since other members know them already.
+func (detector *Detector) receiveChanges(now time.Time, changes []messenger.MemberChange) {
+	bulk := len(changes) > maxReconciled+maxPiggybacked
 	for _, change := range changes {
 		if change.Member.VM == detector.self.Member.VM {
 			detector.refute(change)
 			continue
 		}
 		if detector.apply(now, change) && !bulk {
-			detector.spread(change)
+			detector.disseminate(change)
 		}
 	}
 }
 
-// refute answers a false belief about this run of the process.
+// refute announces this node again, with a higher sequence number, if a change
+// holds a wrong state for this incarnation.
 func (detector *Detector) refute(change messenger.MemberChange) {
 	mine := &detector.self
 	if change.Member != mine.Member || change.Sequence < mine.Sequence || change.State == mine.State || mine.State == messenger.Left {
@@ -93,10 +98,10 @@
 	}
 	mine.Sequence = change.Sequence
 	detector.output.Changed = true
-	detector.announce()
+	detector.announceSelf()
 }
 
-// apply takes in one change about another member and tells whether it was news.
+// apply applies a change to another member and reports whether it was new.
 func (detector *Detector) apply(now time.Time, change messenger.MemberChange) bool {
 	vm := change.Member.VM
 	known, ok := detector.peers[vm]
@@ -106,24 +111,25 @@
 		}
 		known = &peer{}
 		detector.peers[vm] = known
-	} else if !newer(change, known.change) {
+	} else if !supersedes(change, known.change) {
 		return false
 	}
 	before := known.change
 	known.change = change
-	known.since = now
+	known.stateSince = now
 	replaced := before.Member != change.Member
 	if change.State == messenger.Alive {
-		// Only the member itself raises its sequence: this is a word from it.
-		known.heard, known.probed = now, time.Time{}
+		// Only the member itself raises its sequence number, so it was alive.
+		known.lastHeard, known.probedAt = now, time.Time{}
 	}
-	detector.note(before, change, replaced)
+	detector.recordTransition(before, change, replaced)
 	return true
 }
 
-// note tells what a change means for the node.
-func (detector *Detector) note(before, after messenger.MemberChange, replaced bool) {
-	detector.met = true
+// recordTransition adds the effects of a change to the output and discards the ring
+// if the live members changed. replaced says that another incarnation took over.
+func (detector *Detector) recordTransition(before, after messenger.MemberChange, replaced bool) {
+	detector.foundPeers = true
 	was := live(before.State)
 	is := live(after.State)
 	if was && (!is || replaced) {
@@ -140,8 +146,8 @@
 	}
 }
 
-// newer tells whether a change replaces what is known of the same VM.
-func newer(change, known messenger.MemberChange) bool {
+// supersedes reports whether a change is newer than the known state of its VM.
+func supersedes(change, known messenger.MemberChange) bool {
 	if change.Member.Incarnation != known.Member.Incarnation {
 		return change.Member.Incarnation > known.Member.Incarnation
 	}
@@ -151,11 +157,12 @@
 	if change.Sequence != known.Sequence {
 		return change.Sequence > known.Sequence
 	}
-	return rank(change.State) > rank(known.State)
+	return precedence(change.State) > precedence(known.State)
 }
 
-// rank orders the states that two members may hold under one sequence.
-func rank(state messenger.MemberState) int {
+// precedence orders the states that may be reported under one sequence number; the
+// highest wins.
+func precedence(state messenger.MemberState) int {
 	switch state {
 	case messenger.Alive:
 		return 0
--- a/detector/network_test.go
+++ b/detector/network_test.go
@@ -13,12 +13,12 @@
 	"limpetcleat/messenger"
 )
 
-// network joins detectors under a stepped clock, with delay, loss, cuts and
-// freezes.
+// network simulates detectors that exchange messages under a stepped clock, with
+// delays, loss, partitions (cut) and suspended nodes (frozen).
 type network struct {
 	now    time.Time
 	nodes  map[definer.VM]*node
-	queue  []parcel
+	queue  []delivery
 	random *rand.Rand
 	loss   float64
 	cut    func(from, to *node) bool
@@ -27,17 +27,17 @@
 }
 
 type node struct {
-	member     definer.Member
-	dataCentre definer.DataCentre
-	detector   *detector.Detector
-	nextTick   time.Time
-	frozen     bool
-	waiting    []parcel
-	gone       []messenger.MemberChange
-	pauses     int
+	member        definer.Member
+	dataCentre    definer.DataCentre
+	detector      *detector.Detector
+	nextTick      time.Time
+	frozen        bool
+	undelivered   []delivery
+	gone          []messenger.MemberChange
+	pausesNoticed int
 }
 
-type parcel struct {
+type delivery struct {
 	at       time.Time
 	from, to definer.VM
 	sender   definer.Member
@@ -65,15 +65,16 @@
 	node := &node{member: member, dataCentre: proposal.DataCentre, detector: detector.New(member, proposal.DataCentre, proposal.Address, detector.WithForgetAfter(10*time.Second))}
 	network.nodes[proposal.VM] = node
 	node.nextTick = network.now.Add(time.Duration(network.random.Int63n(int64(100 * time.Millisecond))))
-	network.carry(node, node.detector.Start(network.now))
-	network.carry(node, node.detector.Propose(network.now, network.listed))
+	network.process(node, node.detector.Start(network.now))
+	network.process(node, node.detector.Propose(network.now, network.listed))
 	return node
 }
 
-func (network *network) carry(from *node, output detector.Output) {
+// process queues the messages of an output and records its other parts.
+func (network *network) process(from *node, output detector.Output) {
 	from.gone = append(from.gone, output.Gone...)
 	if output.Paused {
-		from.pauses++
+		from.pausesNoticed++
 	}
 	for _, outgoing := range output.Messages {
 		to := network.nodes[outgoing.To]
@@ -84,7 +85,7 @@
 			continue
 		}
 		delay := time.Duration(1+network.random.Intn(4)) * time.Millisecond
-		network.queue = append(network.queue, parcel{at: network.now.Add(delay), from: from.member.VM, to: outgoing.To, sender: from.member, message: outgoing.Message})
+		network.queue = append(network.queue, delivery{at: network.now.Add(delay), from: from.member.VM, to: outgoing.To, sender: from.member, message: outgoing.Message})
 	}
 }
 
@@ -103,27 +104,27 @@
 		for _, node := range network.sorted() {
 			if !node.frozen && !network.now.Before(node.nextTick) {
 				node.nextTick = network.now.Add(node.detector.Interval())
-				network.carry(node, node.detector.Tick(network.now))
+				network.process(node, node.detector.Tick(network.now))
 			}
 		}
 	}
 }
 
-func (network *network) deliver(parcel parcel) {
+func (network *network) deliver(parcel delivery) {
 	to, ok := network.nodes[parcel.to]
 	switch {
 	case !ok:
 	case to.frozen:
-		to.waiting = append(to.waiting, parcel)
+		to.undelivered = append(to.undelivered, parcel)
 	default:
-		network.carry(to, to.detector.Receive(network.now, parcel.sender, parcel.message))
+		network.process(to, to.detector.Receive(network.now, parcel.sender, parcel.message))
 	}
 }
 
 func (network *network) resume(node *node) {
 	node.frozen = false
-	waiting := node.waiting
-	node.waiting = nil
+	waiting := node.undelivered
+	node.undelivered = nil
 	for _, parcel := range waiting {
 		network.deliver(parcel)
 	}
@@ -138,13 +139,14 @@
 	return nodes
 }
 
-// sees tells whether a node holds a member, in that very run, for alive.
+// sees reports whether a node counts a member, in the same incarnation, as alive or
+// suspected.
 func (node *node) sees(member definer.Member) bool {
 	return slices.ContainsFunc(node.detector.Members(), func(change messenger.MemberChange) bool { return change.Member == member })
 }
 
-// agree tells whether every running node sees exactly the running nodes.
-func (network *network) agree() bool {
+// converged reports whether every running node sees exactly the running nodes.
+func (network *network) converged() bool {
 	running := make(map[definer.Member]bool)
 	for _, node := range network.nodes {
 		if !node.frozen {
@@ -168,8 +170,9 @@
 	return true
 }
 
-// until runs until the condition holds and returns how long that took.
-func (network *network) until(t *testing.T, bound time.Duration, holds func() bool) time.Duration {
+// runUntil runs until the condition holds and returns the time that it took. It
+// fails the test after bound.
+func (network *network) runUntil(t *testing.T, bound time.Duration, holds func() bool) time.Duration {
 	t.Helper()
 	began := network.now
 	for !holds() {
--- a/detector/ring.go
+++ b/detector/ring.go
@@ -10,17 +10,18 @@
 	"limpetcleat/definer"
 )
 
-// ring tells whom this node sends heartbeats to and of whom it expects them.
+// ring holds the members that this node exchanges heartbeats with.
 type ring struct {
-	known bool
-	// targets are the members that watch this node.
+	// computed is false when the members have to be determined again.
+	computed bool
+	// targets are the members that watch this node; it sends them heartbeats.
 	targets []definer.VM
-	// watched are the members that this node watches.
+	// watched are the members that this node watches, sorted by name.
 	watched []definer.VM
 }
 
-// place is the position of a member on the ring.
-type place struct {
+// ringPosition is the position of a member on the hash ring.
+type ringPosition struct {
 	vm         definer.VM
 	dataCentre definer.DataCentre
 	hash       uint64
@@ -28,17 +29,17 @@
 
 // targets returns the members that this node sends its heartbeats to.
 func (detector *Detector) targets() []definer.VM {
-	if !detector.ring.known {
-		detector.arrange()
+	if !detector.ring.computed {
+		detector.computeRing()
 	}
 	return detector.ring.targets
 }
 
-// arrange works the ring out from the live members.
-func (detector *Detector) arrange() {
-	all, local := detector.places()
+// computeRing determines targets and watched from the live members.
+func (detector *Detector) computeRing() {
+	all, local := detector.ringPositions()
 	mine := detector.self.Member.VM
-	detector.ring = ring{known: true}
+	detector.ring = ring{computed: true}
 	for index, place := range all {
 		watchers := detector.watchersOf(place, index, all, local[place.dataCentre])
 		if place.vm == mine {
@@ -50,26 +51,26 @@
 	slices.Sort(detector.ring.watched)
 }
 
-// places returns the live members in the order of the ring, all of them and by
-// data centre.
-func (detector *Detector) places() ([]place, map[definer.DataCentre][]place) {
-	var all []place
+// ringPositions returns the live members in the order of the ring: all of them, and
+// those of each data centre.
+func (detector *Detector) ringPositions() ([]ringPosition, map[definer.DataCentre][]ringPosition) {
+	var all []ringPosition
 	for _, member := range detector.Members() {
-		all = append(all, place{vm: member.Member.VM, dataCentre: member.DataCentre, hash: xxhash.Sum64String(string(member.Member.VM))})
+		all = append(all, ringPosition{vm: member.Member.VM, dataCentre: member.DataCentre, hash: xxhash.Sum64String(string(member.Member.VM))})
 	}
-	slices.SortFunc(all, func(a, b place) int { return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.vm, b.vm)) })
-	local := make(map[definer.DataCentre][]place)
+	slices.SortFunc(all, func(a, b ringPosition) int { return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.vm, b.vm)) })
+	local := make(map[definer.DataCentre][]ringPosition)
 	for _, place := range all {
 		local[place.dataCentre] = append(local[place.dataCentre], place)
 	}
 	return all, local
 }
 
-// watchersOf returns who watches a member: the next ones of its data centre,
-// then the next ones of the whole ring.
-func (detector *Detector) watchersOf(of place, index int, all, local []place) []definer.VM {
+// watchersOf returns the members that watch a member: up to localWatchers successors
+// among those of its data centre, then successors on the whole ring.
+func (detector *Detector) watchersOf(of ringPosition, index int, all, local []ringPosition) []definer.VM {
 	var watchers []definer.VM
-	at, _ := slices.BinarySearchFunc(local, of, func(a, b place) int {
+	at, _ := slices.BinarySearchFunc(local, of, func(a, b ringPosition) int {
 		return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.vm, b.vm))
 	})
 	for step := 1; step < len(local) && len(watchers) < min(localWatchers, detector.settings.watchers); step++ {
@@ -83,17 +84,18 @@
 	return watchers
 }
 
-// watched returns the members that this node watches. One that it did not watch
-// before gets the full time for its first word.
+// watched returns the members that this node watches. When the ring
+// changed, a member that was silent for over a period and is not probed yet gets the
+// full timeout from now, since this node may not have watched it before.
 func (detector *Detector) watched(now time.Time) []definer.VM {
-	if detector.ring.known {
+	if detector.ring.computed {
 		return detector.ring.watched
 	}
-	detector.arrange()
+	detector.computeRing()
 	for _, vm := range detector.ring.watched {
 		peer := detector.peers[vm]
-		if now.Sub(peer.heard) > detector.period() && peer.probed.IsZero() {
-			peer.heard = now
+		if now.Sub(peer.lastHeard) > detector.period() && peer.probedAt.IsZero() {
+			peer.lastHeard = now
 		}
 	}
 	return detector.ring.watched
--- a/detector/watch.go
+++ b/detector/watch.go
@@ -10,70 +10,72 @@
 	"limpetcleat/messenger"
 )
 
-// watch probes, suspects and fails silent members.
-func (detector *Detector) watch(now time.Time) {
+// checkWatched probes and suspects silent members that this node watches, and fails
+// any member that stays suspected.
+func (detector *Detector) checkWatched(now time.Time) {
 	for _, vm := range detector.watched(now) {
 		peer := detector.peers[vm]
 		switch {
-		case peer.probed.IsZero() && now.Sub(peer.heard) >= detector.part(silentFor):
+		case peer.probedAt.IsZero() && now.Sub(peer.lastHeard) >= detector.timeout(probeAfterEighths):
 			detector.probe(now, vm)
-		case !peer.probed.IsZero() && now.Sub(peer.probed) >= detector.part(probedFor) && peer.change.State == messenger.Alive:
-			detector.judge(now, vm, messenger.Suspect)
-			detector.send(vm, &messenger.Heartbeat{Answer: true, Sequence: detector.number(), Changes: detector.pick(vm)})
+		case !peer.probedAt.IsZero() && now.Sub(peer.probedAt) >= detector.timeout(suspectAfterEighths) && peer.change.State == messenger.Alive:
+			detector.setState(now, vm, messenger.Suspect)
+			detector.send(vm, &messenger.Heartbeat{Answer: true, Sequence: detector.nextSequence(), Changes: detector.selectChanges(vm)})
 		}
 	}
 	for _, vm := range detector.withState(messenger.Suspect) {
 		peer := detector.peers[vm]
-		quiet := now.Sub(latest(peer.since, peer.heard))
-		if quiet >= detector.part(suspectedFor) {
-			detector.judge(now, vm, messenger.Failed)
+		quiet := now.Sub(later(peer.stateSince, peer.lastHeard))
+		if quiet >= detector.timeout(failAfterEighths) {
+			detector.setState(now, vm, messenger.Failed)
 		}
 	}
 }
 
-// judge changes the state of a member and spreads it.
-func (detector *Detector) judge(now time.Time, vm definer.VM, state messenger.MemberState) {
+// setState changes the state of a member and gossips the change.
+func (detector *Detector) setState(now time.Time, vm definer.VM, state messenger.MemberState) {
 	change := detector.peers[vm].change
 	change.State = state
 	if detector.apply(now, change) {
-		detector.spread(change)
+		detector.disseminate(change)
 	}
 }
 
-// probe asks a silent member for a word, directly and through others.
+// probe asks a silent member for an answer, directly and through other members.
 func (detector *Detector) probe(now time.Time, vm definer.VM) {
-	detector.peers[vm].probed = now
-	detector.send(vm, &messenger.Heartbeat{Answer: true, Sequence: detector.number(), Changes: detector.pick(vm)})
+	detector.peers[vm].probedAt = now
+	detector.send(vm, &messenger.Heartbeat{Answer: true, Sequence: detector.nextSequence(), Changes: detector.selectChanges(vm)})
 	asked := 0
 	for _, helper := range detector.targets() {
-		if helper != vm && asked < helpers {
+		if helper != vm && asked < maxIndirectProbes {
 			asked++
-			detector.send(helper, &messenger.Heartbeat{Target: vm, Sequence: detector.number(), Changes: detector.pick(helper)})
+			detector.send(helper, &messenger.Heartbeat{Target: vm, Sequence: detector.nextSequence(), Changes: detector.selectChanges(helper)})
 		}
 	}
 }
 
-// hear notes a word from a member.
-func (detector *Detector) hear(now time.Time, from definer.Member) {
+// recordContact records that a message from a member was received.
+func (detector *Detector) recordContact(now time.Time, from definer.Member) {
 	if peer, ok := detector.peers[from.VM]; ok && peer.change.Member == from {
-		peer.heard, peer.probed = now, time.Time{}
+		peer.lastHeard, peer.probedAt = now, time.Time{}
 	}
 }
 
-// respond answers a heartbeat where it wants an answer, and tells a member
-// that is held for dead.
+// respond forwards a heartbeat that probes another member, answers one that asks
+// for an answer, and tells its sender when this node holds it for suspected or
+// failed, so that it can refute that.
 func (detector *Detector) respond(now time.Time, from definer.Member, heartbeat *messenger.Heartbeat) {
 	known, ok := detector.peers[from.VM]
 	switch {
 	case detector.self.State == messenger.Left:
 	case heartbeat.Target != "":
-		number := detector.number()
-		detector.relays[number] = relay{asker: from.VM, sequence: heartbeat.Sequence, target: heartbeat.Target, at: now}
-		detector.send(heartbeat.Target, &messenger.Heartbeat{Answer: true, Sequence: number, Changes: detector.pick(heartbeat.Target)})
+		sequence := detector.nextSequence()
+		detector.relays[sequence] = relay{asker: from.VM, sequence: heartbeat.Sequence, target: heartbeat.Target, sentAt: now}
+		detector.send(heartbeat.Target, &messenger.Heartbeat{Answer: true, Sequence: sequence, Changes: detector.selectChanges(heartbeat.Target)})
 	case heartbeat.Answer:
-		changes := append([]messenger.MemberChange{detector.self}, detector.pick(from.VM)...)
+		changes := append([]messenger.MemberChange{detector.self}, detector.selectChanges(from.VM)...)
 		if heartbeat.Sync {
-			changes = detector.table()
+			changes = detector.snapshot()
 		}
 		detector.send(from.VM, &messenger.HeartbeatAnswer{Sequence: heartbeat.Sequence, Changes: changes})
 	case ok && known.change.Member == from && known.change.State != messenger.Alive:
@@ -81,53 +83,54 @@
 	}
 }
 
-// answered takes in an answer and hands it on if it was wanted for another.
-func (detector *Detector) answered(now time.Time, from definer.Member, answer *messenger.HeartbeatAnswer) {
+// handleAnswer processes an answer and forwards it to the member for which the
+// probe was made, if any.
+func (detector *Detector) handleAnswer(now time.Time, from definer.Member, answer *messenger.HeartbeatAnswer) {
 	if answer.Target != "" {
 		if peer, ok := detector.peers[answer.Target]; ok {
-			peer.heard, peer.probed = now, time.Time{}
+			peer.lastHeard, peer.probedAt = now, time.Time{}
 		}
 		return
 	}
-	detector.hear(now, from)
+	detector.recordContact(now, from)
 	if relay, ok := detector.relays[answer.Sequence]; ok && relay.target == from.VM {
 		delete(detector.relays, answer.Sequence)
-		detector.send(relay.asker, &messenger.HeartbeatAnswer{Sequence: relay.sequence, Target: from.VM, Changes: answer.Changes[:min(len(answer.Changes), maxChanges)]})
+		detector.send(relay.asker, &messenger.HeartbeatAnswer{Sequence: relay.sequence, Target: from.VM, Changes: answer.Changes[:min(len(answer.Changes), maxPiggybacked)]})
 	}
 }
 
-// beat sends the heartbeats of one period.
-func (detector *Detector) beat(now time.Time) {
-	detector.beats++
-	detector.pushes = min(detector.pushes+1, maxPushes)
-	detector.forget(now)
+// runPeriod sends the heartbeats of one period.
+func (detector *Detector) runPeriod(now time.Time) {
+	detector.periods++
+	detector.immediateRounds = min(detector.immediateRounds+1, maxImmediateRounds)
+	detector.removeStale(now)
 	for _, vm := range detector.targets() {
-		detector.send(vm, &messenger.Heartbeat{Changes: detector.pick(vm)})
+		detector.send(vm, &messenger.Heartbeat{Changes: detector.selectChanges(vm)})
 	}
-	if detector.few() {
-		detector.greet()
+	if detector.knowsTooFew() {
+		detector.contactUnreachable()
 		return
 	}
-	// Others that start at the same time were not in the first answer.
-	if targets := detector.targets(); detector.beats == settleBeats && len(targets) > 0 {
-		detector.hello(targets[0], true)
+	// The first answer lacks nodes that started at the same time as this one.
+	if targets := detector.targets(); detector.periods == resyncPeriod && len(targets) > 0 {
+		detector.contact(targets[0], true)
 	}
-	if detector.beats%reviveEvery == 0 {
-		if vm, ok := detector.choose(detector.lost()); ok {
-			detector.hello(vm, false)
+	if detector.periods%reviveEvery == 0 {
+		if vm, ok := detector.chooseInTurn(detector.unreachable()); ok {
+			detector.contact(vm, false)
 		}
 	}
-	if detector.beats%syncEvery == 0 {
-		// A neighbour will do, to which a connection is open.
-		if vm, ok := detector.choose(detector.targets()); ok {
-			detector.send(vm, &messenger.Heartbeat{Answer: true, Sequence: detector.number(), Changes: detector.slice()})
+	if detector.periods%syncEvery == 0 {
+		// A neighbour on the ring is chosen since a connection to it is open.
+		if vm, ok := detector.chooseInTurn(detector.targets()); ok {
+			detector.send(vm, &messenger.Heartbeat{Answer: true, Sequence: detector.nextSequence(), Changes: detector.nextReconciled()})
 		}
 	}
 }
 
-// lost returns whom the node would like to hear from: members taken for dead
-// and proposals that never answered.
-func (detector *Detector) lost() []definer.VM {
+// unreachable returns the failed members and the proposed members that never
+// answered, sorted by name.
+func (detector *Detector) unreachable() []definer.VM {
 	vms := detector.withState(messenger.Failed)
 	for vm := range detector.proposals {
 		if _, ok := detector.peers[vm]; !ok {
@@ -138,7 +141,7 @@
 	return vms
 }
 
-// withState returns the members of a state by name.
+// withState returns the members in a state, sorted by name.
 func (detector *Detector) withState(state messenger.MemberState) []definer.VM {
 	var vms []definer.VM
 	for vm, peer := range detector.peers {
@@ -150,8 +153,9 @@
 	return vms
 }
 
-// few tells whether the node knows less than half of the proposed members.
-func (detector *Detector) few() bool {
+// knowsTooFew reports whether the live members are fewer than half of the proposed
+// ones.
+func (detector *Detector) knowsTooFew() bool {
 	living := 0
 	for _, peer := range detector.peers {
 		if live(peer.change.State) {
@@ -161,27 +165,30 @@
 	return living*2 < len(detector.proposals)
 }
 
-// choose returns one of the members, another one each time, in an order of this
-// node's own.
-func (detector *Detector) choose(vms []definer.VM) (definer.VM, bool) {
+// chooseInTurn returns one of the members and moves on every reviveEvery periods,
+// in a rotation that begins elsewhere on each node. It reports false if there are
+// no members.
+func (detector *Detector) chooseInTurn(vms []definer.VM) (definer.VM, bool) {
 	if len(vms) == 0 {
 		return "", false
 	}
-	return vms[(detector.offset()+detector.beats/reviveEvery)%uint64(len(vms))], true
+	return vms[(detector.offset()+detector.periods/reviveEvery)%uint64(len(vms))], true
 }
 
-// offset spreads what the nodes choose; it leaves room to count on from it.
+// offset returns a hash of the node's name, so that nodes begin a rotation at
+// different members. It is halved so that adding to it does not overflow.
 func (detector *Detector) offset() uint64 {
 	return xxhash.Sum64String(string(detector.self.Member.VM)) >> 1
 }
 
-// greet makes itself known to some of the proposals that it does not know.
-func (detector *Detector) greet() {
-	lost := detector.lost()
+// contactUnreachable contacts a few of the unreachable members of this data centre
+// and a few of the others.
+func (detector *Detector) contactUnreachable() {
+	lost := detector.unreachable()
 	local, remote := 0, 0
-	few := detector.few()
+	few := detector.knowsTooFew()
 	for step := range lost {
-		vm := lost[(detector.offset()+detector.beats+uint64(step))%uint64(len(lost))]
+		vm := lost[(detector.offset()+detector.periods+uint64(step))%uint64(len(lost))]
 		near := detector.proposals[vm].DataCentre == detector.self.DataCentre
 		switch {
 		case near && local < firstContacts:
@@ -191,43 +198,46 @@
 		default:
 			continue
 		}
-		// One full answer is enough; the next period asks again if it is lost.
-		detector.hello(vm, few && local+remote == 1)
+		// One full snapshot is enough; if it is lost, the next period asks again.
+		detector.contact(vm, few && local+remote == 1)
 	}
 }
 
-// hello makes this node known to a member and asks for its beliefs, all of them
-// when this node has few.
-func (detector *Detector) hello(vm definer.VM, sync bool) {
+// contact sends a member this node's own entry and what it knows of that member,
+// and asks for an answer; sync asks for all members that the other one knows.
+func (detector *Detector) contact(vm definer.VM, sync bool) {
 	changes := []messenger.MemberChange{detector.self}
 	if peer, ok := detector.peers[vm]; ok {
 		changes = append(changes, peer.change)
 	}
-	detector.send(vm, &messenger.Heartbeat{Answer: true, Sync: sync, Sequence: detector.number(), Changes: changes})
+	detector.send(vm, &messenger.Heartbeat{Answer: true, Sync: sync, Sequence: detector.nextSequence(), Changes: changes})
 }
 
-// forget drops members that are gone, silent and not listed, and old relays.
-func (detector *Detector) forget(now time.Time) {
+// removeStale removes members that are neither live nor proposed after forgetAfter,
+// and relays after a period.
+func (detector *Detector) removeStale(now time.Time) {
 	for vm, peer := range detector.peers {
 		_, listed := detector.proposals[vm]
-		if !listed && !live(peer.change.State) && now.Sub(peer.since) > detector.settings.forgetAfter {
+		if !listed && !live(peer.change.State) && now.Sub(peer.stateSince) > detector.settings.forgetAfter {
 			delete(detector.peers, vm)
 		}
 	}
-	for number, relay := range detector.relays {
-		if now.Sub(relay.at) > detector.period() {
-			delete(detector.relays, number)
+	for sequence, relay := range detector.relays {
+		if now.Sub(relay.sentAt) > detector.period() {
+			delete(detector.relays, sequence)
 		}
 	}
 }
 
-func (detector *Detector) number() uint64 {
-	detector.probes++
-	return detector.probes
+// nextSequence returns the sequence number for the next heartbeat that asks for an
+// answer.
+func (detector *Detector) nextSequence() uint64 {
+	detector.lastSequence++
+	return detector.lastSequence
 }
 
-// send adds a message to the output if the member's address is known. A member
-// taken for dead is sought where the platform's list has it.
+// send adds a message to the output if the member's address is known. For a member
+// that is not live, the address on the platform's list goes first.
 func (detector *Detector) send(vm definer.VM, message messenger.Message) {
 	address := detector.proposals[vm].Address
 	if peer, ok := detector.peers[vm]; ok && (live(peer.change.State) || address == "") {
@@ -238,14 +248,15 @@
 	}
 }
 
-// flush pushes urgent changes while it may and returns the output of the step.
+// flush sends urgent changes at once while immediateRounds allows it, and returns
+// and resets the collected output.
 func (detector *Detector) flush() Output {
-	if detector.urgent && detector.pushes > 0 && !detector.lastTick.IsZero() {
+	if detector.urgent && detector.immediateRounds > 0 && !detector.lastTick.IsZero() {
 		detector.urgent = false
 		if targets := detector.targets(); len(targets) > 0 {
-			detector.pushes--
+			detector.immediateRounds--
 			for _, vm := range targets {
-				detector.send(vm, &messenger.Heartbeat{Changes: detector.pick(vm)})
+				detector.send(vm, &messenger.Heartbeat{Changes: detector.selectChanges(vm)})
 			}
 		}
 	}
@@ -254,7 +265,8 @@
 	return output
 }
 
-func latest(a, b time.Time) time.Time {
+// later returns the later of two times.
+func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
