--- a/registrar/registrar.go
+++ b/registrar/registrar.go
@@ -1,5 +1,6 @@
-// Package registrar holds the list of upstreams that register themselves with
-// the platform, by service.
+// Package registrar is the registry of the upstreams that the platform lists, by
+// service. It follows whole lists and single changes, and leaves out upstreams that
+// are about to stop.
 package registrar
 
 import (
@@ -12,98 +13,104 @@
 	"limpetcleat/definer"
 )
 
-// LapsePatience is how long an upstream that was missing from the first list
-// after an outage of the platform still counts as there. The platform says that
-// entries that lapsed meanwhile are back within about 2 s; a request must not
-// reach one that has gone later than 2 s after that, so a margin is left.
+// LapsePatience is how long an upstream stays registered when it is missing after an
+// outage of the platform. According to the platform, entries that expired during the
+// outage are back within about 2 s. Requests must not reach an upstream that has gone
+// later than 2 s after the outage; 1.7 s leaves a margin.
 const LapsePatience = 1700 * time.Millisecond
 
-// maxDeparting bounds the starts that are known to leave; beyond it those are forgotten that
-// are not listed.
-const maxDeparting = 4096
+// maxLeavingStarts is the number of starts known to be leaving from which those that
+// are not registered are dropped.
+const maxLeavingStarts = 4096
 
-// Upstream is one running back end. It never changes; a change is a new value.
+// Upstream is one running back end. It is immutable; a change makes a new value.
 type Upstream struct {
-	// ID stays the same when the back end starts again.
+	// ID stays the same when the back end restarts.
 	ID      definer.UpstreamName
 	Service definer.PoolName
-	// Address is an IP address with a port; others may have it later.
+	// Address is an IP address with a port; another upstream may reuse it later.
 	Address    string
 	DataCentre definer.DataCentre
-	// Slots is how many requests it runs at once; 0 is unknown.
+	// Slots is how many requests the upstream runs at once; 0 if unknown.
 	Slots int
-	// Leaving upstreams get no new requests.
+	// Leaving reports whether the upstream is about to stop; it gets no new
+	// requests.
 	Leaving bool
-	// Spot upstreams may be reclaimed by the platform, all of a data centre at once.
+	// Spot reports whether the platform may reclaim the upstream, together with all
+	// other spot upstreams of a data centre.
 	Spot bool
-	// Revision is the platform's number of the entry's last change.
+	// Revision is the platform's revision of the last change to the entry.
 	Revision uint64
-	// Incarnation grows with each start of the back end under its ID; 0 is unknown.
+	// Incarnation grows with each start of the back end under its ID; 0 if unknown.
 	Incarnation definer.Incarnation
 }
 
-// Start returns which start of the back end it is.
+// Start identifies the start of the back end that the entry describes.
 func (upstream *Upstream) Start() definer.UpstreamStart {
 	return definer.UpstreamStart{Upstream: upstream.ID, Incarnation: upstream.Incarnation}
 }
 
-// Change is one change of the list.
+// Change is one change of the registered upstreams.
 type Change struct {
-	// Upstream holds the entry, of which only ID counts when it is removed.
+	// Upstream is the entry; if Removed is set, only its ID is read.
 	Upstream Upstream
 	Removed  bool
-	// Earlier is set when a later start took the place of this one.
+	// Earlier is the entry of the earlier start if the change is a restart, otherwise
+	// nil.
 	Earlier *Upstream
 }
 
-// Registrar is the list of upstreams. It is safe for concurrent use.
+// Registrar is the registry of upstreams. It is safe for concurrent use.
 type Registrar struct {
-	// mutex guards the rest; no other lock is taken under it.
+	// mutex guards the other fields; no other lock is taken while it is held.
 	mutex     sync.RWMutex
 	upstreams map[definer.UpstreamName]*Upstream
-	// byService holds each upstream that may get requests once, sorted by ID;
-	// its slices are replaced and never changed.
+	// byService holds the upstreams that may get requests, sorted by ID. Its slices
+	// are replaced and never modified.
 	byService map[definer.PoolName][]*Upstream
-	// lapsing holds since when an upstream has been missing after an outage.
-	lapsing map[definer.UpstreamName]time.Time
-	// departing holds the starts that said themselves that they leave, whatever their
-	// entries say; at most maxDeparting.
-	departing map[definer.UpstreamStart]bool
-	// known is set by the first list.
-	known bool
+	// missingSince holds the times at which upstreams were found missing after an
+	// outage.
+	missingSince map[definer.UpstreamName]time.Time
+	// leavingStarts holds the starts that announced themselves that they are leaving,
+	// whatever their entries say; at most maxLeavingStarts unless more are
+	// registered.
+	leavingStarts map[definer.UpstreamStart]bool
+	// loaded is set by the first list.
+	loaded bool
 }
 
-// New returns an empty list.
+// New returns an empty Registrar.
 func New() *Registrar {
 	return &Registrar{
-		upstreams: make(map[definer.UpstreamName]*Upstream),
-		byService: make(map[definer.PoolName][]*Upstream),
-		lapsing:   make(map[definer.UpstreamName]time.Time),
-		departing: make(map[definer.UpstreamStart]bool),
+		upstreams:     make(map[definer.UpstreamName]*Upstream),
+		byService:     make(map[definer.PoolName][]*Upstream),
+		missingSince:  make(map[definer.UpstreamName]time.Time),
+		leavingStarts: make(map[definer.UpstreamStart]bool),
 	}
 }
 
-// Known tells whether a whole list was read yet.
+// Known reports whether a whole list was taken in yet.
 func (registrar *Registrar) Known() bool {
 	registrar.mutex.RLock()
 	defer registrar.mutex.RUnlock()
-	return registrar.known
+	return registrar.loaded
 }
 
-// Of returns the upstreams of a service that may get requests, sorted by ID.
-// The caller must not change the slice.
+// Of returns the upstreams of a service that may get requests, sorted by ID. The
+// caller must not modify the slice.
 func (registrar *Registrar) Of(service definer.PoolName) []*Upstream {
 	registrar.mutex.RLock()
 	defer registrar.mutex.RUnlock()
 	return registrar.byService[service]
 }
 
-// Replace takes in a whole list and returns what changed. After an outage,
-// upstreams that are missing stay for LapsePatience.
+// Replace replaces the registered upstreams by a whole list and returns the changes.
+// With outage, which says that the platform was unreachable until now, missing
+// upstreams that are not leaving stay for LapsePatience.
 func (registrar *Registrar) Replace(now time.Time, list []Upstream, outage bool) []Change {
 	registrar.mutex.Lock()
 	defer registrar.mutex.Unlock()
-	registrar.known = true
+	registrar.loaded = true
 	listed := make(map[definer.UpstreamName]bool, len(list))
 	var changes []Change
 	for _, upstream := range list {
@@ -114,17 +121,18 @@
 		if listed[id] {
 			continue
 		}
-		if _, lapsing := registrar.lapsing[id]; lapsing {
+		if _, lapsing := registrar.missingSince[id]; lapsing {
 			continue
 		}
-		changes = append(changes, registrar.lose(now, upstream, outage)...)
+		changes = append(changes, registrar.removeOrLapse(now, upstream, outage)...)
 	}
-	registrar.index()
+	registrar.rebuildIndex()
 	return changes
 }
 
-// Apply takes in changes in order and returns those that took effect. Soon after
-// an outage, upstreams that are removed stay for LapsePatience.
+// Apply applies changes in order and returns those that took effect. With outage,
+// which says that an outage of the platform ended recently, removed upstreams that are
+// not leaving stay for LapsePatience.
 func (registrar *Registrar) Apply(now time.Time, changes []Change, outage bool) []Change {
 	registrar.mutex.Lock()
 	defer registrar.mutex.Unlock()
@@ -135,19 +143,19 @@
 			continue
 		}
 		if upstream, ok := registrar.upstreams[change.Upstream.ID]; ok {
-			applied = append(applied, registrar.lose(now, upstream, outage)...)
+			applied = append(applied, registrar.removeOrLapse(now, upstream, outage)...)
 		}
 	}
-	registrar.index()
+	registrar.rebuildIndex()
 	return applied
 }
 
-// Leave notes that a start of an upstream says that it leaves; the change is nil when that was
-// known, or when it is not listed now.
+// Leave records that a start of an upstream announced that it is leaving. It returns
+// nil if that was known, or if the start is not registered.
 func (registrar *Registrar) Leave(start definer.UpstreamStart) *Change {
 	registrar.mutex.Lock()
 	defer registrar.mutex.Unlock()
-	registrar.depart(start)
+	registrar.recordLeaving(start)
 	known, listed := registrar.upstreams[start.Upstream]
 	if !listed || known.Start() != start || known.Leaving {
 		return nil
@@ -155,38 +163,39 @@
 	leaving := *known
 	leaving.Leaving = true
 	registrar.upstreams[start.Upstream] = &leaving
-	registrar.index()
+	registrar.rebuildIndex()
 	return &Change{Upstream: leaving}
 }
 
-// depart notes that a start leaves; mutex is held.
-func (registrar *Registrar) depart(start definer.UpstreamStart) {
-	if len(registrar.departing) >= maxDeparting {
-		maps.DeleteFunc(registrar.departing, func(departing definer.UpstreamStart, _ bool) bool {
+// recordLeaving records that a start is leaving; mutex is held.
+func (registrar *Registrar) recordLeaving(start definer.UpstreamStart) {
+	if len(registrar.leavingStarts) >= maxLeavingStarts {
+		maps.DeleteFunc(registrar.leavingStarts, func(departing definer.UpstreamStart, _ bool) bool {
 			known, listed := registrar.upstreams[departing.Upstream]
 			return !listed || known.Start() != departing
 		})
 	}
-	registrar.departing[start] = true
+	registrar.leavingStarts[start] = true
 }
 
-// lose removes an entry, or lets it lapse after an outage; mutex is held.
-func (registrar *Registrar) lose(now time.Time, upstream *Upstream, outage bool) []Change {
+// removeOrLapse removes an upstream at once or, with outage, marks it as missing
+// unless it is leaving; mutex is held.
+func (registrar *Registrar) removeOrLapse(now time.Time, upstream *Upstream, outage bool) []Change {
 	if outage && !upstream.Leaving {
-		registrar.lapsing[upstream.ID] = now
+		registrar.missingSince[upstream.ID] = now
 		return nil
 	}
 	return registrar.remove(upstream.ID)
 }
 
-// Sweep removes the upstreams that have been missing for LapsePatience and
-// returns them with the time at which the next is due, zero when none is.
+// Sweep removes the upstreams that have been missing for LapsePatience. It returns the
+// removals and the time of the next one, zero if none is due.
 func (registrar *Registrar) Sweep(now time.Time) ([]Change, time.Time) {
 	registrar.mutex.Lock()
 	defer registrar.mutex.Unlock()
 	var changes []Change
 	var next time.Time
-	for id, since := range registrar.lapsing {
+	for id, since := range registrar.missingSince {
 		due := since.Add(LapsePatience)
 		if !due.After(now) {
 			changes = append(changes, registrar.remove(id)...)
@@ -197,23 +206,23 @@
 		}
 	}
 	if len(changes) > 0 {
-		registrar.index()
+		registrar.rebuildIndex()
 	}
 	return changes, next
 }
 
-// put takes in an entry unless a newer one, or a later start, is known; mutex is held.
-// An entry whose start is unknown is taken for that of the start that is known.
+// put stores an entry unless a newer entry or a later start is known; mutex is held.
+// An entry without an incarnation is taken to describe the start that is known.
 func (registrar *Registrar) put(upstream Upstream) []Change {
-	delete(registrar.lapsing, upstream.ID)
+	delete(registrar.missingSince, upstream.ID)
 	known, ok := registrar.upstreams[upstream.ID]
 	if ok && upstream.Incarnation == 0 {
 		upstream.Incarnation = known.Incarnation
 	}
-	if ok && known.Incarnation == 0 && registrar.departing[known.Start()] {
-		registrar.depart(upstream.Start())
+	if ok && known.Incarnation == 0 && registrar.leavingStarts[known.Start()] {
+		registrar.recordLeaving(upstream.Start())
 	}
-	upstream.Leaving = upstream.Leaving || registrar.departing[upstream.Start()]
+	upstream.Leaving = upstream.Leaving || registrar.leavingStarts[upstream.Start()]
 	if !ok {
 		registrar.upstreams[upstream.ID] = &upstream
 		return []Change{{Upstream: upstream}}
@@ -229,9 +238,9 @@
 	return []Change{change}
 }
 
-// remove drops an entry; mutex is held.
+// remove removes an upstream at once; mutex is held.
 func (registrar *Registrar) remove(id definer.UpstreamName) []Change {
-	delete(registrar.lapsing, id)
+	delete(registrar.missingSince, id)
 	upstream, ok := registrar.upstreams[id]
 	if !ok {
 		return nil
@@ -240,8 +249,8 @@
 	return []Change{{Upstream: *upstream, Removed: true}}
 }
 
-// index builds byService anew; mutex is held.
-func (registrar *Registrar) index() {
+// rebuildIndex rebuilds byService; mutex is held.
+func (registrar *Registrar) rebuildIndex() {
 	byService := make(map[definer.PoolName][]*Upstream)
 	for _, upstream := range registrar.upstreams {
 		if !upstream.Leaving {
--- a/registrar/registrar_test.go
+++ b/registrar/registrar_test.go
@@ -14,7 +14,7 @@
 	return registrar.Upstream{ID: id, Service: "s", Address: "10.0.0.1:1", Leaving: leaving, Revision: revision}
 }
 
-func ids(list *registrar.Registrar) []definer.UpstreamName {
+func serviceIDs(list *registrar.Registrar) []definer.UpstreamName {
 	var found []definer.UpstreamName
 	for _, upstream := range list.Of("s") {
 		found = append(found, upstream.ID)
@@ -27,20 +27,20 @@
 	assert.Assert(t, !list.Known())
 	list.Replace(time.Time{}, []registrar.Upstream{entry("b", 1, false), entry("a", 2, false)}, false)
 	assert.Assert(t, list.Known())
-	assert.DeepEqual(t, ids(list), []definer.UpstreamName{"a", "b"})
+	assert.DeepEqual(t, serviceIDs(list), []definer.UpstreamName{"a", "b"})
 
 	list.Apply(time.Time{}, []registrar.Change{{Upstream: entry("a", 5, true)}}, false)
-	assert.DeepEqual(t, ids(list), []definer.UpstreamName{"b"})
-	// An older entry never brings a leaving upstream back.
+	assert.DeepEqual(t, serviceIDs(list), []definer.UpstreamName{"b"})
+	// An older entry does not undo Leaving.
 	assert.Equal(t, len(list.Apply(time.Time{}, []registrar.Change{{Upstream: entry("a", 2, false)}}, false)), 0)
-	assert.DeepEqual(t, ids(list), []definer.UpstreamName{"b"})
+	assert.DeepEqual(t, serviceIDs(list), []definer.UpstreamName{"b"})
 
 	list.Apply(time.Time{}, []registrar.Change{{Upstream: entry("b", 6, false), Removed: true}}, false)
-	assert.Equal(t, len(ids(list)), 0)
+	assert.Equal(t, len(serviceIDs(list)), 0)
 }
 
-// TestStartsUnderOneName holds which of two entries of a name stands: the later start,
-// and of one start the newer entry.
+// TestStartsUnderOneName checks which of two entries with one ID is kept: that of the
+// later start and, for one start, the newer entry.
 func TestStartsUnderOneName(t *testing.T) {
 	at := func(incarnation definer.Incarnation, revision uint64) registrar.Upstream {
 		upstream := entry("a", revision, false)
@@ -73,16 +73,16 @@
 	}
 }
 
-// TestUnreadableEntryIsNotUsed holds that an upstream whose entry turns unreadable gets no
-// requests, also soon after an outage, and does again when it can be read.
+// TestUnreadableEntryIsNotUsed checks that an upstream whose entry becomes unreadable
+// gets no requests, also soon after an outage, until its entry can be read again.
 func TestUnreadableEntryIsNotUsed(t *testing.T) {
 	unreadable := registrar.Upstream{ID: "a", Leaving: true, Revision: 2}
 	list := registrar.New()
 	list.Replace(time.Time{}, []registrar.Upstream{entry("a", 1, false), entry("b", 1, false)}, false)
 	list.Replace(time.Time{}, []registrar.Upstream{unreadable, entry("b", 1, false)}, true)
-	assert.DeepEqual(t, ids(list), []definer.UpstreamName{"b"})
+	assert.DeepEqual(t, serviceIDs(list), []definer.UpstreamName{"b"})
 	list.Apply(time.Time{}, []registrar.Change{{Upstream: entry("a", 3, false)}}, true)
-	assert.DeepEqual(t, ids(list), []definer.UpstreamName{"a", "b"})
+	assert.DeepEqual(t, serviceIDs(list), []definer.UpstreamName{"a", "b"})
 }
 
 func TestMissingAfterAnOutage(t *testing.T) {
@@ -90,12 +90,12 @@
 	list := registrar.New()
 	list.Replace(start, []registrar.Upstream{entry("a", 1, false), entry("b", 2, false), entry("c", 3, true)}, false)
 
-	// Without an outage a missing entry is gone at once.
+	// Without an outage, a missing upstream is removed at once.
 	list.Replace(start, []registrar.Upstream{entry("a", 1, false), entry("b", 2, false)}, false)
-	assert.DeepEqual(t, ids(list), []definer.UpstreamName{"a", "b"})
+	assert.DeepEqual(t, serviceIDs(list), []definer.UpstreamName{"a", "b"})
 
 	list.Replace(start, nil, true)
-	assert.DeepEqual(t, ids(list), []definer.UpstreamName{"a", "b"})
+	assert.DeepEqual(t, serviceIDs(list), []definer.UpstreamName{"a", "b"})
 	list.Apply(start, []registrar.Change{{Upstream: entry("b", 9, false)}, {Upstream: entry("a", 1, false), Removed: true}}, true)
 	changes, next := list.Sweep(start.Add(registrar.LapsePatience - 1))
 	assert.Equal(t, len(changes), 0)
@@ -103,53 +103,54 @@
 	changes, next = list.Sweep(start.Add(registrar.LapsePatience))
 	assert.Equal(t, len(changes), 1)
 	assert.Assert(t, next.IsZero())
-	assert.DeepEqual(t, ids(list), []definer.UpstreamName{"b"})
+	assert.DeepEqual(t, serviceIDs(list), []definer.UpstreamName{"b"})
 }
 
-// TestAnUpstreamsOwnWordGoesBeforeItsEntry holds that one which says that it leaves gets no
-// requests, whatever its entry says, until it has started again, and that its word is known
-// ahead of its entry.
+// TestAnUpstreamsOwnWordGoesBeforeItsEntry checks that an upstream that announced that
+// it is leaving gets no requests until it has restarted, whatever its entry says. The
+// announcement also counts if it arrives before the entry.
 func TestAnUpstreamsOwnWordGoesBeforeItsEntry(t *testing.T) {
 	list := registrar.New()
-	born := func(id definer.UpstreamName, revision uint64, incarnation definer.Incarnation) registrar.Upstream {
+	startedAt := func(id definer.UpstreamName, revision uint64, incarnation definer.Incarnation) registrar.Upstream {
 		upstream := entry(id, revision, false)
 		upstream.Incarnation = incarnation
 		return upstream
 	}
 	first := definer.UpstreamStart{Upstream: "a", Incarnation: 7}
 	assert.Assert(t, list.Leave(definer.UpstreamStart{Upstream: "late", Incarnation: 1}) == nil)
-	list.Replace(time.Time{}, []registrar.Upstream{born("a", 1, 7), born("b", 2, 7), born("late", 3, 1)}, false)
-	assert.DeepEqual(t, ids(list), []definer.UpstreamName{"a", "b"})
+	list.Replace(time.Time{}, []registrar.Upstream{startedAt("a", 1, 7), startedAt("b", 2, 7), startedAt("late", 3, 1)}, false)
+	assert.DeepEqual(t, serviceIDs(list), []definer.UpstreamName{"a", "b"})
 
 	change := list.Leave(first)
 	assert.Assert(t, change != nil && change.Upstream.Leaving && !change.Removed)
 	assert.Assert(t, list.Leave(first) == nil, "it was known")
-	assert.DeepEqual(t, ids(list), []definer.UpstreamName{"b"})
-	list.Apply(time.Time{}, []registrar.Change{{Upstream: born("a", 5, 7)}}, false)
-	list.Apply(time.Time{}, []registrar.Change{{Upstream: born("a", 6, 0)}}, false)
-	assert.DeepEqual(t, ids(list), []definer.UpstreamName{"b"})
-	list.Replace(time.Time{}, []registrar.Upstream{born("a", 7, 7), born("b", 2, 7)}, true)
-	assert.DeepEqual(t, ids(list), []definer.UpstreamName{"b"})
-
-	// It has started again.
-	list.Apply(time.Time{}, []registrar.Change{{Upstream: born("a", 8, 8)}}, false)
-	assert.DeepEqual(t, ids(list), []definer.UpstreamName{"a", "b"})
+	assert.DeepEqual(t, serviceIDs(list), []definer.UpstreamName{"b"})
+	list.Apply(time.Time{}, []registrar.Change{{Upstream: startedAt("a", 5, 7)}}, false)
+	list.Apply(time.Time{}, []registrar.Change{{Upstream: startedAt("a", 6, 0)}}, false)
+	assert.DeepEqual(t, serviceIDs(list), []definer.UpstreamName{"b"})
+	list.Replace(time.Time{}, []registrar.Upstream{startedAt("a", 7, 7), startedAt("b", 2, 7)}, true)
+	assert.DeepEqual(t, serviceIDs(list), []definer.UpstreamName{"b"})
+
+	// The upstream has restarted.
+	list.Apply(time.Time{}, []registrar.Change{{Upstream: startedAt("a", 8, 8)}}, false)
+	assert.DeepEqual(t, serviceIDs(list), []definer.UpstreamName{"a", "b"})
 }
 
-// TestAWordOutlivesAnUnknownStart holds that one whose entry told no start, and does later, is
-// the same start.
+// TestAWordOutlivesAnUnknownStart checks that an upstream stays leaving when its entry
+// had no incarnation at the announcement and gets one later: it is the same start.
 func TestAWordOutlivesAnUnknownStart(t *testing.T) {
 	list := registrar.New()
 	list.Replace(time.Time{}, []registrar.Upstream{entry("a", 1, false)}, false)
 	list.Leave(definer.UpstreamStart{Upstream: "a"})
-	told := entry("a", 2, false)
-	told.Incarnation = 7
-	list.Apply(time.Time{}, []registrar.Change{{Upstream: told}}, false)
-	assert.Equal(t, len(ids(list)), 0)
+	withStart := entry("a", 2, false)
+	withStart.Incarnation = 7
+	list.Apply(time.Time{}, []registrar.Change{{Upstream: withStart}}, false)
+	assert.Equal(t, len(serviceIDs(list)), 0)
 }
 
-// TestDepartingIsBounded holds that words of upstreams that are not listed do not pile up, and
-// that those of listed ones stay.
+// TestDepartingIsBounded checks that the bound on announcements that are kept does not drop that of an
+// upstream that is registered, however many starts that are not registered announce
+// that they are leaving.
 func TestDepartingIsBounded(t *testing.T) {
 	list := registrar.New()
 	list.Replace(time.Time{}, []registrar.Upstream{entry("a", 1, false)}, false)
@@ -158,5 +159,5 @@
 		list.Leave(definer.UpstreamStart{Upstream: "gone", Incarnation: definer.Incarnation(number + 1)})
 	}
 	list.Apply(time.Time{}, []registrar.Change{{Upstream: entry("a", 2, false)}}, false)
-	assert.Equal(t, len(ids(list)), 0)
+	assert.Equal(t, len(serviceIDs(list)), 0)
 }
