--- a/chronicler/chronicler.go
+++ b/chronicler/chronicler.go
@@ -1,6 +1,6 @@
-// Package chronicler keeps the entries of one kind in the order in which the store
-// changed them, so that a node that knows them up to some revision can be told just what
-// came after, by the store or by any node that knows more.
+// Package chronicler keeps a replicated change log of the store's entries of one kind: the
+// last change of each entry, ordered by revision. A node that has the log up to some
+// revision can get just the later changes, from the store or from any node that has them.
 package chronicler
 
 import (
@@ -9,112 +9,115 @@
 	"sync"
 )
 
-// maxRemovals is how many removals are kept. A node that missed more is told everything
-// anew; 4,096 are those of some hours of a deployment of 390 nodes and 2,800 upstreams,
-// in 300 KB.
-const maxRemovals = 4096
+// maxTombstones is how many removals are kept. A node that missed more gets all entries
+// again. 4,096 removals, which take 300 KB, cover some hours of a deployment of 390 nodes
+// and 2,800 upstreams.
+const maxTombstones = 4096
 
 // Record is the last change of one entry.
 type Record[Entry any] struct {
 	Name     string
 	Revision uint64
 	Removed  bool
-	// Doubted removals were seen soon after an outage of the store: the entry may come
-	// back.
+	// Doubted reports whether a removal was seen soon after an outage of the store,
+	// so that the entry may come back.
 	Doubted bool
-	// Entry is what the entry holds; empty when it was removed.
+	// Entry is the content of the entry; the zero value if it was removed.
 	Entry Entry
 }
 
-// Position is where whoever tells a node more is to go on.
+// Position tells other nodes from where on a node needs changes.
 type Position struct {
-	// UpTo is the revision up to which the node knows everything, or has been told so far
-	// of what it is told from the beginning.
+	// UpTo is the revision up to which the node has all changes or, while it receives
+	// all entries again, has received them so far.
 	UpTo uint64
-	// Forgotten is, while it is told from the beginning, the revision up to which removals
-	// need not be told.
+	// Forgotten is the revision up to which removals need not be sent to a node that
+	// receives all entries again, otherwise 0.
 	Forgotten uint64
 }
 
-// Excerpt is a part of a chronicle: whoever knows all up to From knows all up to To with
-// it. Of each entry it holds the last change alone; one that changed again behind To is
-// left as it was, and comes with what follows.
+// Excerpt is a range of a change log: a node that has all changes up to From has those up
+// to To after applying it. It holds the last change of each entry alone, so an entry that
+// changed again after To is not part of it but of a later excerpt.
 type Excerpt[Entry any] struct {
 	From, To uint64
-	// Forgotten is the revision up to which removals may be missing: whoever knows all up
-	// to less has to be told from the beginning.
+	// Forgotten is the revision up to which removals may be missing: a node that has
+	// the changes up to an earlier revision only needs all entries again.
 	Forgotten uint64
-	// Records are in the order of their revisions, which lie above From and not above To.
+	// Records are sorted by revision; the revisions are above From and at most To.
 	Records []Record[Entry]
-	// Known is the revision up to which the teller knows everything. What is told from
-	// the beginning is whole only there: entries that have changed since are left out
-	// before.
+	// Known is the revision up to which the sender has all changes. Excerpts that start
+	// at 0 are complete only once they reach it, since entries that changed meanwhile
+	// are left out until then.
 	Known uint64
 }
 
-// Reading is what came of an Excerpt or an answer of the store.
+// Reading is the effect of an Excerpt or of an answer of the store on the log.
 type Reading[Entry any] struct {
-	// Whole is set when All replaces what was known before.
+	// Whole reports whether All replaces all entries that were known before.
 	Whole bool
 	All   []Record[Entry]
-	// Records are those that changed what was known, in their order.
+	// Records are the changes that were new, sorted by revision.
 	Records []Record[Entry]
 }
 
-// Chronicler is the chronicle of one kind. It is safe for concurrent use.
+// Chronicler keeps the change log of one kind of entries. It is safe for concurrent use.
 type Chronicler[Entry any] struct {
-	// mutex guards the rest; no other lock is taken under it.
-	mutex sync.Mutex
-	known *chronicle[Entry]
-	// draft is what is being told anew from the beginning, nil when nothing is. It takes
-	// the place of known once it reaches whole.
-	draft *chronicle[Entry]
-	whole uint64
+	// mutex guards the other fields; no other lock is taken while it is held.
+	mutex   sync.Mutex
+	current *changeLog[Entry]
+	// replacement is the log that is being received from the beginning, otherwise nil.
+	// It becomes current once it reaches completeAt.
+	replacement *changeLog[Entry]
+	// completeAt is the highest Known of the excerpts in replacement.
+	completeAt uint64
 }
 
-// New returns a Chronicler that knows nothing.
+// New returns a Chronicler with an empty log.
 func New[Entry any]() *Chronicler[Entry] {
-	return &Chronicler[Entry]{known: newChronicle[Entry]()}
+	return &Chronicler[Entry]{current: newChangeLog[Entry]()}
 }
 
-// Known returns the revision up to which everything is known; 0 is nothing.
+// Known returns the revision up to which all changes are known; 0 if none are.
 func (chronicler *Chronicler[Entry]) Known() uint64 {
 	chronicler.mutex.Lock()
 	defer chronicler.mutex.Unlock()
-	return chronicler.known.upTo
+	return chronicler.current.revision
 }
 
-// Position returns where whoever tells this node more is to go on.
+// Position returns the position from which other nodes should send changes.
 func (chronicler *Chronicler[Entry]) Position() Position {
 	chronicler.mutex.Lock()
 	defer chronicler.mutex.Unlock()
-	if draft := chronicler.draft; draft != nil {
-		return Position{UpTo: draft.upTo, Forgotten: draft.forgotten}
+	if replacement := chronicler.replacement; replacement != nil {
+		return Position{UpTo: replacement.revision, Forgotten: replacement.compactedTo}
 	}
-	return Position{UpTo: chronicler.known.upTo}
+	return Position{UpTo: chronicler.current.revision}
 }
 
-// Listed takes in all entries that the store had at the revision. A list older than what
-// is known changes nothing. Doubted is set soon after an outage.
+// Listed applies a list of all entries that the store had at the revision; a list older
+// than Known changes nothing. doubted says that the list was read soon after an outage and
+// is passed on to the removals that it shows.
 func (chronicler *Chronicler[Entry]) Listed(records []Record[Entry], revision uint64, doubted bool) Reading[Entry] {
 	chronicler.mutex.Lock()
 	defer chronicler.mutex.Unlock()
-	first := chronicler.known.upTo == 0
-	if revision < chronicler.known.upTo {
+	first := chronicler.current.revision == 0
+	if revision < chronicler.current.revision {
 		return Reading[Entry]{}
 	}
-	chronicler.draft = nil
-	changed := chronicler.known.list(records, revision, doubted)
+	chronicler.replacement = nil
+	changed := chronicler.current.replaceAll(records, revision, doubted)
 	if first {
-		return Reading[Entry]{Whole: true, All: chronicler.known.present()}
+		return Reading[Entry]{Whole: true, All: chronicler.current.live()}
 	}
 	return Reading[Entry]{Records: changed}
 }
 
-// Watched takes in the changes that the store made, in their order, since a revision up to
-// which all is known. The revisions of removals are not relied on: the store may tell that
-// of the entry's last writing. Each counts as made just before the change behind it, which
-// is never too early, so that nobody misses it.
+// Watched applies the changes that the store made up to revision, in their order. They have
+// to begin after a revision up to which all changes are known. The revisions of removals are
+// not used, since the store may report that of the entry's last write. Each removal gets
+// the revision just before the next write instead, or the given one if no write follows.
+// That is never too early, so no node misses the removal.
 func (chronicler *Chronicler[Entry]) Watched(records []Record[Entry], revision uint64) Reading[Entry] {
 	records = slices.Clone(records)
 	latest := revision
@@ -127,183 +130,190 @@
 	}
 	chronicler.mutex.Lock()
 	defer chronicler.mutex.Unlock()
-	return Reading[Entry]{Records: chronicler.known.add(records, revision)}
+	return Reading[Entry]{Records: chronicler.current.add(records, revision)}
 }
 
-// Told takes in what a peer told. An excerpt that begins behind what is known is of no
-// use and changes nothing.
+// Told applies an excerpt from a peer. An excerpt that begins after what is known leaves a
+// gap and changes nothing.
 func (chronicler *Chronicler[Entry]) Told(excerpt Excerpt[Entry]) Reading[Entry] {
 	chronicler.mutex.Lock()
 	defer chronicler.mutex.Unlock()
-	known := chronicler.known
-	if known.upTo > 0 && excerpt.From <= known.upTo && excerpt.Forgotten <= known.upTo {
-		chronicler.draft = nil
-		return Reading[Entry]{Records: known.add(excerpt.Records, excerpt.To)}
+	current := chronicler.current
+	if current.revision > 0 && excerpt.From <= current.revision && excerpt.Forgotten <= current.revision {
+		chronicler.replacement = nil
+		return Reading[Entry]{Records: current.add(excerpt.Records, excerpt.To)}
 	}
-	return chronicler.toldAnew(excerpt)
+	return chronicler.receiveSnapshot(excerpt)
 }
 
-// toldAnew takes in a part of what is told from the beginning; mutex is held.
-func (chronicler *Chronicler[Entry]) toldAnew(excerpt Excerpt[Entry]) Reading[Entry] {
+// receiveSnapshot adds an excerpt to the log that is received from the beginning; mutex is
+// held.
+func (chronicler *Chronicler[Entry]) receiveSnapshot(excerpt Excerpt[Entry]) Reading[Entry] {
 	if excerpt.From == 0 {
-		chronicler.draft = newChronicle[Entry]()
-		chronicler.draft.forgotten = excerpt.Forgotten
-		chronicler.whole = 0
+		chronicler.replacement = newChangeLog[Entry]()
+		chronicler.replacement.compactedTo = excerpt.Forgotten
+		chronicler.completeAt = 0
 	}
-	draft := chronicler.draft
-	if draft == nil || excerpt.From > draft.upTo || !draft.goesOnWith(excerpt) {
+	replacement := chronicler.replacement
+	if replacement == nil || excerpt.From > replacement.revision || !replacement.continuesWith(excerpt) {
 		return Reading[Entry]{}
 	}
-	draft.add(excerpt.Records, excerpt.To)
-	chronicler.whole = max(chronicler.whole, excerpt.Known)
-	if draft.upTo < chronicler.whole {
+	replacement.add(excerpt.Records, excerpt.To)
+	chronicler.completeAt = max(chronicler.completeAt, excerpt.Known)
+	if replacement.revision < chronicler.completeAt {
 		return Reading[Entry]{}
 	}
-	chronicler.draft = nil
-	if draft.upTo < chronicler.known.upTo {
+	chronicler.replacement = nil
+	if replacement.revision < chronicler.current.revision {
 		return Reading[Entry]{}
 	}
-	chronicler.known = draft
-	return Reading[Entry]{Whole: true, All: draft.present()}
+	chronicler.current = replacement
+	return Reading[Entry]{Whole: true, All: replacement.live()}
 }
 
-// Since returns at most so many records behind the position, or from the beginning when
-// what was removed since is no longer known. There is none to tell when the second result
-// is false.
-func (chronicler *Chronicler[Entry]) Since(position Position, most int) (Excerpt[Entry], bool) {
+// Since returns the first records after the position, or from the beginning if removals
+// since then were dropped. It returns at most limit records, but never divides those of one
+// revision. It reports false if there is nothing to send.
+func (chronicler *Chronicler[Entry]) Since(position Position, limit int) (Excerpt[Entry], bool) {
 	chronicler.mutex.Lock()
 	defer chronicler.mutex.Unlock()
-	known := chronicler.known
-	if position.UpTo >= known.upTo || position.Forgotten > known.upTo {
+	current := chronicler.current
+	if position.UpTo >= current.revision || position.Forgotten > current.revision {
 		return Excerpt[Entry]{}, false
 	}
-	if max(position.UpTo, position.Forgotten) < known.forgotten {
-		return known.since(0, most), true
+	if max(position.UpTo, position.Forgotten) < current.compactedTo {
+		return current.excerptAfter(0, limit), true
 	}
-	return known.since(position.UpTo, most), true
+	return current.excerptAfter(position.UpTo, limit), true
 }
 
-// chronicle is the entries and removals by their revisions.
-type chronicle[Entry any] struct {
-	// upTo is the revision up to which everything is known.
-	upTo uint64
-	// forgotten is the revision up to which removals may be missing.
-	forgotten uint64
-	byName    map[string]Record[Entry]
-	// inOrder holds the same by revision; nil when it has to be sorted anew.
-	inOrder []Record[Entry]
+// changeLog holds the last change of each entry, removals included.
+type changeLog[Entry any] struct {
+	// revision is the revision up to which all changes are known.
+	revision uint64
+	// compactedTo is the revision up to which removals may be missing.
+	compactedTo uint64
+	byName      map[string]Record[Entry]
+	// byRevision holds the records of byName sorted by revision; nil if they have to be
+	// sorted again.
+	byRevision []Record[Entry]
 }
 
-func newChronicle[Entry any]() *chronicle[Entry] {
-	return &chronicle[Entry]{byName: make(map[string]Record[Entry])}
+func newChangeLog[Entry any]() *changeLog[Entry] {
+	return &changeLog[Entry]{byName: make(map[string]Record[Entry])}
 }
 
-// list takes in all entries as of the revision and returns what changed.
-func (chronicle *chronicle[Entry]) list(records []Record[Entry], revision uint64, doubted bool) []Record[Entry] {
+// replaceAll applies a list of all entries as of the revision and returns the changes.
+func (changeLog *changeLog[Entry]) replaceAll(records []Record[Entry], revision uint64, doubted bool) []Record[Entry] {
 	listed := make(map[string]bool, len(records))
 	for _, record := range records {
 		listed[record.Name] = true
 	}
 	changes := slices.Clone(records)
-	for name, record := range chronicle.byName {
+	for name, record := range changeLog.byName {
 		if !listed[name] && !record.Removed {
 			changes = append(changes, Record[Entry]{Name: name, Revision: revision, Removed: true, Doubted: doubted})
 		}
 	}
-	// A list does not tell of entries that came and went since.
-	chronicle.forgotten = max(chronicle.forgotten, revision)
-	return chronicle.add(changes, revision)
+	// A list does not show entries that were written and removed since the last one.
+	changeLog.compactedTo = max(changeLog.compactedTo, revision)
+	return changeLog.add(changes, revision)
 }
 
-// add takes in changes and returns those that are news, in their order. Up to upTo all is
-// known already: what a late message tells of that may have been removed since.
-func (chronicle *chronicle[Entry]) add(records []Record[Entry], upTo uint64) []Record[Entry] {
-	var news []Record[Entry]
+// add applies changes and returns those that are new, sorted by revision. It ignores
+// changes up to the log's revision: they are known, and an entry in a late message may have
+// been removed since.
+func (changeLog *changeLog[Entry]) add(records []Record[Entry], upTo uint64) []Record[Entry] {
+	var changed []Record[Entry]
 	for _, record := range records {
-		if record.Revision <= chronicle.upTo || chronicle.byName[record.Name].Revision >= record.Revision {
+		if record.Revision <= changeLog.revision || changeLog.byName[record.Name].Revision >= record.Revision {
 			continue
 		}
-		chronicle.byName[record.Name] = record
-		news = append(news, record)
+		changeLog.byName[record.Name] = record
+		changed = append(changed, record)
 	}
-	chronicle.upTo = max(chronicle.upTo, upTo)
-	if len(news) > 0 {
-		chronicle.inOrder = nil
-		chronicle.forget()
+	changeLog.revision = max(changeLog.revision, upTo)
+	if len(changed) > 0 {
+		changeLog.byRevision = nil
+		changeLog.compact()
 	}
-	sortByRevision(news)
-	return news
+	sortByRevision(changed)
+	return changed
 }
 
-// forget drops the earliest removals beyond maxRemovals.
-func (chronicle *chronicle[Entry]) forget() {
+// compact drops the earliest removals if there are more than maxTombstones, and leaves half
+// of that number.
+func (changeLog *changeLog[Entry]) compact() {
 	var removals []Record[Entry]
-	for _, record := range chronicle.byName {
+	for _, record := range changeLog.byName {
 		if record.Removed {
 			removals = append(removals, record)
 		}
 	}
-	if len(removals) <= maxRemovals {
+	if len(removals) <= maxTombstones {
 		return
 	}
 	sortByRevision(removals)
-	for _, record := range removals[:len(removals)-maxRemovals/2] {
-		delete(chronicle.byName, record.Name)
-		chronicle.forgotten = max(chronicle.forgotten, record.Revision)
+	for _, record := range removals[:len(removals)-maxTombstones/2] {
+		delete(changeLog.byName, record.Name)
+		changeLog.compactedTo = max(changeLog.compactedTo, record.Revision)
 	}
 }
 
-// goesOnWith tells whether what was told from the beginning goes on with the excerpt: its
-// teller keeps each removal that was not told yet, and knows of each that need not be.
-func (chronicle *chronicle[Entry]) goesOnWith(excerpt Excerpt[Entry]) bool {
-	return excerpt.Forgotten <= max(chronicle.upTo, chronicle.forgotten) && excerpt.Known >= chronicle.forgotten
+// continuesWith reports whether the excerpt continues a log that is received from the
+// beginning: its sender still has each removal that was not sent yet, and has the changes
+// up to the revision below which removals need not be sent.
+func (changeLog *changeLog[Entry]) continuesWith(excerpt Excerpt[Entry]) bool {
+	return excerpt.Forgotten <= max(changeLog.revision, changeLog.compactedTo) && excerpt.Known >= changeLog.compactedTo
 }
 
-// since returns at most so many records behind the position.
-func (chronicle *chronicle[Entry]) since(position uint64, most int) Excerpt[Entry] {
-	if chronicle.inOrder == nil {
-		for _, record := range chronicle.byName {
-			chronicle.inOrder = append(chronicle.inOrder, record)
+// excerptAfter returns an excerpt with the first records after the position; limit is that
+// of pageEnd.
+func (changeLog *changeLog[Entry]) excerptAfter(position uint64, limit int) Excerpt[Entry] {
+	if changeLog.byRevision == nil {
+		for _, record := range changeLog.byName {
+			changeLog.byRevision = append(changeLog.byRevision, record)
 		}
-		sortByRevision(chronicle.inOrder)
+		sortByRevision(changeLog.byRevision)
 	}
-	first, _ := slices.BinarySearchFunc(chronicle.inOrder, position, func(record Record[Entry], position uint64) int {
+	first, _ := slices.BinarySearchFunc(changeLog.byRevision, position, func(record Record[Entry], position uint64) int {
 		if record.Revision <= position {
 			return -1
 		}
 		return 1
 	})
-	records := chronicle.inOrder[first:]
-	excerpt := Excerpt[Entry]{From: position, To: chronicle.upTo, Forgotten: chronicle.forgotten, Known: chronicle.upTo, Records: records}
-	if end := endOfPart(records, most); end < len(records) {
+	records := changeLog.byRevision[first:]
+	excerpt := Excerpt[Entry]{From: position, To: changeLog.revision, Forgotten: changeLog.compactedTo, Known: changeLog.revision, Records: records}
+	if end := pageEnd(records, limit); end < len(records) {
 		excerpt.Records = records[:end]
 		excerpt.To = records[end-1].Revision
 	}
 	return excerpt
 }
 
-// endOfPart returns where a part of so many records ends: those of one revision, which
-// a list gives to all removals that it shows, stay together.
-func endOfPart[Entry any](records []Record[Entry], most int) int {
-	end := min(most, len(records))
+// pageEnd returns the end of a page of at most limit records, or of more if it would divide
+// records of one revision: all removals that a list shows have that of the list.
+func pageEnd[Entry any](records []Record[Entry], limit int) int {
+	end := min(limit, len(records))
 	for end > 0 && end < len(records) && records[end].Revision == records[end-1].Revision {
 		end++
 	}
 	return end
 }
 
-// present returns the entries that are there, in the order of their revisions.
-func (chronicle *chronicle[Entry]) present() []Record[Entry] {
-	var present []Record[Entry]
-	for _, record := range chronicle.byName {
+// live returns the entries that are not removed, sorted by revision.
+func (changeLog *changeLog[Entry]) live() []Record[Entry] {
+	var live []Record[Entry]
+	for _, record := range changeLog.byName {
 		if !record.Removed {
-			present = append(present, record)
+			live = append(live, record)
 		}
 	}
-	sortByRevision(present)
-	return present
+	sortByRevision(live)
+	return live
 }
 
+// sortByRevision sorts records by revision, then by name.
 func sortByRevision[Entry any](records []Record[Entry]) {
 	slices.SortFunc(records, func(left, right Record[Entry]) int {
 		return cmp.Or(cmp.Compare(left.Revision, right.Revision), cmp.Compare(left.Name, right.Name))
--- a/chronicler/chronicler_test.go
+++ b/chronicler/chronicler_test.go
@@ -8,46 +8,46 @@
 	"gotest.tools/v3/assert"
 )
 
-// world is the truth of a store, and nodes that know parts of it.
-type world struct {
+// fakeStore is a store that keeps its entries and all changes made to them.
+type fakeStore struct {
 	entries  map[string]uint64
 	changes  []Record[int]
 	revision uint64
 }
 
-func newWorld() *world { return &world{entries: make(map[string]uint64)} }
+func newFakeStore() *fakeStore { return &fakeStore{entries: make(map[string]uint64)} }
 
 // change writes or removes an entry.
-func (world *world) change(name string, removed bool) {
-	world.revision++
-	record := Record[int]{Name: name, Revision: world.revision, Removed: removed, Entry: int(world.revision)}
+func (fakeStore *fakeStore) change(name string, removed bool) {
+	fakeStore.revision++
+	record := Record[int]{Name: name, Revision: fakeStore.revision, Removed: removed, Entry: int(fakeStore.revision)}
 	if removed {
 		record.Entry = 0
-		delete(world.entries, name)
+		delete(fakeStore.entries, name)
 	} else {
-		world.entries[name] = world.revision
+		fakeStore.entries[name] = fakeStore.revision
 	}
-	world.changes = append(world.changes, record)
+	fakeStore.changes = append(fakeStore.changes, record)
 }
 
-// list returns all entries, as the store's list has them.
-func (world *world) list() []Record[int] {
+// list returns all entries, as a list of the store does.
+func (fakeStore *fakeStore) list() []Record[int] {
 	var records []Record[int]
-	for name, revision := range world.entries {
+	for name, revision := range fakeStore.entries {
 		records = append(records, Record[int]{Name: name, Revision: revision, Entry: int(revision)})
 	}
 	return records
 }
 
-// watch returns the changes after a revision, as the store's watch has them: removals with
-// the revision of the entry's last writing.
-func (world *world) watch(revision uint64) []Record[int] {
-	records := world.since(revision)
+// watch returns the changes after a revision, as a watch of the store does: removals have
+// the revision of the entry's last write.
+func (fakeStore *fakeStore) watch(revision uint64) []Record[int] {
+	records := fakeStore.since(revision)
 	for index, record := range records {
 		if !record.Removed {
 			continue
 		}
-		for _, earlier := range world.changes {
+		for _, earlier := range fakeStore.changes {
 			if earlier.Name == record.Name && earlier.Revision < record.Revision && !earlier.Removed {
 				records[index].Revision = earlier.Revision
 			}
@@ -57,9 +57,9 @@
 }
 
 // since returns the changes after a revision.
-func (world *world) since(revision uint64) []Record[int] {
+func (fakeStore *fakeStore) since(revision uint64) []Record[int] {
 	var records []Record[int]
-	for _, record := range world.changes {
+	for _, record := range fakeStore.changes {
 		if record.Revision > revision {
 			records = append(records, record)
 		}
@@ -67,10 +67,11 @@
 	return records
 }
 
-// view is what a user of a chronicle holds by what it is told to hold.
+// view holds the revisions of the entries that a user of a Chronicler has after applying
+// each Reading.
 type view map[string]uint64
 
-func (view view) take(reading Reading[int]) {
+func (view view) apply(reading Reading[int]) {
 	if reading.Whole {
 		clear(view)
 		for _, record := range reading.All {
@@ -86,83 +87,83 @@
 	}
 }
 
-// check compares the view with the truth at a revision, but for entries changed since.
-func (view view) check(t *testing.T, truth map[string]uint64, since []Record[int]) {
+// checkAgainst compares the view with the entries of the store at a revision, except for
+// entries that changed since.
+func (view view) checkAgainst(t *testing.T, truth map[string]uint64, since []Record[int]) {
 	t.Helper()
-	held, had := clone(view), clone(truth)
+	got, want := copyEntries(view), copyEntries(truth)
 	for _, record := range since {
-		delete(held, record.Name)
-		delete(had, record.Name)
+		delete(got, record.Name)
+		delete(want, record.Name)
 	}
-	assert.DeepEqual(t, held, had)
+	assert.DeepEqual(t, got, want)
 }
 
-// TestAnyTellerBringsAnyNodeUpToDate plays random changes, lists, watches and excerpts
-// between nodes, among them excerpts that are late, doubled, cut into parts or told by
-// nodes that forgot removals: what a user holds is at each moment what the store had at
-// the revision that the node says it knows, but for entries that have changed since, and
-// every node ends with the truth.
+// TestAnyTellerBringsAnyNodeUpToDate runs random changes, lists, watches and excerpts
+// between nodes. Excerpts may be late, duplicated, in parts or from nodes that dropped
+// removals. At each step, each view has to equal the store at the revision that its node
+// reports as known, except for entries that changed since; all nodes end up to date.
 func TestAnyTellerBringsAnyNodeUpToDate(t *testing.T) {
 	const nodes, seeds = 4, 60
 	for seed := range uint64(seeds) {
 		random := rand.New(rand.NewPCG(seed, 7))
-		world := newWorld()
-		known := make([]*Chronicler[int], nodes)
+		fakeStore := newFakeStore()
+		chroniclers := make([]*Chronicler[int], nodes)
 		views := make([]view, nodes)
 		truth := map[uint64]map[string]uint64{0: {}}
-		for index := range known {
-			known[index], views[index] = New[int](), view{}
+		for index := range chroniclers {
+			chroniclers[index], views[index] = New[int](), view{}
 		}
-		var late []func()
+		var pending []func()
 		for range 200 {
 			switch random.IntN(6) {
 			case 0, 1:
-				world.change(fmt.Sprint(random.IntN(12)), random.IntN(3) == 0)
-				truth[world.revision] = clone(world.entries)
+				fakeStore.change(fmt.Sprint(random.IntN(12)), random.IntN(3) == 0)
+				truth[fakeStore.revision] = copyEntries(fakeStore.entries)
 			case 2:
 				node := random.IntN(nodes)
-				views[node].take(known[node].Listed(world.list(), world.revision, false))
+				views[node].apply(chroniclers[node].Listed(fakeStore.list(), fakeStore.revision, false))
 			case 3:
 				node := random.IntN(nodes)
-				if revision := known[node].Known(); revision > 0 {
-					views[node].take(known[node].Watched(world.watch(revision), world.revision))
+				if revision := chroniclers[node].Known(); revision > 0 {
+					views[node].apply(chroniclers[node].Watched(fakeStore.watch(revision), fakeStore.revision))
 				}
 			case 4:
-				teller, node := random.IntN(nodes), random.IntN(nodes)
+				sender, node := random.IntN(nodes), random.IntN(nodes)
 				if random.IntN(4) == 0 {
-					forgetAll(known[teller].known)
+					dropRemovals(chroniclers[sender].current)
 				}
-				if excerpt, ok := known[teller].Since(known[node].Position(), 1+random.IntN(5)); ok {
-					late = append(late, func() { views[node].take(known[node].Told(excerpt)) })
+				if excerpt, ok := chroniclers[sender].Since(chroniclers[node].Position(), 1+random.IntN(5)); ok {
+					pending = append(pending, func() { views[node].apply(chroniclers[node].Told(excerpt)) })
 				}
 			case 5:
-				if len(late) > 0 {
-					late[random.IntN(len(late))]()
+				if len(pending) > 0 {
+					pending[random.IntN(len(pending))]()
 				}
 			}
-			for node := range known {
-				if revision := known[node].Known(); revision > 0 {
-					views[node].check(t, truth[revision], world.since(revision))
+			for node := range chroniclers {
+				if revision := chroniclers[node].Known(); revision > 0 {
+					views[node].checkAgainst(t, truth[revision], fakeStore.since(revision))
 				}
 			}
 		}
-		if world.revision == 0 {
+		if fakeStore.revision == 0 {
 			continue
 		}
-		views[0].take(known[0].Listed(world.list(), world.revision, false))
+		views[0].apply(chroniclers[0].Listed(fakeStore.list(), fakeStore.revision, false))
 		for node := 1; node < nodes; node++ {
 			for range 100 {
-				if excerpt, ok := known[0].Since(known[node].Position(), 3); ok {
-					views[node].take(known[node].Told(excerpt))
+				if excerpt, ok := chroniclers[0].Since(chroniclers[node].Position(), 3); ok {
+					views[node].apply(chroniclers[node].Told(excerpt))
 				}
 			}
-			assert.Equal(t, known[node].Known(), world.revision, "seed %d", seed)
-			assert.DeepEqual(t, map[string]uint64(views[node]), clone(world.entries))
+			assert.Equal(t, chroniclers[node].Known(), fakeStore.revision, "seed %d", seed)
+			assert.DeepEqual(t, map[string]uint64(views[node]), copyEntries(fakeStore.entries))
 		}
 	}
 }
 
-func clone(entries map[string]uint64) map[string]uint64 {
+func copyEntries(entries map[string]uint64) map[string]uint64 {
 	copied := make(map[string]uint64, len(entries))
 	for name, revision := range entries {
 		copied[name] = revision
@@ -170,35 +171,35 @@
 	return copied
 }
 
-// forgetAll drops every removal, as one that keeps few of them does.
-func forgetAll(chronicle *chronicle[int]) {
-	for name, record := range chronicle.byName {
+// dropRemovals drops all removals, as compaction drops the earliest.
+func dropRemovals(changeLog *changeLog[int]) {
+	for name, record := range changeLog.byName {
 		if record.Removed {
-			delete(chronicle.byName, name)
-			chronicle.forgotten = max(chronicle.forgotten, record.Revision)
-			chronicle.inOrder = nil
+			delete(changeLog.byName, name)
+			changeLog.compactedTo = max(changeLog.compactedTo, record.Revision)
+			changeLog.byRevision = nil
 		}
 	}
 }
 
-// TestRemovalsAreBounded holds that a store whose entries come and go for ever fills no
-// memory, and that who missed the removals is told anew.
+// TestRemovalsAreBounded checks that the memory stays bounded while entries are written and
+// removed without end, and that a node that missed dropped removals gets all entries again.
 func TestRemovalsAreBounded(t *testing.T) {
 	chronicler := New[int]()
 	chronicler.Listed(nil, 1, false)
-	for revision := uint64(2); revision < 4*maxRemovals; revision += 2 {
+	for revision := uint64(2); revision < 4*maxTombstones; revision += 2 {
 		name := fmt.Sprint(revision)
 		chronicler.Watched([]Record[int]{{Name: name, Revision: revision}, {Name: name, Revision: revision + 1, Removed: true}}, revision+1)
 	}
-	assert.Assert(t, len(chronicler.known.byName) <= maxRemovals+1)
+	assert.Assert(t, len(chronicler.current.byName) <= maxTombstones+1)
 	excerpt, ok := chronicler.Since(Position{UpTo: 1}, 10)
 	assert.Assert(t, ok)
 	assert.Equal(t, excerpt.From, uint64(0))
 	assert.Assert(t, excerpt.Forgotten > 1)
 }
 
-// TestRemovalsSeenByOneListStayTogether holds that a part does not end between entries
-// that share a revision: the next part would not hold the others.
+// TestRemovalsSeenByOneListStayTogether checks that an excerpt does not end between records
+// of one revision, since the next excerpt would lack the others.
 func TestRemovalsSeenByOneListStayTogether(t *testing.T) {
 	chronicler := New[int]()
 	chronicler.Listed([]Record[int]{{Name: "a", Revision: 1}, {Name: "b", Revision: 2}, {Name: "c", Revision: 3}}, 3, false)
