--- a/steward/doc.go
+++ b/steward/doc.go
@@ -1,8 +1,8 @@
-// Package steward fulfils the duties that are one node's at a time: it tells the platform
-// how many requests of each organisation began in each window of time, and orders engines.
-// Any node that aggregates the reports of others may do so; which does follows from the
-// list of nodes and from who answers, and from the store's object of each duty, by which
-// package leaseholder keeps two from acting as one.
+// Package steward performs the singleton tasks of a deployment, called duties: reporting to
+// the platform how many requests of each organisation began in each time window, and ordering
+// engines. Any node that aggregates the reports of others may hold a duty; the holder follows
+// from the list of nodes, from which of them answer, and from the fenced lease that package
+// leaseholder keeps in the store for each duty, so that no two nodes act at once.
 package steward
 
 import (
@@ -17,36 +17,36 @@
 	"limpetcleat/tallier"
 )
 
-// Grant is under what a node acts.
+// Grant is the lease under which a node acts.
 type Grant struct {
 	Holder definer.VM
-	// Token is the fencing token: an act with a lower one than the platform has seen is
-	// refused, where it looks at that.
+	// Token is the fencing token: a platform that checks it refuses a call with a lower
+	// token than it has seen.
 	Token uint64
 }
 
-// Platform carries out what the holder of a duty asks for. Errors are of package
+// Platform carries out the calls of the holder of a duty. Errors are of package
 // leaseholder.
 type Platform interface {
-	// Tell tells the usage of a window. The error is of kind Outdated if another has acted
-	// under a newer grant, Refused if nothing was done, else Unanswered.
+	// Tell reports the usage of a window. The error is of kind Outdated if another node has
+	// acted under a newer grant, Refused if nothing was done, else Unanswered.
 	Tell(ctx context.Context, grant Grant, usage *Settled) error
-	// Order orders so many engines. The error is of kind Outdated if another has acted
-	// under a newer grant, Unavailable if none are to be had, Refused if nothing was done,
-	// else Unanswered.
+	// Order sets a target number of engines. The error is of kind Outdated if another node
+	// has acted under a newer grant, Unavailable if the platform has no engines to give,
+	// Refused if nothing was done, else Unanswered.
 	Order(ctx context.Context, grant Grant, order *Order) error
 }
 
-// Order is how many engines of one kind a service is to have in a data centre.
+// Order is the target number of engines of one kind for a service in a data centre.
 type Order struct {
 	Service    definer.PoolName
 	DataCentre definer.DataCentre
-	// Spot orders engines that may be reclaimed.
+	// Spot selects engines that the platform may reclaim.
 	Spot  bool
 	Count int
 }
 
-// Services tells which services there are.
+// Services provides the configured services.
 type Services interface {
 	// Table returns the configuration in force, or nil.
 	Table() *router.Table
@@ -54,60 +54,64 @@
 
 // Directory lists engines.
 type Directory interface {
-	// Of returns those of a service that take work.
+	// Of returns the engines of a service that accept work.
 	Of(service definer.PoolName) []*registrar.Upstream
-	// Known tells whether the list was read yet.
+	// Known reports whether the list of engines has been read.
 	Known() bool
 }
 
-// Demand tells how much work there is.
+// Demand measures the load on engines.
 type Demand interface {
-	// Busy returns how many engines of a service the work of all nodes takes.
+	// Busy returns how many engines of a service the work of all nodes occupies.
 	Busy(now time.Time, service definer.PoolName) float64
 }
 
-// Fleet tells a node's place among the others.
+// Fleet orders the nodes for taking on duties.
 type Fleet interface {
-	// Precedence returns it, passing over aggregators that cannot take on a duty.
+	// Precedence returns this node's place in that order, without the aggregators for
+	// which passedOver returns true: those cannot take on a duty.
 	Precedence(now time.Time, passedOver func(vm definer.VM) bool) exchanger.Precedence
 }
 
-// Clock tells the true time.
+// Clock provides the time of day that nodes share.
 type Clock interface {
-	// Now returns what is taken for the true time.
+	// Now returns the best estimate of the true time.
 	Now() time.Time
 }
 
-// Sender sends messages to peers; it never blocks.
+// Sender sends messages to peers without blocking.
 type Sender interface {
 	Send(ctx context.Context, address string, message messenger.Message)
 }
 
-// Settled is the usage of a window as it is told, again and again the same.
+// Settled is the final usage of a window. Its counts never change once it is in the store, so
+// each repetition of a report has the same content.
 type Settled struct {
 	Window   tallier.Window                      `json:"window"`
 	Requests map[definer.OrganisationName]uint64 `json:"requests"`
-	// Whole is set if every process that was known had told all that it counted.
+	// Whole is set if every known process had reported all its counts.
 	Whole bool `json:"whole"`
-	// Told is set once the platform has taken it.
+	// Told is set once the platform has accepted the report.
 	Told bool `json:"told"`
 }
 
-// Book is what the store keeps of usage: what was settled lately, the oldest window first.
+// Book is the record of the usage duty in the store: the recently settled windows, the oldest
+// first.
 type Book struct {
 	Settled []Settled `json:"settled"`
 }
 
-// last returns the last window that is settled, or false if none is.
-func (book *Book) last() (tallier.Window, bool) {
+// lastWindow returns the newest settled window, or false if there is none.
+func (book *Book) lastWindow() (tallier.Window, bool) {
 	if len(book.Settled) == 0 {
 		return 0, false
 	}
 	return book.Settled[len(book.Settled)-1].Window, true
 }
 
-// untold returns the windows that are not known to have been told, the oldest first.
-func (book *Book) untold() []*Settled {
+// unreported returns the settled windows that the platform is not known to have accepted, the
+// oldest first.
+func (book *Book) unreported() []*Settled {
 	var untold []*Settled
 	for index := range book.Settled {
 		if !book.Settled[index].Told {
--- a/steward/engines_test.go
+++ b/steward/engines_test.go
@@ -17,58 +17,58 @@
 )
 
 const (
-	// pool is the service whose engines are ordered, bootTime how long one takes to start.
+	// pool is the service whose engines are ordered, bootTime how long an engine takes to start.
 	pool     = definer.PoolName("pool")
 	bootTime = 4 * time.Second
-	// mostEngines bounds those of a data centre, firstEngines stand there at first.
-	mostEngines  = 56
-	firstEngines = 28
-	spotPrice    = 0.18
+	// maxEngines bounds the engines of a data centre, initialEngines is their number at first.
+	maxEngines     = 56
+	initialEngines = 28
+	spotPrice      = 0.18
 )
 
-// places are the data centres.
-func places() []definer.DataCentre { return []definer.DataCentre{"a", "b", "c", "d"} }
+// dataCentres returns the data centres of the simulation.
+func dataCentres() []definer.DataCentre { return []definer.DataCentre{"a", "b", "c", "d"} }
 
-// engine is one that was ordered.
+// engine is one ordered engine.
 type engine struct {
 	dataCentre definer.DataCentre
 	spot       bool
 	servesAt   time.Time
 }
 
-// engines are those of the platform, which starts and ends them as it is ordered to.
+// engines simulates the engines of the platform, which starts and ends them as ordered.
 type engines struct {
 	table *router.Table
 
 	// mutex guards the rest; no other lock is taken under it.
-	mutex   sync.Mutex
-	list    map[int]engine
-	next    int
-	wanted  map[definer.DataCentre]scaler.Counts
-	busy    float64
-	dryTill time.Time
-	// orders counts those that changed what was wanted, least is the fewest that served.
+	mutex            sync.Mutex
+	list             map[int]engine
+	next             int
+	wanted           map[definer.DataCentre]scaler.Counts
+	busy             float64
+	unavailableUntil time.Time
+	// orders counts the orders that changed the wanted counts.
 	orders int
-	// paid is the price of all so far, in ordinary engines and seconds.
-	paid float64
-	at   time.Time
+	// accruedCost is the cost of all engines so far, in ordinary engines times seconds.
+	accruedCost float64
+	at          time.Time
 }
 
 func newEngines(t *testing.T) *engines {
 	t.Helper()
 	prices := make(map[definer.DataCentre]float64)
-	for _, place := range places() {
+	for _, place := range dataCentres() {
 		prices[place] = 1
 	}
 	table, err := router.New(router.Definition{Version: 1, Services: []router.Service{{
 		Name: pool, Engine: true,
-		Scaling: &router.Scaling{Least: 1, Most: mostEngines, Boot: bootTime, SpotPrice: spotPrice, Prices: prices},
+		Scaling: &router.Scaling{Least: 1, Most: maxEngines, Boot: bootTime, SpotPrice: spotPrice, Prices: prices},
 	}}})
 	assert.NilError(t, err)
 	engines := &engines{table: table, list: make(map[int]engine), wanted: make(map[definer.DataCentre]scaler.Counts), at: time.Now()}
-	for _, place := range places() {
-		engines.wanted[place] = scaler.Counts{Ordinary: firstEngines}
-		for range firstEngines {
+	for _, place := range dataCentres() {
+		engines.wanted[place] = scaler.Counts{Ordinary: initialEngines}
+		for range initialEngines {
 			engines.next++
 			engines.list[engines.next] = engine{dataCentre: place}
 		}
@@ -79,17 +79,17 @@
 // Table returns the configuration.
 func (engines *engines) Table() *router.Table { return engines.table }
 
-// Known tells that the list was read.
+// Known reports that the list of engines has been read.
 func (engines *engines) Known() bool { return true }
 
-// Busy returns how many engines the work takes.
+// Busy returns how many engines the load occupies.
 func (engines *engines) Busy(time.Time, definer.PoolName) float64 {
 	engines.mutex.Lock()
 	defer engines.mutex.Unlock()
 	return engines.busy
 }
 
-// Of returns the engines that take work.
+// Of returns the engines that accept work.
 func (engines *engines) Of(definer.PoolName) []*registrar.Upstream {
 	engines.mutex.Lock()
 	defer engines.mutex.Unlock()
@@ -102,18 +102,18 @@
 	return list
 }
 
-// order carries an order out and tells whether there were engines to be had.
+// order carries out an order and reports whether the engines were available.
 func (engines *engines) order(order *steward.Order) bool {
 	engines.mutex.Lock()
 	defer engines.mutex.Unlock()
-	engines.pay()
+	engines.accrueCost()
 	has := 0
 	for _, engine := range engines.list {
 		if engine.dataCentre == order.DataCentre && engine.spot == order.Spot {
 			has++
 		}
 	}
-	if order.Spot && order.Count > has && time.Now().Before(engines.dryTill) {
+	if order.Spot && order.Count > has && time.Now().Before(engines.unavailableUntil) {
 		return false
 	}
 	wanted := engines.wanted[order.DataCentre]
@@ -140,41 +140,41 @@
 	return true
 }
 
-// reclaim takes all engines that may be of a data centre; none are to be had for a time.
+// reclaim ends all spot engines of a data centre and makes new ones unavailable for a time.
 func (engines *engines) reclaim(place definer.DataCentre, dry time.Duration) {
 	engines.mutex.Lock()
 	defer engines.mutex.Unlock()
-	engines.pay()
+	engines.accrueCost()
 	for number, engine := range engines.list {
 		if engine.spot && engine.dataCentre == place {
 			delete(engines.list, number)
 		}
 	}
-	engines.dryTill = time.Now().Add(dry)
+	engines.unavailableUntil = time.Now().Add(dry)
 }
 
-// pay adds what the engines cost since; mutex is held.
-func (engines *engines) pay() {
+// accrueCost adds the cost of the engines since the last call. The caller holds mutex.
+func (engines *engines) accrueCost() {
 	for _, engine := range engines.list {
 		price := 1.0
 		if engine.spot {
 			price = spotPrice
 		}
-		engines.paid += price * time.Since(engines.at).Seconds()
+		engines.accruedCost += price * time.Since(engines.at).Seconds()
 	}
 	engines.at = time.Now()
 }
 
-// spent returns what the engines cost so far.
-func (engines *engines) spent() float64 {
+// cost returns the cost of the engines so far.
+func (engines *engines) cost() float64 {
 	engines.mutex.Lock()
 	defer engines.mutex.Unlock()
-	engines.pay()
-	return engines.paid
+	engines.accrueCost()
+	return engines.accruedCost
 }
 
-// listOver has the engines that stand list themselves over a time, one after the other.
-func (engines *engines) listOver(span time.Duration) {
+// staggerListing has the existing engines register one after the other over a span of time.
+func (engines *engines) staggerListing(span time.Duration) {
 	engines.mutex.Lock()
 	defer engines.mutex.Unlock()
 	for number, engine := range engines.list {
@@ -183,14 +183,14 @@
 	}
 }
 
-// load sets how many engines the work takes.
-func (engines *engines) load(busy float64) {
+// setBusy sets how many engines the load occupies.
+func (engines *engines) setBusy(busy float64) {
 	engines.mutex.Lock()
 	defer engines.mutex.Unlock()
 	engines.busy = busy
 }
 
-// count returns how many engines of each kind take work.
+// count returns how many engines of each kind accept work.
 func (engines *engines) count() scaler.Counts {
 	var sum scaler.Counts
 	for _, engine := range engines.Of(pool) {
@@ -203,135 +203,136 @@
 	return sum
 }
 
-// TestCheaperEnginesTakeOver holds that engines which may be reclaimed take the place of
-// the others, more of them for less than what stood, that enough stand at any moment, and
-// that nothing is ordered again and again.
+// TestCheaperEnginesTakeOver checks that spot engines replace ordinary ones, in a larger
+// number and at a lower cost than the initial engines, that enough engines accept work at any
+// moment, and that the orders settle instead of being repeated.
 func TestCheaperEnginesTakeOver(t *testing.T) {
-	inFleets(t, []int{2, 8, 81}, func(t *testing.T, world *world) {
+	runWithSizes(t, []int{2, 8, 81}, func(t *testing.T, simulation *simulation) {
 		for second := range 40 {
 			if second == 12 {
-				world.engines.load(56)
+				simulation.engines.setBusy(56)
 			}
-			world.serve(time.Second, 20)
-			standing := world.engines.count()
-			assert.Assert(t, standing.Sum() >= 4*firstEngines, "%d stand after %d s", standing.Sum(), second)
+			simulation.runTraffic(time.Second, 20)
+			standing := simulation.engines.count()
+			assert.Assert(t, standing.Sum() >= 4*initialEngines, "%d engines accept work after %d s", standing.Sum(), second)
 		}
-		standing := world.engines.count()
-		assert.Assert(t, standing.Sum() > 4*firstEngines*3/2 && standing.Ordinary < 4*firstEngines/5, "%+v", standing)
-		orders := world.engines.orders
+		standing := simulation.engines.count()
+		assert.Assert(t, standing.Sum() > 4*initialEngines*3/2 && standing.Ordinary < 4*initialEngines/5, "%+v", standing)
+		orders := simulation.engines.orders
 		assert.Assert(t, orders <= 16, "%d orders", orders)
-		paid := world.engines.spent()
-		world.serve(60*time.Second, 20)
-		assert.Equal(t, world.engines.orders, orders)
-		rate := (world.engines.spent() - paid) / 60
-		assert.Assert(t, rate < 4*firstEngines/2, "%.1f a second", rate)
+		paid := simulation.engines.cost()
+		simulation.runTraffic(60*time.Second, 20)
+		assert.Equal(t, simulation.engines.orders, orders)
+		rate := (simulation.engines.cost() - paid) / 60
+		assert.Assert(t, rate < 4*initialEngines/2, "cost of %.1f per second", rate)
 	})
 }
 
-// TestFirstPlanWaitsForAllEngines has engines list themselves over seconds, as they do when
-// a whole deployment starts: none that stands is given up before others take its place, and
-// the first plan is made from all.
+// TestFirstPlanWaitsForAllEngines has engines register over several seconds, as they do when a
+// whole deployment starts. It guards against a first plan made from a part of them: no engine is
+// given up before others replace it, and the plan covers all engines.
 func TestFirstPlanWaitsForAllEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		world := newWorld(t, 1, 8)
-		world.engines.listOver(4 * time.Second)
-		for _, node := range world.nodes {
+		simulation := newSimulation(t, 1, 8)
+		simulation.engines.staggerListing(4 * time.Second)
+		for _, node := range simulation.nodes {
 			node.start()
 		}
-		defer world.stopAll()
-		world.serve(4*time.Second, 20)
+		defer simulation.stopAll()
+		simulation.runTraffic(4*time.Second, 20)
 		for range 30 {
-			world.serve(500*time.Millisecond, 20)
-			assert.Assert(t, world.engines.count().Sum() >= 4*firstEngines, "%+v", world.engines.count())
+			simulation.runTraffic(500*time.Millisecond, 20)
+			assert.Assert(t, simulation.engines.count().Sum() >= 4*initialEngines, "%+v", simulation.engines.count())
 		}
-		assert.Assert(t, world.engines.count().Sum() >= 3*4*firstEngines/2, "%+v", world.engines.count())
+		assert.Assert(t, simulation.engines.count().Sum() >= 3*4*initialEngines/2, "%+v", simulation.engines.count())
 	})
 }
 
-// TestReclaimedEnginesAreReplaced takes all of a data centre's engines that may be: the
-// others carry the work, and they are ordered again once there are some.
+// TestReclaimedEnginesAreReplaced reclaims all spot engines of a data centre: the remaining
+// engines carry the load, and spot engines are ordered again once they are available.
 func TestReclaimedEnginesAreReplaced(t *testing.T) {
-	inFleets(t, []int{8}, func(t *testing.T, world *world) {
-		world.engines.load(56)
-		world.serve(30*time.Second, 20)
-		before := world.engines.count()
-		world.engines.reclaim("b", 8*time.Second)
+	runWithSizes(t, []int{8}, func(t *testing.T, simulation *simulation) {
+		simulation.engines.setBusy(56)
+		simulation.runTraffic(30*time.Second, 20)
+		before := simulation.engines.count()
+		simulation.engines.reclaim("b", 8*time.Second)
 		for range 18 {
-			world.serve(time.Second, 20)
-			assert.Assert(t, world.engines.count().Sum() >= 4*firstEngines, "%+v", world.engines.count())
+			simulation.runTraffic(time.Second, 20)
+			assert.Assert(t, simulation.engines.count().Sum() >= 4*initialEngines, "%+v", simulation.engines.count())
 		}
-		assert.Equal(t, world.engines.count(), before)
+		assert.Equal(t, simulation.engines.count(), before)
 	})
 }
 
-// TestReclaimInABurst takes one data centre's engines while a burst is more than all can
-// carry and no others of the kind are to be had: those of the other data centres stay, and
-// ordinary ones come where the room is.
+// TestReclaimInABurst reclaims the spot engines of one data centre during a burst that exceeds
+// the capacity of all engines, while no new spot engines are available: the other data centres
+// keep theirs, and ordinary engines are ordered where there is room.
 func TestReclaimInABurst(t *testing.T) {
-	inFleets(t, []int{8}, func(t *testing.T, world *world) {
-		world.engines.load(56)
-		world.serve(30*time.Second, 20)
-		before := world.engines.count()
-		world.engines.load(250)
-		world.engines.reclaim("b", 12*time.Second)
-		others := world.engines.count()
+	runWithSizes(t, []int{8}, func(t *testing.T, simulation *simulation) {
+		simulation.engines.setBusy(56)
+		simulation.runTraffic(30*time.Second, 20)
+		before := simulation.engines.count()
+		simulation.engines.setBusy(250)
+		simulation.engines.reclaim("b", 12*time.Second)
+		others := simulation.engines.count()
 		most := 0
 		for range 12 {
-			world.serve(time.Second, 20)
-			standing := world.engines.count()
-			assert.Assert(t, standing.Spot >= others.Spot, "%+v, %+v before", standing, others)
+			simulation.runTraffic(time.Second, 20)
+			standing := simulation.engines.count()
+			assert.Assert(t, standing.Spot >= others.Spot, "%+v engines now, %+v before", standing, others)
 			most = max(most, standing.Ordinary)
 		}
 		assert.Assert(t, most > before.Ordinary+20, "%d ordinary engines", most)
-		world.engines.load(56)
-		world.serve(6*time.Minute, 2) // The burst is forgotten.
-		assert.Equal(t, world.engines.count(), before)
+		simulation.engines.setBusy(56)
+		simulation.runTraffic(6*time.Minute, 2) // The burst is forgotten.
+		assert.Equal(t, simulation.engines.count(), before)
 	})
 }
 
-// TestAllReclaimed takes all engines that may be while none are to be had: others are
-// ordered in their place until there are some again.
+// TestAllReclaimed reclaims all spot engines while no new ones are available: ordinary engines
+// replace them until spot engines are available again.
 func TestAllReclaimed(t *testing.T) {
-	inFleets(t, []int{8}, func(t *testing.T, world *world) {
-		world.engines.load(56)
-		world.serve(30*time.Second, 20)
-		before := world.engines.count()
-		for _, place := range places() {
-			world.engines.reclaim(place, 15*time.Second)
+	runWithSizes(t, []int{8}, func(t *testing.T, simulation *simulation) {
+		simulation.engines.setBusy(56)
+		simulation.runTraffic(30*time.Second, 20)
+		before := simulation.engines.count()
+		for _, place := range dataCentres() {
+			simulation.engines.reclaim(place, 15*time.Second)
 		}
-		world.serve(14*time.Second, 20)
-		assert.Assert(t, world.engines.count().Sum() > 56, "%+v", world.engines.count())
-		world.serve(60*time.Second, 20)
-		assert.Equal(t, world.engines.count(), before)
+		simulation.runTraffic(14*time.Second, 20)
+		assert.Assert(t, simulation.engines.count().Sum() > 56, "%+v", simulation.engines.count())
+		simulation.runTraffic(60*time.Second, 20)
+		assert.Equal(t, simulation.engines.count(), before)
 	})
 }
 
-// TestHolderOfOrdersEnds ends the node that orders engines: the next goes on from what was
-// ordered and changes nothing.
+// TestHolderOfOrdersEnds kills the node that orders engines: the next holder continues with the
+// recorded plans and changes no order.
 func TestHolderOfOrdersEnds(t *testing.T) {
-	inFleets(t, []int{8, 81}, func(t *testing.T, world *world) {
-		world.engines.load(40)
-		world.serve(30*time.Second, 20)
-		orders, standing := world.engines.orders, world.engines.count()
-		world.nodes[0].kill()
-		world.serve(20*time.Second, 20)
-		world.nodes[0].start()
-		world.serve(10*time.Second, 20)
-		assert.Equal(t, world.engines.orders, orders)
-		assert.Equal(t, world.engines.count(), standing)
+	runWithSizes(t, []int{8, 81}, func(t *testing.T, simulation *simulation) {
+		simulation.engines.setBusy(40)
+		simulation.runTraffic(30*time.Second, 20)
+		orders, standing := simulation.engines.orders, simulation.engines.count()
+		simulation.nodes[0].kill()
+		simulation.runTraffic(20*time.Second, 20)
+		simulation.nodes[0].start()
+		simulation.runTraffic(10*time.Second, 20)
+		assert.Equal(t, simulation.engines.orders, orders)
+		assert.Equal(t, simulation.engines.count(), standing)
 	})
 }
 
-// TestPartialViewGivesNothingUp cuts the nodes in two: neither side orders fewer engines.
+// TestPartialViewGivesNothingUp partitions the nodes into two halves: neither half orders fewer
+// engines, as the load on the other half is unknown to it.
 func TestPartialViewGivesNothingUp(t *testing.T) {
-	inFleets(t, []int{8, 20}, func(t *testing.T, world *world) {
-		world.engines.load(56)
-		world.serve(30*time.Second, 20)
-		standing := world.engines.count()
-		half := len(world.nodes) / 2
-		world.sever(func(from, to *node) bool { return (from.place < half) != (to.place < half) })
-		world.engines.load(5)
-		world.serve(5*time.Minute, 5)
-		assert.Assert(t, world.engines.count().Sum() >= standing.Sum())
+	runWithSizes(t, []int{8, 20}, func(t *testing.T, simulation *simulation) {
+		simulation.engines.setBusy(56)
+		simulation.runTraffic(30*time.Second, 20)
+		standing := simulation.engines.count()
+		half := len(simulation.nodes) / 2
+		simulation.partition(func(from, to *node) bool { return (from.index < half) != (to.index < half) })
+		simulation.engines.setBusy(5)
+		simulation.runTraffic(5*time.Minute, 5)
+		assert.Assert(t, simulation.engines.count().Sum() >= standing.Sum())
 	})
 }
--- a/steward/rest_test.go
+++ b/steward/rest_test.go
@@ -8,35 +8,35 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestHowLongADutyRests holds, for what may become of the node that tells usage, that each
-// window is told in time, whenever in a window it comes; it logs the longest time between a
-// window's end and its being told.
+// TestHowLongADutyRests checks that each window is reported in time whatever fault befalls the
+// node that reports usage, and at whatever point of a window. It logs the longest time between
+// the end of a window and its report.
 func TestHowLongADutyRests(t *testing.T) {
-	holderAlone := func(world *world) func(*node) bool {
-		return func(node *node) bool { return node == world.nodes[0] }
+	holderAlone := func(simulation *simulation) func(*node) bool {
+		return func(node *node) bool { return node == simulation.nodes[0] }
 	}
 	cases := []struct {
-		name    string
-		trouble func(world *world) (end func())
+		name  string
+		fault func(simulation *simulation) (end func())
 	}{
-		{"killed", func(world *world) func() { world.nodes[0].kill(); return world.nodes[0].start }},
-		{"stopped as planned", func(world *world) func() { world.nodes[0].stop(); return world.nodes[0].start }},
-		{"frozen", func(world *world) func() { world.nodes[0].freeze(); return world.nodes[0].thaw }},
-		{"cut from all nodes", func(world *world) func() {
-			world.sever(func(from, to *node) bool { return (from.place == 0) != (to.place == 0) })
-			return func() { world.sever(func(_, _ *node) bool { return false }) }
+		{"killed", func(simulation *simulation) func() { simulation.nodes[0].kill(); return simulation.nodes[0].start }},
+		{"stopped as planned", func(simulation *simulation) func() { simulation.nodes[0].stop(); return simulation.nodes[0].start }},
+		{"frozen", func(simulation *simulation) func() { simulation.nodes[0].freeze(); return simulation.nodes[0].thaw }},
+		{"cut from all nodes", func(simulation *simulation) func() {
+			simulation.partition(func(from, to *node) bool { return (from.index == 0) != (to.index == 0) })
+			return func() { simulation.partition(func(_, _ *node) bool { return false }) }
 		}},
-		{"turned away by the store", func(world *world) func() {
-			return world.set(&world.store, trouble{down: holderAlone(world)})
+		{"turned away by the store", func(simulation *simulation) func() {
+			return simulation.setFault(&simulation.store, fault{down: holderAlone(simulation)})
 		}},
-		{"not answered by the store", func(world *world) func() {
-			return world.set(&world.store, trouble{silent: holderAlone(world)})
+		{"not answered by the store", func(simulation *simulation) func() {
+			return simulation.setFault(&simulation.store, fault{silent: holderAlone(simulation)})
 		}},
-		{"not answered by the platform", func(world *world) func() {
-			return world.set(&world.authority, trouble{silent: holderAlone(world)})
+		{"not answered by the platform", func(simulation *simulation) func() {
+			return simulation.setFault(&simulation.authority, fault{silent: holderAlone(simulation)})
 		}},
-		{"before a slow store", func(world *world) func() {
-			return world.set(&world.store, trouble{slow: 240 * time.Millisecond})
+		{"before a slow store", func(simulation *simulation) func() {
+			return simulation.setFault(&simulation.store, fault{slow: 240 * time.Millisecond})
 		}},
 	}
 	for _, test := range cases {
@@ -44,23 +44,23 @@
 			var longest time.Duration
 			for second := range 5 {
 				synctest.Test(t, func(t *testing.T) {
-					world := newWorld(t, uint64(second), 12)
-					for _, node := range world.nodes {
+					simulation := newSimulation(t, uint64(second), 12)
+					for _, node := range simulation.nodes {
 						node.start()
 					}
-					defer world.stopAll()
-					world.serve(11*time.Second, 20)
-					first := current()
-					world.serve(time.Duration(second)*time.Second, 20)
-					end := test.trouble(world)
-					world.serve(12*time.Second, 20)
+					defer simulation.stopAll()
+					simulation.runTraffic(11*time.Second, 20)
+					first := currentWindow()
+					simulation.runTraffic(time.Duration(second)*time.Second, 20)
+					end := test.fault(simulation)
+					simulation.runTraffic(12*time.Second, 20)
 					end()
-					world.serve(15*time.Second, 20)
-					world.checkTold(first, current()-2)
-					longest = max(longest, world.latest(first, current()-2))
+					simulation.runTraffic(15*time.Second, 20)
+					simulation.checkReported(first, currentWindow()-2)
+					longest = max(longest, simulation.maxDelay(first, currentWindow()-2))
 				})
 			}
-			t.Logf("%v at the longest", longest.Round(10*time.Millisecond))
+			t.Logf("longest delay of a report: %v", longest.Round(10*time.Millisecond))
 			assert.Assert(t, longest <= usageDeadline)
 		})
 	}
--- a/steward/scaling.go
+++ b/steward/scaling.go
@@ -15,113 +15,118 @@
 )
 
 const (
-	// refillPause is how long engines that were ordered may take to serve beyond their
-	// start until they are ordered again.
-	refillPause = 2 * time.Second
-	// listingPause is how long the list of a service's engines has to stay the same until
-	// a first plan is made from it.
-	listingPause = 2 * time.Second
+	// deliveryMargin is how long beyond their boot time ordered engines may take to serve
+	// before they are ordered again.
+	deliveryMargin = 2 * time.Second
+	// listStableTime is how long the number of a service's listed engines has to stay the
+	// same before a first plan is made from it.
+	listStableTime = 2 * time.Second
 )
 
-// Plans is what the store keeps of orders: for each service what it is to have.
+// Plans is the record of the scaling duty in the store: the plan of each service.
 type Plans struct {
 	Services map[definer.PoolName]scaler.Plan `json:"services"`
 }
 
-// subject is what one order is about.
-type subject struct {
+// orderKey identifies what an order sets: the engines of one kind for a service in a data
+// centre.
+type orderKey struct {
 	service    definer.PoolName
 	dataCentre definer.DataCentre
 	spot       bool
 }
 
-// counted is a count as of a time: of an order that the platform has taken, or of a list.
-type counted struct {
+// timedCount is a count with the time of its observation: the count of an order that the
+// platform has accepted, or the length of a list of engines.
+type timedCount struct {
 	count int
 	at    time.Time
 }
 
-// scalingDuty orders engines. Its step is called by one goroutine.
+// scalingDuty orders engines. A single goroutine calls its step.
 type scalingDuty struct {
 	steward *Steward
 	lease   *leaseholder.Leaseholder[Plans]
 	scalers map[definer.PoolName]*scaler.Scaler
-	// placed holds the orders that the platform has taken from this process under claims
-	// in a row; whoever takes over places all anew.
-	placed map[subject]counted
-	// listed holds how many engines of a service were listed, and since when.
-	listed map[definer.PoolName]counted
-	// pausedUntil is until when nothing is tried, failures counts those in a row.
+	// accepted holds the orders that the platform has accepted from this process under
+	// consecutive claims; a node that takes over the duty places all orders again.
+	accepted map[orderKey]timedCount
+	// listed holds how many engines of a service are listed, and since when.
+	listed map[definer.PoolName]timedCount
+	// pausedUntil is when the pause after a failure ends, failures the number of consecutive
+	// failures.
 	pausedUntil time.Time
 	failures    int
 }
 
 func newScalingDuty(steward *Steward) *scalingDuty {
 	return &scalingDuty{
-		steward: steward,
-		lease:   leaseholder.New[Plans](steward.parts.Shelf, ScalingDuty, steward.self, steward.settings.Lease),
-		scalers: make(map[definer.PoolName]*scaler.Scaler),
-		placed:  make(map[subject]counted),
-		listed:  make(map[definer.PoolName]counted),
+		steward:  steward,
+		lease:    leaseholder.New[Plans](steward.parts.Shelf, ScalingDuty, steward.self, steward.settings.Lease),
+		scalers:  make(map[definer.PoolName]*scaler.Scaler),
+		accepted: make(map[orderKey]timedCount),
+		listed:   make(map[definer.PoolName]timedCount),
 	}
 }
 
-// step looks whether other engines are to be ordered, if that is for this node to do.
+// step places the orders that are due, if this node is the one to perform the duty.
 func (duty *scalingDuty) step(ctx context.Context) {
 	steward := duty.steward
 	table := steward.parts.Services.Table()
 	if time.Now().Before(duty.pausedUntil) || table == nil || !steward.parts.Engines.Known() {
 		return
 	}
-	precedence := steward.parts.Fleet.Precedence(time.Now(), steward.yields)
+	precedence := steward.parts.Fleet.Precedence(time.Now(), steward.hasYielded)
 	if !precedence.Eligible || precedence.Rank > 0 {
-		duty.rest()
+		duty.release()
 		return
 	}
 	now := steward.parts.Clock.Now()
 	usage := steward.tallier.Usage(now, steward.tallier.At(now))
-	heard := heardShare(&usage, precedence.Listed)
-	if heard < fairlyHeard {
-		duty.rest()
+	reporting := reportingShare(&usage, precedence.Listed)
+	if reporting < minReportingShare {
+		duty.release()
 		return
 	}
-	if err := duty.look(ctx); err != nil {
-		duty.failed("claim", err)
+	if err := duty.readClaim(ctx); err != nil {
+		duty.handleFailure("claim", err)
 		return
 	}
-	plans := duty.plan(table, heard >= wellHeard)
-	duty.show(table, &plans)
-	due := duty.due(table, &plans)
+	plans := duty.plan(table, reporting >= fullReportingShare)
+	duty.publishEngines(table, &plans)
+	due := duty.dueOrders(table, &plans)
 	if len(due) == 0 {
 		return
 	}
 	if err := duty.claim(ctx, now, plans); err != nil {
-		duty.failed("claim", err)
+		duty.handleFailure("claim", err)
 		return
 	}
-	duty.placeAll(ctx, due)
+	duty.placeOrders(ctx, due)
 }
 
-// fairlyHeard is the part of the listed nodes that a node has to hear to order engines.
-const fairlyHeard = 0.5
+// minReportingShare is the share of the listed nodes whose reports a node needs before it
+// orders engines.
+const minReportingShare = 0.5
 
-// rest gives up what this node knows of the duty, which is another's.
-func (duty *scalingDuty) rest() {
+// release discards this node's claim and its view of the duty, which another node performs.
+func (duty *scalingDuty) release() {
 	duty.lease.Forget()
-	clear(duty.placed)
+	clear(duty.accepted)
 	if duty.steward.Status().Scaling.Holds {
-		duty.steward.board.change(func(status *Status) { status.Scaling.Holds, status.Scaling.Engines = false, nil })
+		duty.steward.statuses.update(func(status *Status) { status.Scaling.Holds, status.Scaling.Engines = false, nil })
 	}
 }
 
-// look reads what was ordered, unless it is known.
-func (duty *scalingDuty) look(ctx context.Context) error {
+// readClaim reads the claim with the current plans from the store, unless it is known.
+func (duty *scalingDuty) readClaim(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return duty.lease.Look(ctx)
 }
 
-// plan returns what each service is to have; of a partial view no fewer engines follow.
+// plan returns the next plan of each service. If whole is false, the load of some nodes is
+// unknown and no plan has fewer engines than before.
 func (duty *scalingDuty) plan(table *router.Table, whole bool) Plans {
 	plans := Plans{Services: make(map[definer.PoolName]scaler.Plan)}
 	if standing := duty.lease.Standing(); standing != nil {
@@ -132,10 +137,10 @@
 		if service.Scaling == nil {
 			continue
 		}
-		terms := termsOf(service.Scaling)
-		situation := duty.see(now, service.Name, whole)
+		terms := scalingTerms(service.Scaling)
+		situation := duty.observe(now, service.Name, whole)
 		plan, known := plans.Services[service.Name]
-		if !known && !duty.isComplete(now, service.Name) {
+		if !known && !duty.isListStable(now, service.Name) {
 			continue
 		}
 		if !known {
@@ -146,17 +151,17 @@
 	return plans
 }
 
-// isComplete tells whether the list of a service's engines has not grown for a time: when a
-// whole deployment starts they list themselves one after the other, and a first plan made
-// from some would give the rest up.
-func (duty *scalingDuty) isComplete(now time.Time, service definer.PoolName) bool {
+// isListStable reports whether the number of a service's listed engines has stayed the same
+// for listStableTime. When a whole deployment starts, its engines register one after the
+// other, and a first plan made from a part of them would give up the rest.
+func (duty *scalingDuty) isListStable(now time.Time, service definer.PoolName) bool {
 	count := len(duty.steward.parts.Engines.Of(service))
 	known, ok := duty.listed[service]
 	if !ok || known.count != count {
-		duty.listed[service] = counted{count, now}
+		duty.listed[service] = timedCount{count, now}
 		return false
 	}
-	return count > 0 && now.Sub(known.at) >= listingPause
+	return count > 0 && now.Sub(known.at) >= listStableTime
 }
 
 func (duty *scalingDuty) scaler(service definer.PoolName) *scaler.Scaler {
@@ -168,12 +173,12 @@
 	return known
 }
 
-func termsOf(scaling *router.Scaling) *scaler.Terms {
+func scalingTerms(scaling *router.Scaling) *scaler.Terms {
 	return &scaler.Terms{Least: scaling.Least, Most: scaling.Most, SpotPrice: scaling.SpotPrice, DataCentres: scaling.DataCentres()}
 }
 
-// see returns what is seen of a service.
-func (duty *scalingDuty) see(now time.Time, service definer.PoolName, whole bool) *scaler.Situation {
+// observe returns the current load and engines of a service.
+func (duty *scalingDuty) observe(now time.Time, service definer.PoolName, whole bool) *scaler.Situation {
 	situation := &scaler.Situation{
 		Busy:     duty.steward.parts.Demand.Busy(now, service),
 		Whole:    whole,
@@ -191,24 +196,24 @@
 	return situation
 }
 
-// due returns the orders that the platform has not taken yet, or of which it has not
-// delivered.
-func (duty *scalingDuty) due(table *router.Table, plans *Plans) []Order {
+// dueOrders returns the orders that the platform has not accepted yet, or accepted without
+// delivering the engines in time.
+func (duty *scalingDuty) dueOrders(table *router.Table, plans *Plans) []Order {
 	var due []Order
 	now := time.Now()
 	for _, service := range table.Definition().Services {
 		if service.Scaling == nil {
 			continue
 		}
-		standing := duty.see(now, service.Name, true).Standing
-		patience := service.Scaling.Boot + refillPause
+		standing := duty.observe(now, service.Name, true).Standing
+		deliveryTime := service.Scaling.Boot + deliveryMargin
 		plan, planned := plans.Services[service.Name]
 		if !planned {
 			continue
 		}
 		for _, dataCentre := range service.Scaling.DataCentres() {
 			counts := plan.Counts[dataCentre]
-			// What makes room goes first.
+			// Ordinary engines come first: giving them up makes room for spot engines.
 			for _, order := range []Order{
 				{Service: service.Name, DataCentre: dataCentre, Count: counts.Ordinary},
 				{Service: service.Name, DataCentre: dataCentre, Count: counts.Spot, Spot: true},
@@ -217,8 +222,8 @@
 				if order.Spot {
 					has = standing[dataCentre].Spot
 				}
-				taken, ok := duty.placed[order.subject()]
-				lacks := has < order.Count && now.Sub(taken.at) > patience
+				taken, ok := duty.accepted[order.key()]
+				lacks := has < order.Count && now.Sub(taken.at) > deliveryTime
 				if !ok || taken.count != order.Count || lacks {
 					due = append(due, order)
 				}
@@ -228,12 +233,12 @@
 	return due
 }
 
-func (order *Order) subject() subject {
-	return subject{order.Service, order.DataCentre, order.Spot}
+func (order *Order) key() orderKey {
+	return orderKey{order.Service, order.DataCentre, order.Spot}
 }
 
-// claim claims the duty with the plans, unless another has claimed it since they were made.
-// The error is of package leaseholder.
+// claim claims the duty and records the plans, unless another node has claimed it since they
+// were made. The error is of package leaseholder.
 func (duty *scalingDuty) claim(ctx context.Context, now time.Time, plans Plans) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -243,8 +248,8 @@
 	})
 }
 
-// placeAll places orders under this node's claim.
-func (duty *scalingDuty) placeAll(ctx context.Context, orders []Order) {
+// placeOrders places the orders under this node's claim until one fails or the lease ends.
+func (duty *scalingDuty) placeOrders(ctx context.Context, orders []Order) {
 	steward := duty.steward
 	for index := range orders {
 		order := &orders[index]
@@ -254,22 +259,22 @@
 		}
 		err := duty.place(ctx, Grant{Holder: steward.self.VM, Token: token}, order)
 		duty.lease.Acted(err)
-		duty.report(order, token, err)
+		duty.recordOrder(order, token, err)
 		switch {
 		case leaseholder.IsKind(err, leaseholder.Unavailable):
 			duty.scaler(order.Service).Refused(time.Now(), order.DataCentre)
 		case err != nil:
-			duty.failed("order", err)
+			duty.handleFailure("order", err)
 			return
 		}
-		// One that is not to be had is ordered again like one that does not come.
-		duty.placed[order.subject()] = counted{order.Count, time.Now()}
+		// An order refused as unavailable is repeated like one whose engines do not arrive.
+		duty.accepted[order.key()] = timedCount{order.Count, time.Now()}
 		duty.failures = 0
 	}
 }
 
-// report logs an order that was placed and how that ended, and shows it to operators.
-func (duty *scalingDuty) report(order *Order, token uint64, err error) {
+// recordOrder logs a placed order with its result and adds it to the status.
+func (duty *scalingDuty) recordOrder(order *Order, token uint64, err error) {
 	steward := duty.steward
 	decision := Decision{
 		Order: *order, Token: token, Need: duty.lease.Standing().Record.Services[order.Service].Need,
@@ -277,21 +282,21 @@
 	}
 	steward.parts.Log(logger.EventEnginesOrdered, "service", order.Service, "dataCentre", order.DataCentre, "spot", order.Spot, "count", order.Count,
 		"token", token, "need", decision.Need, "busy", decision.Busy, "cause", err)
-	steward.board.change(func(status *Status) {
+	steward.statuses.update(func(status *Status) {
 		status.Scaling.DutyStatus = DutyStatus{Holds: true, Holder: steward.self.VM, Token: token}
-		status.Scaling.Decisions = latest(status.Scaling.Decisions, decision)
+		status.Scaling.Decisions = appendBounded(status.Scaling.Decisions, decision)
 	})
 }
 
-// show shows operators what is planned and what takes work.
-func (duty *scalingDuty) show(table *router.Table, plans *Plans) {
+// publishEngines sets the planned engines and those that accept work in the status.
+func (duty *scalingDuty) publishEngines(table *router.Table, plans *Plans) {
 	var engines []EngineStatus
 	now := time.Now()
 	for _, service := range table.Definition().Services {
 		if service.Scaling == nil {
 			continue
 		}
-		standing := duty.see(now, service.Name, true).Standing
+		standing := duty.observe(now, service.Name, true).Standing
 		for _, dataCentre := range service.Scaling.DataCentres() {
 			engines = append(engines, EngineStatus{
 				Service: service.Name, DataCentre: dataCentre,
@@ -299,7 +304,7 @@
 			})
 		}
 	}
-	duty.steward.board.change(func(status *Status) { status.Scaling.Engines = engines })
+	duty.steward.statuses.update(func(status *Status) { status.Scaling.Engines = engines })
 }
 
 func (duty *scalingDuty) place(ctx context.Context, grant Grant, order *Order) error {
@@ -308,23 +313,25 @@
 	return duty.steward.parts.Platform.Order(ctx, grant, order)
 }
 
-// failed logs that a step failed, and pauses.
-func (duty *scalingDuty) failed(step string, err error) {
+// handleFailure logs a failed step and pauses the duty; after maxFailures in a row the node
+// yields the duty.
+func (duty *scalingDuty) handleFailure(step string, err error) {
 	if leaseholder.IsKind(err, leaseholder.Needless) {
-		return // Another has claimed it: the plans are made anew.
+		return // Another node has claimed the duty: the next step makes new plans.
 	}
 	duty.pausedUntil = time.Now().Add(timer.Doubled(firstPause, longestPause, duty.failures))
 	duty.failures++
 	switch {
 	case leaseholder.IsKind(err, leaseholder.Unreadable):
 		duty.pausedUntil = time.Now().Add(unreadablePause)
-	case duty.failures >= yieldFailures:
-		duty.pausedUntil = time.Now().Add(yieldLife)
-		duty.rest()
-		duty.steward.notify(context.Background(), &messenger.DutyNotice{Duty: ScalingDuty, Yields: true})
+	case duty.failures >= maxFailures:
+		duty.pausedUntil = time.Now().Add(yieldDuration)
+		duty.release()
+		duty.steward.notifyAudience(context.Background(), &messenger.DutyNotice{Duty: ScalingDuty, Yields: true})
 	}
 	duty.steward.parts.Log(logger.EventDutyFailed, "duty", ScalingDuty, "step", step, "failures", duty.failures, "cause", err)
 }
 
-// yieldFailures is how many failures in a row have a node leave the duty to the next one.
-const yieldFailures = 4
+// maxFailures is the number of consecutive failures after which a node leaves the duty to the
+// next one.
+const maxFailures = 4
--- a/steward/status.go
+++ b/steward/status.go
@@ -10,36 +10,36 @@
 	"limpetcleat/tallier"
 )
 
-// keptActs is how many acts of a duty are kept for operators.
-const keptActs = 20
+// maxHistory is how many reports or decisions of a duty are kept for operators.
+const maxHistory = 20
 
-// DutyStatus is what a node knows of who holds a duty.
+// DutyStatus is a node's view of who holds a duty.
 type DutyStatus struct {
-	// Holds is set if this node acted last of those that it knows of; Holder is who wrote
-	// the claim that it knows, under Token.
+	// Holds is set if this node performed the last act that it knows of; Holder is the node
+	// that wrote the newest claim known here, with the fencing token Token.
 	Holds  bool
 	Holder definer.VM
 	Token  uint64
 }
 
-// Report is one window of usage that this node told.
+// Report is one usage window that this node reported to the platform.
 type Report struct {
 	Window   tallier.Window
 	Token    uint64
 	Requests uint64
 	Whole    bool
-	// Late is how long after the window's end it was told, At when.
+	// Late is how long after the end of the window it was reported, At when.
 	Late time.Duration
 	At   time.Time
 }
 
-// UsageStatus is what a node knows of the telling of usage.
+// UsageStatus is a node's view of the usage duty.
 type UsageStatus struct {
 	DutyStatus
-	// ToldUntil is the last window that is known to be told.
+	// ToldUntil is the newest window known to be reported.
 	ToldUntil tallier.Window
-	// Reports are the last ones of this node, the newest last; Whole, Partial and Skipped
-	// count its windows by what could be told.
+	// Reports are the most recent reports of this node, the newest last; Whole, Partial and
+	// Skipped count its windows by whether all, some or none of their usage was reported.
 	Reports []Report
 	Whole   int
 	Partial int
@@ -50,16 +50,17 @@
 type Decision struct {
 	Order Order
 	Token uint64
-	// Need is how many engines the most work of late wants in all, Busy how many the work
-	// took then.
+	// Need is the number of engines that the recent peak load requires in all, Busy the
+	// number that the load occupied when the order was placed.
 	Need float64
 	Busy float64
 	At   time.Time
-	// Failure is why the platform did not take it; nil is when it did.
+	// Failure is why the platform did not accept the order; nil if it did.
 	Failure error
 }
 
-// EngineStatus is what was ordered of a service in a data centre, and what takes work.
+// EngineStatus compares the ordered engines of a service in a data centre with those that
+// accept work.
 type EngineStatus struct {
 	Service    definer.PoolName
 	DataCentre definer.DataCentre
@@ -67,57 +68,57 @@
 	Standing   scaler.Counts
 }
 
-// ScalingStatus is what a node knows of the orders of engines.
+// ScalingStatus is a node's view of the scaling duty.
 type ScalingStatus struct {
 	DutyStatus
-	// Engines are as this node planned them last, if it holds the duty.
+	// Engines is the latest plan of this node, if it holds the duty.
 	Engines []EngineStatus
-	// Decisions are the last ones of this node, the newest last.
+	// Decisions are the most recent decisions of this node, the newest last.
 	Decisions []Decision
 }
 
-// Status is what a node knows of the duties.
+// Status is a node's view of all duties.
 type Status struct {
 	Usage   UsageStatus
 	Scaling ScalingStatus
 }
 
-// board keeps the status for whoever asks. It is safe for concurrent use.
-type board struct {
-	// observe is told of each change.
+// statusStore holds the status of the duties. It is safe for concurrent use.
+type statusStore struct {
+	// observe is called with a copy of the status after each change.
 	observe func(status Status)
 	// mutex guards status; no other lock is taken under it.
 	mutex  sync.Mutex
 	status Status
 }
 
-// change changes the status and tells of it.
-func (board *board) change(change func(status *Status)) {
-	board.mutex.Lock()
-	change(&board.status)
-	copied := board.copy()
-	board.mutex.Unlock()
-	board.observe(copied)
+// update applies change to the status and passes a copy to observe.
+func (statusStore *statusStore) update(change func(status *Status)) {
+	statusStore.mutex.Lock()
+	change(&statusStore.status)
+	copied := statusStore.copy()
+	statusStore.mutex.Unlock()
+	statusStore.observe(copied)
 }
 
-// copy returns a copy of the status; mutex is held.
-func (board *board) copy() Status {
-	status := board.status
+// copy returns a copy of the status. The caller holds mutex.
+func (statusStore *statusStore) copy() Status {
+	status := statusStore.status
 	status.Usage.Reports = slices.Clone(status.Usage.Reports)
 	status.Scaling.Engines = slices.Clone(status.Scaling.Engines)
 	status.Scaling.Decisions = slices.Clone(status.Scaling.Decisions)
 	return status
 }
 
-// Status returns what this node knows of the duties.
+// Status returns this node's view of the duties.
 func (steward *Steward) Status() Status {
-	steward.board.mutex.Lock()
-	defer steward.board.mutex.Unlock()
-	return steward.board.copy()
+	steward.statuses.mutex.Lock()
+	defer steward.statuses.mutex.Unlock()
+	return steward.statuses.copy()
 }
 
-// latest appends an act to those kept.
-func latest[Act any](acts []Act, act Act) []Act {
+// appendBounded appends an act and drops the oldest ones beyond maxHistory.
+func appendBounded[Act any](acts []Act, act Act) []Act {
 	acts = append(acts, act)
-	return acts[max(len(acts)-keptActs, 0):]
+	return acts[max(len(acts)-maxHistory, 0):]
 }
--- a/steward/steward.go
+++ b/steward/steward.go
@@ -15,48 +15,48 @@
 )
 
 const (
-	// tellInterval is the time between two reports of usage to a senior; a window's counts
-	// cross two nodes until they are settled.
-	tellInterval = 400 * time.Millisecond
-	// stepInterval is the time between two looks at what there is to do.
+	// reportInterval is the time between two usage reports to a senior; the counts of a
+	// window pass two nodes before they are settled.
+	reportInterval = 400 * time.Millisecond
+	// stepInterval is the time between two steps of the usage duty.
 	stepInterval = 200 * time.Millisecond
-	// scaleInterval is the same for engines.
-	scaleInterval = 500 * time.Millisecond
-	// meetingTime is how long a process that starts leaves duties to others.
-	meetingTime = 2 * time.Second
+	// scalingInterval is the time between two steps of the scaling duty.
+	scalingInterval = 500 * time.Millisecond
+	// discoveryDelay is how long after its start a process takes on no duty.
+	discoveryDelay = 2 * time.Second
 	// callTimeout bounds a call to the store or the platform.
 	callTimeout = 1500 * time.Millisecond
-	// yieldLife is how long a node that yields is passed over.
-	yieldLife = 10 * time.Second
-	// defaultLease is that of a platform which names none.
+	// yieldDuration is how long a node that has yielded is passed over.
+	yieldDuration = 10 * time.Second
+	// defaultLease applies if the platform's settings name no lease.
 	defaultLease = 3 * time.Second
-	// defaultUsageWindow is the width of the windows that are counted where none are told.
+	// defaultUsageWindow is the width of the counted windows if no usage is reported.
 	defaultUsageWindow = 5 * time.Second
 )
 
 // The names of the duties.
 const (
-	// UsageDuty is telling usage.
+	// UsageDuty is the duty to report usage.
 	UsageDuty = "usage"
-	// ScalingDuty is ordering engines.
+	// ScalingDuty is the duty to order engines.
 	ScalingDuty = "scaling"
 )
 
-// Settings are what a Steward is told of the platform's duties.
+// Settings configure the duties of a Steward.
 type Settings struct {
-	// Lease is how long a claim on a duty holds.
+	// Lease is how long a claim on a duty is valid.
 	Lease time.Duration
-	// UsageWindow is the width of a window of usage; 0 is when none is asked for.
+	// UsageWindow is the width of a usage window; 0 disables usage reports.
 	UsageWindow time.Duration
-	// UsageDeadline is how long after its end a window's usage has to be told.
+	// UsageDeadline is how long after the end of a window its usage has to be reported.
 	UsageDeadline time.Duration
-	// Scales is set if engines may be ordered; Headroom is how many there are to be for
-	// each one that the usual work takes.
+	// Scales is set if engines may be ordered; Headroom is the number of engines to provide
+	// for each one that the usual load occupies.
 	Scales   bool
 	Headroom float64
 }
 
-// Parts are what a Steward works with.
+// Parts are the dependencies of a Steward.
 type Parts struct {
 	Fleet    Fleet
 	Clock    Clock
@@ -64,17 +64,17 @@
 	Shelf    leaseholder.Shelf
 	Platform Platform
 	Services Services
-	// Engines lists them, Demand tells what work they have.
+	// Engines lists the engines, Demand measures the load on them.
 	Engines Directory
 	Demand  Demand
-	// Log takes numbered events; it must not block.
+	// Log writes a numbered event; it must not block.
 	Log func(number int, pairs ...any)
-	// Observe is told of each change of what this node knows of the duties; it must not
-	// block. Nil is nobody.
+	// Observe is called with each change of this node's status of the duties; it must not
+	// block. It may be nil.
 	Observe func(status Status)
 }
 
-// Steward fulfils the duties. It is safe for concurrent use.
+// Steward performs the duties of one process. It is safe for concurrent use.
 type Steward struct {
 	self     definer.Member
 	settings Settings
@@ -82,17 +82,17 @@
 	tallier  *tallier.Tallier
 	usage    *usageDuty
 	scaling  *scalingDuty
-	board    *board
+	statuses *statusStore
 	// done is closed by Run.
 	done chan struct{}
 
 	// mutex guards yielding; no other lock is taken under it.
 	mutex sync.Mutex
-	// yielding holds since when nodes leave duties to others.
-	yielding map[definer.VM]time.Time
+	// yieldedAt holds when each node that leaves duties to others announced it.
+	yieldedAt map[definer.VM]time.Time
 }
 
-// New returns a Steward of one process.
+// New returns a Steward for the process self.
 func New(self definer.Member, settings Settings, parts Parts) *Steward {
 	if settings.Lease <= 0 {
 		settings.Lease = defaultLease
@@ -102,16 +102,16 @@
 		window = defaultUsageWindow
 	}
 	steward := &Steward{
-		self:     self,
-		settings: settings,
-		parts:    parts,
-		tallier:  tallier.New(self, window),
-		board:    &board{observe: parts.Observe},
-		done:     make(chan struct{}),
-		yielding: make(map[definer.VM]time.Time),
+		self:      self,
+		settings:  settings,
+		parts:     parts,
+		tallier:   tallier.New(self, window),
+		statuses:  &statusStore{observe: parts.Observe},
+		done:      make(chan struct{}),
+		yieldedAt: make(map[definer.VM]time.Time),
 	}
 	if parts.Observe == nil {
-		steward.board.observe = func(Status) {}
+		steward.statuses.observe = func(Status) {}
 	}
 	steward.usage = newUsageDuty(steward)
 	steward.scaling = newScalingDuty(steward)
@@ -125,7 +125,7 @@
 	}
 }
 
-// Receive takes in a message from a peer.
+// Receive processes a message from a peer.
 func (steward *Steward) Receive(from definer.Member, message messenger.Message) {
 	switch message := message.(type) {
 	case *messenger.UsageReport:
@@ -133,92 +133,92 @@
 	case *messenger.DutyNotice:
 		steward.mutex.Lock()
 		if message.Yields {
-			steward.yielding[from.VM] = time.Now()
+			steward.yieldedAt[from.VM] = time.Now()
 		} else {
-			delete(steward.yielding, from.VM)
+			delete(steward.yieldedAt, from.VM)
 		}
 		steward.mutex.Unlock()
-		steward.learn(from.VM, message)
+		steward.applyNotice(from.VM, message)
 	}
 }
 
-// learn takes in what has become of a duty at another node.
-func (steward *Steward) learn(from definer.VM, notice *messenger.DutyNotice) {
+// applyNotice updates the status of the usage duty from another node's notice.
+func (steward *Steward) applyNotice(from definer.VM, notice *messenger.DutyNotice) {
 	if notice.Duty != UsageDuty {
 		return
 	}
-	told := tallier.Window(notice.Window)
-	steward.usage.hear(told)
+	reported := tallier.Window(notice.Window)
+	steward.usage.markReported(reported)
 	if notice.Token == 0 {
 		return
 	}
-	steward.board.change(func(status *Status) {
+	steward.statuses.update(func(status *Status) {
 		status.Usage.DutyStatus = DutyStatus{Holder: from, Token: notice.Token}
-		status.Usage.ToldUntil = max(status.Usage.ToldUntil, told)
+		status.Usage.ToldUntil = max(status.Usage.ToldUntil, reported)
 	})
 }
 
-// yields tells whether a node leaves duties to others.
-func (steward *Steward) yields(vm definer.VM) bool {
+// hasYielded reports whether a node leaves duties to others.
+func (steward *Steward) hasYielded(vm definer.VM) bool {
 	steward.mutex.Lock()
 	defer steward.mutex.Unlock()
-	since, known := steward.yielding[vm]
-	if known && time.Since(since) > yieldLife {
-		delete(steward.yielding, vm)
+	since, known := steward.yieldedAt[vm]
+	if known && time.Since(since) > yieldDuration {
+		delete(steward.yieldedAt, vm)
 		return false
 	}
 	return known
 }
 
-// Run fulfils the duties until the context ends, and then leaves them to others.
+// Run performs the duties until the context ends, and then hands them over to other nodes.
 func (steward *Steward) Run(ctx context.Context) {
 	defer close(steward.done)
 	var loops conc.WaitGroup
-	loops.Go(func() { every(ctx, tellInterval, steward.tell) })
+	loops.Go(func() { repeat(ctx, reportInterval, steward.sendCounts) })
 	if steward.settings.UsageWindow > 0 {
-		loops.Go(func() { steward.fulfil(ctx, stepInterval, steward.usage.step) })
+		loops.Go(func() { steward.runDuty(ctx, stepInterval, steward.usage.step) })
 	}
 	if steward.settings.Scales {
-		loops.Go(func() { steward.fulfil(ctx, scaleInterval, steward.scaling.step) })
+		loops.Go(func() { steward.runDuty(ctx, scalingInterval, steward.scaling.step) })
 	}
 	loops.Wait()
-	steward.yield(context.WithoutCancel(ctx))
+	steward.handOver(context.WithoutCancel(ctx))
 }
 
-// fulfil calls a duty's step again and again, once this node had time to find the others:
-// before that each takes itself for the first of all.
-func (steward *Steward) fulfil(ctx context.Context, interval time.Duration, step func(ctx context.Context)) {
-	_ = timer.Sleep(ctx, meetingTime) // What follows ends with the context too.
-	every(ctx, interval, step)
+// runDuty calls a duty's step periodically, once this node has had time to discover the
+// others: before that each node would consider itself the first in precedence.
+func (steward *Steward) runDuty(ctx context.Context, interval time.Duration, step func(ctx context.Context)) {
+	_ = timer.Sleep(ctx, discoveryDelay) // The error can be ignored: the loop ends with the context too.
+	repeat(ctx, interval, step)
 }
 
 // Done is closed once Run has ended.
 func (steward *Steward) Done() <-chan struct{} { return steward.done }
 
-// every calls a step again and again until the context ends.
-func every(ctx context.Context, interval time.Duration, step func(ctx context.Context)) {
+// repeat calls step at the interval until the context ends.
+func repeat(ctx context.Context, interval time.Duration, step func(ctx context.Context)) {
 	for timer.Sleep(ctx, interval) == nil {
 		step(ctx)
 	}
 }
 
-// tell tells the seniors what this node and those that report to it counted.
-func (steward *Steward) tell(ctx context.Context) {
-	precedence := steward.parts.Fleet.Precedence(time.Now(), steward.yields)
+// sendCounts sends the counts of this node and of those that report to it to its seniors.
+func (steward *Steward) sendCounts(ctx context.Context) {
+	precedence := steward.parts.Fleet.Precedence(time.Now(), steward.hasYielded)
 	for _, senior := range precedence.Seniors {
 		steward.parts.Sender.Send(ctx, senior.Address, steward.tallier.Tell(steward.parts.Clock.Now(), senior.VM))
 	}
 }
 
-// notify tells those that may take duties on.
-func (steward *Steward) notify(ctx context.Context, notice *messenger.DutyNotice) {
-	precedence := steward.parts.Fleet.Precedence(time.Now(), steward.yields)
+// notifyAudience sends a notice to the nodes that may take on duties.
+func (steward *Steward) notifyAudience(ctx context.Context, notice *messenger.DutyNotice) {
+	precedence := steward.parts.Fleet.Precedence(time.Now(), steward.hasYielded)
 	for _, peer := range precedence.Audience {
 		steward.parts.Sender.Send(ctx, peer.Address, notice)
 	}
 }
 
-// yield leaves the duties to others.
-func (steward *Steward) yield(ctx context.Context) {
-	steward.notify(ctx, &messenger.DutyNotice{Duty: UsageDuty, Window: uint64(steward.usage.toldUntil()), Yields: true})
+// handOver announces that this node leaves the duties to others.
+func (steward *Steward) handOver(ctx context.Context) {
+	steward.notifyAudience(ctx, &messenger.DutyNotice{Duty: UsageDuty, Window: uint64(steward.usage.reportedUntil()), Yields: true})
 }
--- a/steward/trouble_test.go
+++ b/steward/trouble_test.go
@@ -11,23 +11,23 @@
 	"limpetcleat/steward"
 )
 
-// seeds is how many random runs are made for each size of fleet.
+// seeds is the number of random runs for each fleet size.
 const seeds = 6
 
-// trouble begins one trouble drawn by the script and returns what ends it.
-func (world *world) trouble() (end func()) {
-	draw := world.script.IntN(11)
+// beginFault begins one random fault of the scenario and returns the function that ends it.
+func (simulation *simulation) beginFault() (end func()) {
+	draw := simulation.scenario.IntN(11)
 	part := func(share float64) func(*node) bool {
 		chosen := make(map[*node]bool)
-		for _, node := range world.nodes {
-			chosen[node] = world.script.Float64() < share
+		for _, node := range simulation.nodes {
+			chosen[node] = simulation.scenario.Float64() < share
 		}
-		// The first nodes are those that hold duties.
-		chosen[world.nodes[0]] = chosen[world.nodes[0]] || world.script.IntN(2) == 0
+		// The first node holds the duties, so it is included more often.
+		chosen[simulation.nodes[0]] = chosen[simulation.nodes[0]] || simulation.scenario.IntN(2) == 0
 		return func(node *node) bool { return chosen[node] }
 	}
 	all := func(*node) bool { return true }
-	victim := world.nodes[world.script.IntN(min(len(world.nodes), 3))]
+	victim := simulation.nodes[simulation.scenario.IntN(min(len(simulation.nodes), 3))]
 	switch draw {
 	case 0:
 		if victim.process == nil || victim.thawed != nil {
@@ -47,53 +47,53 @@
 		}
 	case 2:
 		cut := part(0.4)
-		world.sever(func(from, to *node) bool { return cut(from) != cut(to) })
-		return func() { world.sever(func(_, _ *node) bool { return false }) }
+		simulation.partition(func(from, to *node) bool { return cut(from) != cut(to) })
+		return func() { simulation.partition(func(_, _ *node) bool { return false }) }
 	case 3:
-		return world.set(&world.store, trouble{down: part(0.35)})
+		return simulation.setFault(&simulation.store, fault{down: part(0.35)})
 	case 4:
-		return world.set(&world.store, trouble{silent: part(0.35)})
+		return simulation.setFault(&simulation.store, fault{silent: part(0.35)})
 	case 5:
-		return world.set(&world.store, trouble{lost: 0.3})
+		return simulation.setFault(&simulation.store, fault{lost: 0.3})
 	case 6:
-		return world.set(&world.store, trouble{late: 0.3})
+		return simulation.setFault(&simulation.store, fault{late: 0.3})
 	case 7:
-		return world.set(&world.store, trouble{slow: 240 * time.Millisecond})
+		return simulation.setFault(&simulation.store, fault{slow: 240 * time.Millisecond})
 	case 8:
-		return world.set(&world.authority, trouble{late: 0.4, lost: 0.1})
+		return simulation.setFault(&simulation.authority, fault{late: 0.4, lost: 0.1})
 	case 9:
-		return world.set(&world.authority, trouble{silent: all})
+		return simulation.setFault(&simulation.authority, fault{silent: all})
 	default:
-		return world.set(&world.store, trouble{down: all})
+		return simulation.setFault(&simulation.store, fault{down: all})
 	}
 }
 
-// TestNeverTwoHoldersUnderTroubles draws troubles, of which several may overlap: no report
-// is told with two contents, no token has two holders, and no holder returns within a
-// lease. Once all is calm every window is told in time again.
+// TestNeverTwoHoldersUnderTroubles runs sequences of random faults that may overlap: no window
+// is reported with two different contents, no token has two holders, and no holder acts again
+// within a lease after another has acted. Once the faults end, every window is reported in time.
 func TestNeverTwoHoldersUnderTroubles(t *testing.T) {
 	for _, size := range []int{2, 8, 40} {
 		for seed := range uint64(seeds) {
 			t.Run(fmt.Sprintf("%d/%d", size, seed), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					world := newWorld(t, seed*1000+uint64(size), size)
-					for _, node := range world.nodes {
+					simulation := newSimulation(t, seed*1000+uint64(size), size)
+					for _, node := range simulation.nodes {
 						node.start()
 					}
-					defer world.stopAll()
-					defer world.show()
-					world.serve(6*time.Second, 50)
+					defer simulation.stopAll()
+					defer simulation.logEvents()
+					simulation.runTraffic(6*time.Second, 50)
 					for range 6 {
-						first := world.trouble()
-						world.serve(time.Duration(500+world.script.IntN(4000))*time.Millisecond, 50)
-						second := world.trouble()
-						world.serve(time.Duration(500+world.script.IntN(6000))*time.Millisecond, 50)
+						first := simulation.beginFault()
+						simulation.runTraffic(time.Duration(500+simulation.scenario.IntN(4000))*time.Millisecond, 50)
+						second := simulation.beginFault()
+						simulation.runTraffic(time.Duration(500+simulation.scenario.IntN(6000))*time.Millisecond, 50)
 						first()
-						world.serve(time.Duration(100+world.script.IntN(2000))*time.Millisecond, 50)
+						simulation.runTraffic(time.Duration(100+simulation.scenario.IntN(2000))*time.Millisecond, 50)
 						second()
-						world.serve(time.Duration(100+world.script.IntN(5000))*time.Millisecond, 50)
+						simulation.runTraffic(time.Duration(100+simulation.scenario.IntN(5000))*time.Millisecond, 50)
 					}
-					for _, node := range world.nodes {
+					for _, node := range simulation.nodes {
 						if node.thawed != nil {
 							node.thaw()
 						}
@@ -101,51 +101,51 @@
 							node.start()
 						}
 					}
-					// Late calls, and pauses behind failures, end.
-					world.serve(30*time.Second, 50)
-					first := current()
-					world.serve(20*time.Second, 50)
-					assert.Equal(t, world.checkTold(first, current()-2), 0)
+					// Wait for delayed calls and for the pauses after failures to end.
+					simulation.runTraffic(30*time.Second, 50)
+					first := currentWindow()
+					simulation.runTraffic(20*time.Second, 50)
+					assert.Equal(t, simulation.checkReported(first, currentWindow()-2), 0)
 				})
 			})
 		}
 	}
 }
 
-// TestPowerOfAllIsLost ends all processes at once and starts them again: windows from then
-// on are told, and those in between as far as they are known.
+// TestPowerOfAllIsLost kills all processes at once and restarts them: the windows from then on
+// are reported, and the windows in between as far as their counts are known.
 func TestPowerOfAllIsLost(t *testing.T) {
-	inFleets(t, []int{8, 81}, func(_ *testing.T, world *world) {
-		world.serve(13*time.Second, 200)
-		first := current()
-		for _, node := range world.nodes {
+	runWithSizes(t, []int{8, 81}, func(_ *testing.T, simulation *simulation) {
+		simulation.runTraffic(13*time.Second, 200)
+		first := currentWindow()
+		for _, node := range simulation.nodes {
 			node.kill()
 		}
 		time.Sleep(1500 * time.Millisecond)
-		for _, node := range world.nodes {
+		for _, node := range simulation.nodes {
 			node.start()
 		}
-		world.serve(25*time.Second, 200)
-		world.checkTold(first, current()-2)
+		simulation.runTraffic(25*time.Second, 200)
+		simulation.checkReported(first, currentWindow()-2)
 	})
 }
 
-// TestPlannedStopHandsOver holds that a holder that stops as planned leaves its duties to
-// the next at once.
+// TestPlannedStopHandsOver checks that a holder in a planned stop hands its duties over to the
+// next node at once.
 func TestPlannedStopHandsOver(t *testing.T) {
-	inFleets(t, []int{8, 81}, func(t *testing.T, world *world) {
-		world.serve(11*time.Second, 200)
-		first := current()
-		world.nodes[0].stop()
-		world.serve(12*time.Second, 200)
-		world.checkTold(first, current()-2)
-		latest := world.latest(first, current()-2)
+	runWithSizes(t, []int{8, 81}, func(t *testing.T, simulation *simulation) {
+		simulation.runTraffic(11*time.Second, 200)
+		first := currentWindow()
+		simulation.nodes[0].stop()
+		simulation.runTraffic(12*time.Second, 200)
+		simulation.checkReported(first, currentWindow()-2)
+		latest := simulation.maxDelay(first, currentWindow()-2)
 		assert.Assert(t, latest < usageDeadline/2, "%v", latest)
 	})
 }
 
-// TestWrongAnswersOfThePlatform holds that claims which cannot be read are logged, leave
-// what stands alone, and are not asked for again and again.
+// TestWrongAnswersOfThePlatform checks that unreadable claims in the store are not overwritten,
+// and that they are not read again and again.
 func TestWrongAnswersOfThePlatform(t *testing.T) {
 	for name, content := range map[string]string{
 		"no claim":           `"text"`,
@@ -154,20 +154,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				world := newWorld(t, 1, 8)
-				object := world.objects[steward.UsageDuty]
+				simulation := newSimulation(t, 1, 8)
+				object := simulation.objects[steward.UsageDuty]
 				object.Revision, object.Content = 1, []byte(content)
-				world.objects[steward.UsageDuty], world.revision = object, 1
-				for _, node := range world.nodes {
+				simulation.objects[steward.UsageDuty], simulation.revision = object, 1
+				for _, node := range simulation.nodes {
 					node.start()
 				}
-				defer world.stopAll()
-				world.serve(30*time.Second, 20)
-				world.mutex.Lock()
-				defer world.mutex.Unlock()
-				assert.Equal(t, len(world.reports), 0)
-				assert.Equal(t, string(world.objects[steward.UsageDuty].Content), content)
-				assert.Assert(t, world.storeCalls[steward.UsageDuty] < 15, "%d calls", world.storeCalls[steward.UsageDuty])
+				defer simulation.stopAll()
+				simulation.runTraffic(30*time.Second, 20)
+				simulation.mutex.Lock()
+				defer simulation.mutex.Unlock()
+				assert.Equal(t, len(simulation.reports), 0)
+				assert.Equal(t, string(simulation.objects[steward.UsageDuty].Content), content)
+				assert.Assert(t, simulation.storeCalls[steward.UsageDuty] < 15, "%d store calls", simulation.storeCalls[steward.UsageDuty])
 			})
 		})
 	}
--- a/steward/usage.go
+++ b/steward/usage.go
@@ -16,111 +16,113 @@
 )
 
 const (
-	// Parts of the time within which a window has to be told. It is settled after
-	// wholeShare if all nodes that run have told what they counted, after partialShare if
-	// some have not.
-	wholeShare   = 0.12
-	partialShare = 0.3
-	// unheardShare is how much later a node tries that hears nobody; one that hears some
-	// tries in proportion, from wellHeard of those listed on at once. The list may hold
-	// nodes that are gone.
-	unheardShare = 0.4
-	wellHeard    = 0.9
-	// rankShare is how much later than the one before it each node tries, and how much
-	// later for each of its failures.
-	rankShare = 0.06
-	// latestShare bounds all that, so that there is time for the calls.
-	latestShare = 0.7
-	// keptSettled is how many windows the book keeps at least, so that whoever takes over
-	// finds the last ones.
-	keptSettled = 2
-	// mostBehind bounds how many windows are told when nobody could for long.
-	mostBehind = 24
-	// firstPause and longestPause bound the pause behind a failure.
+	// The delay shares are parts of Settings.UsageDeadline. A window is settled after
+	// completeDelayShare if all running processes have reported their counts, and after
+	// partialDelayShare if some have not.
+	completeDelayShare = 0.12
+	partialDelayShare  = 0.3
+	// unheardDelayShare is the additional delay of a node that has reports from nobody. The
+	// delay falls in proportion to the share of listed nodes that report, and is zero from
+	// fullReportingShare on, since the list may hold nodes that are gone.
+	unheardDelayShare  = 0.4
+	fullReportingShare = 0.9
+	// rankDelayShare is the additional delay for each node that goes before in precedence,
+	// and for each failure of this node.
+	rankDelayShare = 0.06
+	// maxDelayShare bounds the sum of these delays, to leave time for the calls.
+	maxDelayShare = 0.7
+	// minKeptWindows is the least number of windows that the book keeps, so that a node that
+	// takes over finds the last ones.
+	minKeptWindows = 2
+	// maxBacklog bounds how many windows are reported after a long outage.
+	maxBacklog = 24
+	// firstPause and longestPause bound the pause after a failure.
 	firstPause   = 250 * time.Millisecond
 	longestPause = 4 * time.Second
-	// unreadablePause is that behind a claim that cannot be read: somebody has to remove it.
+	// unreadablePause is the pause after a claim that cannot be read: an operator has to
+	// remove it.
 	unreadablePause = 10 * time.Second
 )
 
-// usageDuty tells usage. Its step is called by one goroutine.
+// usageDuty reports usage. A single goroutine calls its step.
 type usageDuty struct {
 	steward *Steward
 	lease   *leaseholder.Leaseholder[Book]
-	// first is the window in which this process started.
-	first tallier.Window
-	// pausedUntil is until when nothing is tried.
+	// firstWindow is the window in which this process started.
+	firstWindow tallier.Window
+	// pausedUntil is when the pause after a failure ends.
 	pausedUntil time.Time
-	// watched is the token of another's claim that this node has found with windows that
-	// are settled and not told.
-	watched uint64
+	// watchedToken is the token of another node's claim that this node has found with windows
+	// settled but not reported.
+	watchedToken uint64
 
 	// mutex guards the rest; no other lock is taken under it.
 	mutex sync.Mutex
-	// told is the last window that is known to be told.
-	told tallier.Window
-	// failures counts this node's, less the windows that were told since.
+	// reported is the newest window known to be reported.
+	reported tallier.Window
+	// failures is the number of this node's failures less the number of times that reported
+	// advanced since, and at least 0.
 	failures int
 }
 
 func newUsageDuty(steward *Steward) *usageDuty {
 	return &usageDuty{
-		steward: steward,
-		lease:   leaseholder.New[Book](steward.parts.Shelf, UsageDuty, steward.self, steward.settings.Lease),
-		first:   steward.tallier.At(steward.parts.Clock.Now()),
+		steward:     steward,
+		lease:       leaseholder.New[Book](steward.parts.Shelf, UsageDuty, steward.self, steward.settings.Lease),
+		firstWindow: steward.tallier.At(steward.parts.Clock.Now()),
 	}
 }
 
-// hear takes in up to which window usage is told.
-func (duty *usageDuty) hear(told tallier.Window) {
+// markReported notes that usage is reported up to a window.
+func (duty *usageDuty) markReported(window tallier.Window) {
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
-	if told > duty.told {
-		duty.told, duty.failures = told, max(duty.failures-1, 0)
+	if window > duty.reported {
+		duty.reported, duty.failures = window, max(duty.failures-1, 0)
 	}
 }
 
-// failing returns how many failures count against this node.
-func (duty *usageDuty) failing() int {
+// failureCount returns the number of failures that delay this node.
+func (duty *usageDuty) failureCount() int {
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
 	return duty.failures
 }
 
-// toldUntil returns up to which window usage is known to be told.
-func (duty *usageDuty) toldUntil() tallier.Window {
+// reportedUntil returns the newest window known to be reported.
+func (duty *usageDuty) reportedUntil() tallier.Window {
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
-	return duty.told
+	return duty.reported
 }
 
-// step settles and tells what is due, if it is for this node to do so.
+// step settles and reports the windows that are due for this node.
 func (duty *usageDuty) step(ctx context.Context) {
 	if time.Now().Before(duty.pausedUntil) {
 		return
 	}
 	steward := duty.steward
-	precedence := steward.parts.Fleet.Precedence(time.Now(), steward.yields)
+	precedence := steward.parts.Fleet.Precedence(time.Now(), steward.hasYielded)
 	if !precedence.Eligible {
 		return
 	}
 	now := steward.parts.Clock.Now()
-	due := duty.due(now, &precedence)
-	if due <= duty.toldUntil() || due < duty.first && precedence.Rank > 0 {
-		// What ended before this process started is left to the first, which tells the
-		// others that it is told.
+	due := duty.dueWindow(now, &precedence)
+	if due <= duty.reportedUntil() || due < duty.firstWindow && precedence.Rank > 0 {
+		// Windows that ended before this process started are left to the first node in
+		// precedence, which notifies the others once they are reported.
 		return
 	}
-	if !duty.holds(due) {
+	if !duty.holdsClaimFor(due) {
 		if err := duty.claim(ctx, now, due, precedence.Listed); err != nil {
-			duty.failed("claim", err)
+			duty.handleFailure("claim", err)
 			return
 		}
 	}
-	duty.tellAll(ctx)
+	duty.reportAll(ctx)
 }
 
-// claim claims the duty with all windows settled up to the one that is due. The error is of
+// claim claims the duty and records all windows up to the due one as settled. The error is of
 // package leaseholder.
 func (duty *usageDuty) claim(ctx context.Context, now time.Time, due tallier.Window, listed int) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -130,97 +132,99 @@
 	})
 }
 
-// due returns the newest window that this node is to see to by now.
-func (duty *usageDuty) due(now time.Time, precedence *exchanger.Precedence) tallier.Window {
+// dueWindow returns the newest window that this node is to report by now.
+func (duty *usageDuty) dueWindow(now time.Time, precedence *exchanger.Precedence) tallier.Window {
 	tallier := duty.steward.tallier
 	window := tallier.At(now) - 1
-	for ; window > duty.toldUntil() && now.Before(tallier.End(window).Add(duty.patience(now, window, precedence))); window-- {
+	for ; window > duty.reportedUntil() && now.Before(tallier.End(window).Add(duty.reportDelay(now, window, precedence))); window-- {
 	}
 	return window
 }
 
-// patience returns how long after a window's end this node sees to it: who hears from more
-// nodes goes first.
-func (duty *usageDuty) patience(now time.Time, window tallier.Window, precedence *exchanger.Precedence) time.Duration {
+// reportDelay returns how long after the end of a window this node tries to report it: nodes
+// with reports from more of the others go first.
+func (duty *usageDuty) reportDelay(now time.Time, window tallier.Window, precedence *exchanger.Precedence) time.Duration {
 	usage := duty.steward.tallier.Usage(now, window)
-	share := wholeShare
+	share := completeDelayShare
 	if usage.Whole < usage.Running {
-		share = partialShare
+		share = partialDelayShare
 	}
-	share += unheardShare * max(0, wellHeard-heardShare(&usage, precedence.Listed)) / wellHeard
-	share += rankShare * float64(precedence.Rank+duty.failing())
-	return time.Duration(min(share, latestShare) * float64(duty.steward.settings.UsageDeadline))
+	share += unheardDelayShare * max(0, fullReportingShare-reportingShare(&usage, precedence.Listed)) / fullReportingShare
+	share += rankDelayShare * float64(precedence.Rank+duty.failureCount())
+	return time.Duration(min(share, maxDelayShare) * float64(duty.steward.settings.UsageDeadline))
 }
 
-// heardShare returns the part of the listed nodes that is heard.
-func heardShare(usage *tallier.Usage, listed int) float64 {
+// reportingShare returns the share of the listed nodes that report to this one.
+func reportingShare(usage *tallier.Usage, listed int) float64 {
 	return float64(usage.Running) / float64(max(listed, 1))
 }
 
-// holds tells whether this node's claim holds and covers the window.
-func (duty *usageDuty) holds(window tallier.Window) bool {
+// holdsClaimFor reports whether this node's claim is valid and covers the window.
+func (duty *usageDuty) holdsClaimFor(window tallier.Window) bool {
 	if _, held := duty.lease.Token(); !held {
 		return false
 	}
-	last, any := duty.lease.Standing().Record.last()
-	return any && last >= window
+	last, found := duty.lease.Standing().Record.lastWindow()
+	return found && last >= window
 }
 
-// settle returns the book with all windows settled up to the one that is due, or false if
-// another node has settled them just now and is to be let tell them.
+// settle returns the book with all windows settled up to the due one, or false if nothing is
+// to be claimed: all windows are reported, or another node has settled them and is given time
+// to report them.
 func (duty *usageDuty) settle(now time.Time, due tallier.Window, standing *leaseholder.Claim[Book], listed int) (Book, bool) {
 	var book Book
-	next := duty.first
+	next := duty.firstWindow
 	if standing != nil {
-		book.Settled = kept(standing.Record.Settled)
-		if last, any := standing.Record.last(); any {
+		book.Settled = retainedWindows(standing.Record.Settled)
+		if last, found := standing.Record.lastWindow(); found {
 			next = last + 1
 		}
 	}
-	if next > due && !duty.takesOver(standing) {
+	if next > due && !duty.shouldTakeOver(standing) {
 		return Book{}, false
 	}
-	if due >= next+mostBehind {
-		duty.steward.parts.Log(logger.EventUsageSkipped, "from", next, "to", due-mostBehind)
-		skipped := int(due - mostBehind + 1 - next)
-		next = due - mostBehind + 1
-		duty.steward.board.change(func(status *Status) { status.Usage.Skipped += skipped })
+	if due >= next+maxBacklog {
+		duty.steward.parts.Log(logger.EventUsageSkipped, "from", next, "to", due-maxBacklog)
+		skipped := int(due - maxBacklog + 1 - next)
+		next = due - maxBacklog + 1
+		duty.steward.statuses.update(func(status *Status) { status.Usage.Skipped += skipped })
 	}
 	for window := next; window <= due; window++ {
 		usage := duty.steward.tallier.Usage(now, window)
-		whole := usage.Whole == usage.Running && usage.Lost == 0 && heardShare(&usage, listed) >= wellHeard && window >= duty.first
+		whole := usage.Whole == usage.Running && usage.Lost == 0 && reportingShare(&usage, listed) >= fullReportingShare && window >= duty.firstWindow
 		book.Settled = append(book.Settled, Settled{Window: window, Requests: usage.Requests, Whole: whole})
-		duty.steward.parts.Log(logger.EventUsageSettled, "window", window, "organisations", len(usage.Requests), "requests", total(usage.Requests),
+		duty.steward.parts.Log(logger.EventUsageSettled, "window", window, "organisations", len(usage.Requests), "requests", sumRequests(usage.Requests),
 			"whole", whole, "running", usage.Running, "toldAll", usage.Whole, "lost", usage.Lost, "listed", listed)
 	}
 	return book, true
 }
 
-// takesOver tells whether this node is to tell what stands settled. What another has settled
-// is left to it for as long as its claim holds.
-func (duty *usageDuty) takesOver(standing *leaseholder.Claim[Book]) bool {
+// shouldTakeOver reports whether this node is to report the windows that are settled in the
+// current claim. Windows that another node has settled are left to it while its claim is
+// valid.
+func (duty *usageDuty) shouldTakeOver(standing *leaseholder.Claim[Book]) bool {
 	if standing == nil {
-		duty.hear(duty.first - 1) // Nothing began before the first process did.
+		duty.markReported(duty.firstWindow - 1) // No request began before the first process started.
 		return false
 	}
-	if len(standing.Record.untold()) == 0 {
-		last, _ := standing.Record.last()
-		duty.hear(last)
+	if len(standing.Record.unreported()) == 0 {
+		last, _ := standing.Record.lastWindow()
+		duty.markReported(last)
 		return false
 	}
-	if standing.Holder == duty.steward.self.VM || standing.Token == duty.watched {
+	if standing.Holder == duty.steward.self.VM || standing.Token == duty.watchedToken {
 		return true
 	}
-	duty.watched = standing.Token
+	duty.watchedToken = standing.Token
 	duty.pause(duty.steward.settings.Lease)
 	return false
 }
 
-// kept returns the windows of a book that are still needed, copied.
-func kept(settled []Settled) []Settled {
+// retainedWindows returns copies of the windows of a book that are still needed.
+func retainedWindows(settled []Settled) []Settled {
 	var windows []Settled
 	for index, window := range settled {
-		if !window.Told || index+keptSettled >= len(settled) {
+		if !window.Told || index+minKeptWindows >= len(settled) {
 			window.Requests = maps.Clone(window.Requests)
 			windows = append(windows, window)
 		}
@@ -228,47 +232,48 @@
 	return windows
 }
 
-// total returns the sum over organisations.
-func total(requests map[definer.OrganisationName]uint64) uint64 {
+// sumRequests returns the number of requests of all organisations.
+func sumRequests(requests map[definer.OrganisationName]uint64) uint64 {
 	var sum uint64
-	for _, each := range requests {
-		sum += each
+	for _, count := range requests {
+		sum += count
 	}
 	return sum
 }
 
-// tellAll tells each window that is settled and not told, under this node's claim.
-func (duty *usageDuty) tellAll(ctx context.Context) {
+// reportAll reports each window that is settled but not reported, under this node's claim,
+// until one fails or the lease ends.
+func (duty *usageDuty) reportAll(ctx context.Context) {
 	steward := duty.steward
-	for _, settled := range duty.lease.Standing().Record.untold() {
+	for _, settled := range duty.lease.Standing().Record.unreported() {
 		token, held := duty.lease.Token()
 		if !held {
 			return
 		}
-		err := duty.tell(ctx, Grant{Holder: steward.self.VM, Token: token}, settled)
+		err := duty.reportWindow(ctx, Grant{Holder: steward.self.VM, Token: token}, settled)
 		duty.lease.Acted(err)
 		if err != nil {
-			duty.failed("tell", err)
+			duty.handleFailure("tell", err)
 			return
 		}
 		settled.Told = true
-		duty.hear(settled.Window)
-		duty.report(settled, token)
-		steward.notify(ctx, &messenger.DutyNotice{Duty: UsageDuty, Token: token, Window: uint64(settled.Window)})
+		duty.markReported(settled.Window)
+		duty.recordReport(settled, token)
+		steward.notifyAudience(ctx, &messenger.DutyNotice{Duty: UsageDuty, Token: token, Window: uint64(settled.Window)})
 	}
 }
 
-// report logs that a window is told, and shows it to operators.
-func (duty *usageDuty) report(settled *Settled, token uint64) {
+// recordReport logs that a window is reported and adds it to the status.
+func (duty *usageDuty) recordReport(settled *Settled, token uint64) {
 	steward := duty.steward
 	now := steward.parts.Clock.Now()
 	late := now.Sub(steward.tallier.End(settled.Window))
 	steward.parts.Log(logger.EventUsageTold, "window", settled.Window, "token", token, "whole", settled.Whole, "lateMs", late.Milliseconds())
-	steward.board.change(func(status *Status) {
+	steward.statuses.update(func(status *Status) {
 		usage := &status.Usage
 		usage.DutyStatus = DutyStatus{Holds: true, Holder: steward.self.VM, Token: token}
 		usage.ToldUntil = settled.Window
-		usage.Reports = latest(usage.Reports, Report{Window: settled.Window, Token: token, Requests: total(settled.Requests), Whole: settled.Whole, Late: late, At: now})
+		usage.Reports = appendBounded(usage.Reports, Report{Window: settled.Window, Token: token, Requests: sumRequests(settled.Requests), Whole: settled.Whole, Late: late, At: now})
 		if settled.Whole {
 			usage.Whole++
 		} else {
@@ -277,14 +282,14 @@
 	})
 }
 
-func (duty *usageDuty) tell(ctx context.Context, grant Grant, settled *Settled) error {
+func (duty *usageDuty) reportWindow(ctx context.Context, grant Grant, settled *Settled) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return duty.steward.parts.Platform.Tell(ctx, grant, settled)
 }
 
-// failed notes and logs that a step failed, and pauses.
-func (duty *usageDuty) failed(step string, err error) {
+// handleFailure counts and logs a failed step, and pauses the duty.
+func (duty *usageDuty) handleFailure(step string, err error) {
 	switch {
 	case leaseholder.IsKind(err, leaseholder.Needless):
 		duty.lease.Forget()
@@ -297,9 +302,9 @@
 		duty.mutex.Lock()
 		duty.failures++
 		duty.mutex.Unlock()
-		duty.pause(timer.Doubled(firstPause, longestPause, duty.failing()-1))
+		duty.pause(timer.Doubled(firstPause, longestPause, duty.failureCount()-1))
 	}
-	duty.steward.parts.Log(logger.EventDutyFailed, "duty", UsageDuty, "step", step, "failures", duty.failing(), "cause", err)
+	duty.steward.parts.Log(logger.EventDutyFailed, "duty", UsageDuty, "step", step, "failures", duty.failureCount(), "cause", err)
 }
 
 func (duty *usageDuty) pause(pause time.Duration) { duty.pausedUntil = time.Now().Add(pause) }
--- a/steward/world_test.go
+++ b/steward/world_test.go
@@ -23,17 +23,17 @@
 )
 
 const (
-	// The users' bounds.
+	// The required bounds.
 	leaseTerm     = 3 * time.Second
 	usageWindow   = 5 * time.Second
 	usageDeadline = 10 * time.Second
 	tolerance     = 0.05
-	// answerTime is that of the store and the platform, wayTime that between two nodes.
-	answerTime = 4 * time.Millisecond
-	wayTime    = time.Millisecond
-	// noticeTime is how long nodes take to notice that one is silent.
-	noticeTime = 500 * time.Millisecond
-	// groupSize is how many nodes report to one.
+	// responseTime is the latency of the store and the platform, linkDelay that between two nodes.
+	responseTime = 4 * time.Millisecond
+	linkDelay    = time.Millisecond
+	// detectionTime is how long nodes take to notice that another is silent.
+	detectionTime = 500 * time.Millisecond
+	// groupSize is the number of nodes that report to one aggregator.
 	groupSize = 4
 )
 
@@ -44,10 +44,10 @@
 	at      time.Time
 }
 
-// world is a platform and the nodes before it, on the stepped clock of the test's bubble.
-type world struct {
-	t      *testing.T
-	script *rand.Rand
+// simulation is a platform with its nodes, on the fake clock of the test's synctest bubble.
+type simulation struct {
+	t        *testing.T
+	scenario *rand.Rand
 
 	// mutex guards the rest.
 	mutex    sync.Mutex
@@ -55,47 +55,48 @@
 	nodes    []*node
 	objects  map[string]leaseholder.Object
 	revision uint64
-	// reports are those accepted, with the first acceptance's lateness; acts are all that
-	// were accepted of a duty and subject, highest the newest token seen of it.
+	// reports holds the accepted reports, lateness how late each was first accepted; acts holds
+	// all accepted acts by duty or subject, highest the newest token seen of each.
 	reports  map[tallier.Window]map[definer.OrganisationName]uint64
 	lateness map[tallier.Window]time.Duration
 	acts     map[string][]act
 	highest  map[string]uint64
-	// truth is what began at the upstreams.
-	truth map[tallier.Window]map[definer.OrganisationName]uint64
+	// begun counts the requests that began at the upstreams.
+	begun map[tallier.Window]map[definer.OrganisationName]uint64
 	// storeCalls counts the calls to the store for each duty.
 	storeCalls map[string]int
 	engines    *engines
-	// severed tells whether two nodes are cut off from each other.
-	severed func(from, to *node) bool
-	// store and authority are how these answer.
-	store     trouble
-	authority trouble
+	// partitioned reports whether two nodes are cut off from each other.
+	partitioned func(from, to *node) bool
+	// store and authority are the faults of the store and of the platform.
+	store     fault
+	authority fault
 }
 
-// trouble is how a system behaves.
-type trouble struct {
-	// down calls are turned away, silent ones never answered; for nodes of which it says so.
+// fault is the faulty behaviour of a system.
+type fault struct {
+	// Calls of nodes for which down returns true are refused; calls of nodes for which silent
+	// returns true are never answered.
 	down   func(node *node) bool
 	silent func(node *node) bool
 	slow   time.Duration
-	// lost is the part of calls that are carried out and not answered, late the part that
-	// are not answered and carried out 2 to 12 s later.
+	// lost is the share of calls that are carried out but not answered, late the share that are
+	// not answered and carried out 2 to 12 s later.
 	lost float64
 	late float64
 }
 
-// node is one place for a process.
+// node is a VM that runs at most one process at a time.
 type node struct {
-	world *world
-	place int
-	peer  exchanger.Peer
+	simulation *simulation
+	index      int
+	peer       exchanger.Peer
 	// skew is how far its clock is ahead.
 	skew time.Duration
 
-	// The world's mutex guards the rest.
+	// The simulation's mutex guards the rest.
 	process *process
-	// silentSince is since when nothing comes from it; zero while it is heard.
+	// silentSince is when the node went silent; zero while it answers.
 	silentSince time.Time
 	thawed      chan struct{}
 }
@@ -111,47 +112,47 @@
 	events  []string
 }
 
-func newWorld(t *testing.T, seed uint64, count int) *world {
-	world := &world{
-		t: t, script: rand.New(rand.NewPCG(seed, 1)), random: rand.New(rand.NewPCG(seed, 2)),
+func newSimulation(t *testing.T, seed uint64, count int) *simulation {
+	simulation := &simulation{
+		t: t, scenario: rand.New(rand.NewPCG(seed, 1)), random: rand.New(rand.NewPCG(seed, 2)),
 		objects: make(map[string]leaseholder.Object), reports: make(map[tallier.Window]map[definer.OrganisationName]uint64),
 		lateness: make(map[tallier.Window]time.Duration), acts: make(map[string][]act), highest: make(map[string]uint64),
-		truth: make(map[tallier.Window]map[definer.OrganisationName]uint64), severed: func(_, _ *node) bool { return false },
+		begun: make(map[tallier.Window]map[definer.OrganisationName]uint64), partitioned: func(_, _ *node) bool { return false },
 		engines: newEngines(t), storeCalls: make(map[string]int),
 	}
 	for place := range count {
 		vm := definer.VM(fmt.Sprintf("n%03d", place))
-		world.nodes = append(world.nodes, &node{world: world, place: place, peer: exchanger.Peer{VM: vm, Address: string(vm)}})
+		simulation.nodes = append(simulation.nodes, &node{simulation: simulation, index: place, peer: exchanger.Peer{VM: vm, Address: string(vm)}})
 	}
-	return world
+	return simulation
 }
 
 // start starts a process on a node.
 func (node *node) start() {
-	ctx, end := context.WithCancel(node.world.t.Context())
+	ctx, end := context.WithCancel(node.simulation.t.Context())
 	process := &process{node: node, member: definer.Member{VM: node.peer.VM, Incarnation: definer.Incarnation(time.Now().UnixNano())}, end: end}
 	process.steward = steward.New(process.member, steward.Settings{Lease: leaseTerm, UsageWindow: usageWindow, UsageDeadline: usageDeadline, Scales: true, Headroom: scaler.DefaultHeadroom},
 		steward.Parts{
 			Fleet: process, Clock: process, Sender: process, Shelf: process, Platform: process,
-			Services: process.node.world.engines, Engines: process.node.world.engines, Demand: process.node.world.engines, Log: process.log,
+			Services: process.node.simulation.engines, Engines: process.node.simulation.engines, Demand: process.node.simulation.engines, Log: process.log,
 		})
-	node.world.mutex.Lock()
+	node.simulation.mutex.Lock()
 	node.process, node.silentSince = process, time.Time{}
-	node.world.mutex.Unlock()
+	node.simulation.mutex.Unlock()
 	go process.steward.Run(ctx)
 }
 
-// kill ends a process at once: nothing that it does any more reaches anybody.
+// kill ends a process at once: none of its later calls and messages is delivered.
 func (node *node) kill() {
-	node.world.mutex.Lock()
+	node.simulation.mutex.Lock()
 	killed := node.process
 	node.process, node.silentSince = nil, time.Now()
-	node.world.mutex.Unlock()
+	node.simulation.mutex.Unlock()
 	killed.end()
 	<-killed.steward.Done()
 }
 
-// stop ends a process as a planned stop does.
+// stop ends a process as in a planned stop.
 func (node *node) stop() {
 	stopped := node.process
 	stopped.end()
@@ -159,26 +160,26 @@
 	node.kill()
 }
 
-// freeze holds a node up until thaw.
+// freeze suspends a node until thaw.
 func (node *node) freeze() {
-	node.world.mutex.Lock()
-	defer node.world.mutex.Unlock()
+	node.simulation.mutex.Lock()
+	defer node.simulation.mutex.Unlock()
 	node.thawed, node.silentSince = make(chan struct{}), time.Now()
 }
 
 func (node *node) thaw() {
-	node.world.mutex.Lock()
-	defer node.world.mutex.Unlock()
+	node.simulation.mutex.Lock()
+	defer node.simulation.mutex.Unlock()
 	close(node.thawed)
 	node.thawed, node.silentSince = nil, time.Time{}
 }
 
-// pass waits while the node is frozen and tells whether the process still runs.
-func (process *process) pass() bool {
+// waitWhileFrozen waits while the node is frozen and reports whether the process still runs.
+func (process *process) waitWhileFrozen() bool {
 	for {
-		process.node.world.mutex.Lock()
+		process.node.simulation.mutex.Lock()
 		thawed, runs := process.node.thawed, process.node.process == process
-		process.node.world.mutex.Unlock()
+		process.node.simulation.mutex.Unlock()
 		if thawed == nil || !runs {
 			return runs
 		}
@@ -195,26 +196,26 @@
 // Now returns the node's time of day.
 func (process *process) Now() time.Time { return time.Now().Add(process.node.skew) }
 
-// hears tells whether a node still counts another as there.
-func (world *world) hears(from, to *node) bool {
+// hears reports whether a node is still regarded as present by another.
+func (simulation *simulation) hears(from, to *node) bool {
 	unheard := from.silentSince
 	if from.process == nil || from.thawed != nil {
-		return !unheard.IsZero() && time.Since(unheard) < noticeTime
+		return !unheard.IsZero() && time.Since(unheard) < detectionTime
 	}
-	return !world.severed(from, to)
+	return !simulation.partitioned(from, to)
 }
 
-// Precedence returns the node's place as it follows from who answers.
+// Precedence returns the node's place in precedence as it follows from the nodes that answer.
 func (process *process) Precedence(_ time.Time, passedOver func(vm definer.VM) bool) exchanger.Precedence {
-	process.pass()
-	world := process.node.world
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
+	process.waitWhileFrozen()
+	simulation := process.node.simulation
+	simulation.mutex.Lock()
+	defer simulation.mutex.Unlock()
 	var aggregators []*node
 	var own []*node
-	for first := 0; first < len(world.nodes); first += groupSize {
-		group := world.nodes[first:min(first+groupSize, len(world.nodes))]
-		at := slices.IndexFunc(group, func(node *node) bool { return node == process.node || world.hears(node, process.node) })
+	for first := 0; first < len(simulation.nodes); first += groupSize {
+		group := simulation.nodes[first:min(first+groupSize, len(simulation.nodes))]
+		at := slices.IndexFunc(group, func(node *node) bool { return node == process.node || simulation.hears(node, process.node) })
 		if at >= 0 {
 			aggregators = append(aggregators, group[at])
 		}
@@ -222,12 +223,12 @@
 			own = group
 		}
 	}
-	return world.precedence(process.node, own, aggregators, passedOver)
+	return simulation.precedence(process.node, own, aggregators, passedOver)
 }
 
-// precedence returns the place of a node of a group; the world is locked.
-func (world *world) precedence(self *node, own, aggregators []*node, passedOver func(vm definer.VM) bool) exchanger.Precedence {
-	precedence := exchanger.Precedence{Listed: len(world.nodes)}
+// precedence returns the precedence of a node in the group own. The caller holds mutex.
+func (simulation *simulation) precedence(self *node, own, aggregators []*node, passedOver func(vm definer.VM) bool) exchanger.Precedence {
+	precedence := exchanger.Precedence{Listed: len(simulation.nodes)}
 	var mine *node
 	var others []exchanger.Peer
 	for _, aggregator := range aggregators {
@@ -249,12 +250,12 @@
 	if precedence.Eligible {
 		precedence.Seniors = others[:min(len(others), 2)]
 	}
-	groups := (len(world.nodes) + groupSize - 1) / groupSize
+	groups := (len(simulation.nodes) + groupSize - 1) / groupSize
 	if groups >= 3 {
 		return precedence
 	}
 	precedence.Audience = nil
-	for _, node := range world.nodes {
+	for _, node := range simulation.nodes {
 		if node != self {
 			precedence.Audience = append(precedence.Audience, node.peer)
 		}
@@ -279,36 +280,36 @@
 
 // Send delivers a message to a node.
 func (process *process) Send(_ context.Context, address string, message messenger.Message) {
-	if !process.pass() {
+	if !process.waitWhileFrozen() {
 		return
 	}
-	world := process.node.world
-	time.AfterFunc(wayTime, func() {
-		world.mutex.Lock()
-		at := slices.IndexFunc(world.nodes, func(node *node) bool { return node.peer.Address == address })
-		to := world.nodes[at]
+	simulation := process.node.simulation
+	time.AfterFunc(linkDelay, func() {
+		simulation.mutex.Lock()
+		at := slices.IndexFunc(simulation.nodes, func(node *node) bool { return node.peer.Address == address })
+		to := simulation.nodes[at]
 		target := to.process
-		if target == nil || to.thawed != nil || world.severed(process.node, to) {
-			world.mutex.Unlock()
+		if target == nil || to.thawed != nil || simulation.partitioned(process.node, to) {
+			simulation.mutex.Unlock()
 			return
 		}
-		world.mutex.Unlock()
+		simulation.mutex.Unlock()
 		target.steward.Receive(process.member, message)
 	})
 }
 
-// call makes one call to a system: carry is called, with the world locked, when it is
-// carried out. It returns whether the caller is answered, and whether nothing was done.
-func (process *process) call(ctx context.Context, trouble *trouble, carry func()) (answered, refused bool) {
-	if !process.pass() {
+// call makes one call to a system; carry is called with the simulation locked when the call is
+// carried out. It returns whether the caller gets an answer, and whether the call was refused.
+func (process *process) call(ctx context.Context, fault *fault, carry func()) (answered, refused bool) {
+	if !process.waitWhileFrozen() {
 		<-ctx.Done()
 		return false, false
 	}
-	world, node := process.node.world, process.node
-	world.mutex.Lock()
-	now := *trouble
-	lost, late, lateBy := world.random.Float64() < trouble.lost, world.random.Float64() < trouble.late, 2*time.Second+time.Duration(world.random.Int64N(int64(10*time.Second)))
-	world.mutex.Unlock()
+	simulation, node := process.node.simulation, process.node
+	simulation.mutex.Lock()
+	now := *fault
+	lost, late, lateBy := simulation.random.Float64() < fault.lost, simulation.random.Float64() < fault.late, 2*time.Second+time.Duration(simulation.random.Int64N(int64(10*time.Second)))
+	simulation.mutex.Unlock()
 	if now.silent != nil && now.silent(node) {
 		<-ctx.Done()
 		return false, false
@@ -322,12 +323,12 @@
 		}
 	}
 	locked := func() {
-		world.mutex.Lock()
-		defer world.mutex.Unlock()
+		simulation.mutex.Lock()
+		defer simulation.mutex.Unlock()
 		carry()
 	}
 	if now.down != nil && now.down(node) {
-		wait(answerTime)
+		wait(responseTime)
 		return false, true
 	}
 	if late {
@@ -335,178 +336,179 @@
 		<-ctx.Done()
 		return false, false
 	}
-	// It arrives whatever becomes of the caller.
-	time.AfterFunc((answerTime+now.slow)/2, locked)
-	if lost || !wait(answerTime+now.slow) {
+	// The call is carried out whether or not the caller still waits.
+	time.AfterFunc((responseTime+now.slow)/2, locked)
+	if lost || !wait(responseTime+now.slow) {
 		<-ctx.Done()
 		return false, false
 	}
-	return process.pass(), false
+	return process.waitWhileFrozen(), false
 }
 
 // Read reads an object of the store.
 func (process *process) Read(ctx context.Context, duty string) (leaseholder.Object, error) {
-	world := process.node.world
+	simulation := process.node.simulation
 	var object leaseholder.Object
-	answered, refused := process.call(ctx, &world.store, func() {
-		world.storeCalls[duty]++
-		object = world.objects[duty]
+	answered, refused := process.call(ctx, &simulation.store, func() {
+		simulation.storeCalls[duty]++
+		object = simulation.objects[duty]
 	})
-	if err := outcome(answered, refused); err != nil {
+	if err := callError(answered, refused); err != nil {
 		return leaseholder.Object{}, err
 	}
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
+	simulation.mutex.Lock()
+	defer simulation.mutex.Unlock()
 	return object, nil
 }
 
-func outcome(answered, refused bool) error {
+func callError(answered, refused bool) error {
 	switch {
 	case refused:
-		return leaseholder.Fail("test", leaseholder.Refused, "turned away")
+		return leaseholder.Fail("test", leaseholder.Refused, "call refused")
 	case !answered:
 		return leaseholder.Fail("test", leaseholder.Unanswered, "no answer")
 	}
 	return nil
 }
 
-// Write writes an object of the store on its condition.
+// Write writes an object of the store if its revision still matches.
 func (process *process) Write(ctx context.Context, duty string, object leaseholder.Object) (uint64, error) {
-	world := process.node.world
+	simulation := process.node.simulation
 	var revision uint64
 	var conflict bool
-	answered, refused := process.call(ctx, &world.store, func() {
-		world.storeCalls[duty]++
-		if world.objects[duty].Revision != object.Revision {
+	answered, refused := process.call(ctx, &simulation.store, func() {
+		simulation.storeCalls[duty]++
+		if simulation.objects[duty].Revision != object.Revision {
 			conflict = true
 			return
 		}
-		world.revision++
-		revision = world.revision
-		world.objects[duty] = leaseholder.Object{Revision: revision, Content: object.Content}
+		simulation.revision++
+		revision = simulation.revision
+		simulation.objects[duty] = leaseholder.Object{Revision: revision, Content: object.Content}
 	})
-	if err := outcome(answered, refused); err != nil {
+	if err := callError(answered, refused); err != nil {
 		return 0, err
 	}
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
+	simulation.mutex.Lock()
+	defer simulation.mutex.Unlock()
 	if conflict {
-		return 0, leaseholder.Fail("test", leaseholder.Conflict, "another revision")
+		return 0, leaseholder.Fail("test", leaseholder.Conflict, "the object has another revision")
 	}
 	return revision, nil
 }
 
-// Tell takes a report of usage.
+// Tell accepts a usage report.
 func (process *process) Tell(ctx context.Context, grant steward.Grant, usage *steward.Settled) error {
-	world := process.node.world
+	simulation := process.node.simulation
 	window, counts := usage.Window, maps.Clone(usage.Requests)
 	var outdated bool
-	answered, refused := process.call(ctx, &world.authority, func() {
-		if outdated = !world.carryOut("usage", process, grant); outdated {
+	answered, refused := process.call(ctx, &simulation.authority, func() {
+		if outdated = !simulation.acceptAct("usage", process, grant); outdated {
 			return
 		}
-		if told, again := world.reports[window]; again {
-			assert.Check(world.t, maps.Equal(told, counts), "window %d is told twice, with other counts", window)
+		if told, again := simulation.reports[window]; again {
+			assert.Check(simulation.t, maps.Equal(told, counts), "window %d is reported twice, with different counts", window)
 			return
 		}
-		world.reports[window] = counts
-		world.lateness[window] = time.Since(endOf(window))
+		simulation.reports[window] = counts
+		simulation.lateness[window] = time.Since(windowEnd(window))
 	})
-	if err := outcome(answered, refused); err != nil {
+	if err := callError(answered, refused); err != nil {
 		return err
 	}
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
+	simulation.mutex.Lock()
+	defer simulation.mutex.Unlock()
 	if outdated {
 		return leaseholder.Fail("test", leaseholder.Outdated, "a newer token was seen")
 	}
 	return nil
 }
 
-// Order takes an order of engines.
+// Order accepts an order of engines.
 func (process *process) Order(ctx context.Context, grant steward.Grant, order *steward.Order) error {
-	world := process.node.world
+	simulation := process.node.simulation
 	placed := *order
 	var outdated, none bool
-	answered, refused := process.call(ctx, &world.authority, func() {
+	answered, refused := process.call(ctx, &simulation.authority, func() {
 		subject := fmt.Sprintf("%s in %s", placed.Service, placed.DataCentre)
-		if outdated = !world.carryOut(subject, process, grant); outdated {
+		if outdated = !simulation.acceptAct(subject, process, grant); outdated {
 			return
 		}
-		none = !world.engines.order(&placed)
+		none = !simulation.engines.order(&placed)
 	})
-	if err := outcome(answered, refused); err != nil {
+	if err := callError(answered, refused); err != nil {
 		return err
 	}
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
+	simulation.mutex.Lock()
+	defer simulation.mutex.Unlock()
 	switch {
 	case outdated:
 		return leaseholder.Fail("test", leaseholder.Outdated, "a newer token was seen")
 	case none:
-		return leaseholder.Fail("test", leaseholder.Unavailable, "none are to be had")
+		return leaseholder.Fail("test", leaseholder.Unavailable, "no engines are available")
 	}
 	return nil
 }
 
-func endOf(window tallier.Window) time.Time {
+func windowEnd(window tallier.Window) time.Time {
 	return time.Unix(0, int64(time.Duration(window+1)*usageWindow))
 }
 
-// carryOut checks the fence of an act and holds that no token has two holders and that no
-// holder acts, is followed by another, and acts again within a lease; the world is locked.
-func (world *world) carryOut(subject string, process *process, grant steward.Grant) bool {
+// acceptAct reports whether an act passes the fencing token. It checks that no token has two
+// holders, and that no holder acts again within a lease once another has acted after it. The
+// caller holds mutex.
+func (simulation *simulation) acceptAct(subject string, process *process, grant steward.Grant) bool {
 	machine := string(process.node.peer.VM)
-	if grant.Token < world.highest[subject] {
+	if grant.Token < simulation.highest[subject] {
 		return false
 	}
-	world.highest[subject] = grant.Token
-	acts := world.acts[subject]
+	simulation.highest[subject] = grant.Token
+	acts := simulation.acts[subject]
 	for index := range acts {
-		assert.Check(world.t, acts[index].token != grant.Token || acts[index].machine == machine, "%s and %s act with token %d", acts[index].machine, machine, grant.Token)
+		assert.Check(simulation.t, acts[index].token != grant.Token || acts[index].machine == machine, "%s and %s act with token %d", acts[index].machine, machine, grant.Token)
 	}
 	for index := len(acts) - 1; index >= 0 && time.Since(acts[index].at) < leaseTerm; index-- {
 		between := slices.ContainsFunc(acts[index:], func(act act) bool { return act.machine != machine })
-		assert.Check(world.t, acts[index].machine != machine || !between, "%s acts %v after it did, another in between", machine, time.Since(acts[index].at))
+		assert.Check(simulation.t, acts[index].machine != machine || !between, "%s acts again %v after its last act, with another holder in between", machine, time.Since(acts[index].at))
 	}
-	world.acts[subject] = append(acts, act{machine, grant.Token, time.Now()})
+	simulation.acts[subject] = append(acts, act{machine, grant.Token, time.Now()})
 	return true
 }
 
-// begin has a request of an organisation begin, seen by a process that runs.
-func (world *world) begin(organisation definer.OrganisationName) {
-	world.mutex.Lock()
+// beginRequest begins a request of an organisation at a random running process.
+func (simulation *simulation) beginRequest(organisation definer.OrganisationName) {
+	simulation.mutex.Lock()
 	var running []*process
-	for _, node := range world.nodes {
+	for _, node := range simulation.nodes {
 		if node.process != nil && node.thawed == nil {
 			running = append(running, node.process)
 		}
 	}
 	window := tallier.Window(time.Duration(time.Now().UnixNano()) / usageWindow)
 	if len(running) == 0 {
-		world.mutex.Unlock()
+		simulation.mutex.Unlock()
 		return
 	}
-	if world.truth[window] == nil {
-		world.truth[window] = make(map[definer.OrganisationName]uint64)
+	if simulation.begun[window] == nil {
+		simulation.begun[window] = make(map[definer.OrganisationName]uint64)
 	}
-	world.truth[window][organisation]++
-	chosen := running[world.random.IntN(len(running))]
-	world.mutex.Unlock()
+	simulation.begun[window][organisation]++
+	chosen := running[simulation.random.IntN(len(running))]
+	simulation.mutex.Unlock()
 	chosen.steward.Begun(organisation)
 }
 
-// serve lets time pass in which so many requests a second begin, of five organisations.
-func (world *world) serve(passes time.Duration, perSecond int) {
+// runTraffic begins requests of five organisations at a rate per second for a span of time.
+func (simulation *simulation) runTraffic(passes time.Duration, perSecond int) {
 	for range int(passes.Seconds() * float64(perSecond)) {
 		time.Sleep(time.Second / time.Duration(perSecond))
-		world.begin(definer.OrganisationName(fmt.Sprintf("o%d", min(world.script.IntN(8), 4))))
+		simulation.beginRequest(definer.OrganisationName(fmt.Sprintf("o%d", min(simulation.scenario.IntN(8), 4))))
 	}
 }
 
 // stopAll ends all processes.
-func (world *world) stopAll() {
-	for _, node := range world.nodes {
+func (simulation *simulation) stopAll() {
+	for _, node := range simulation.nodes {
 		if node.thawed != nil {
 			node.thaw()
 		}
@@ -514,65 +516,65 @@
 			node.kill()
 		}
 	}
-	time.Sleep(20 * time.Second) // What is late is carried out, and calls end.
+	time.Sleep(20 * time.Second) // Lets delayed calls be carried out and pending calls end.
 }
 
-// checkTold holds that every window that ended long enough ago was told in time, and
-// returns how many of them are off by more than the tolerance.
-func (world *world) checkTold(first, last tallier.Window) (off int) {
-	world.t.Helper()
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
+// checkReported checks that every window from first to last was reported in time, and returns
+// how many of them are off by more than the tolerance.
+func (simulation *simulation) checkReported(first, last tallier.Window) (off int) {
+	simulation.t.Helper()
+	simulation.mutex.Lock()
+	defer simulation.mutex.Unlock()
 	for window := first; window <= last; window++ {
-		counts, told := world.reports[window]
-		assert.Check(world.t, told && world.lateness[window] <= usageDeadline, "window %d: told %t, %v after its end", window, told, world.lateness[window])
-		if !world.near(counts, world.truth[window]) {
+		counts, told := simulation.reports[window]
+		assert.Check(simulation.t, told && simulation.lateness[window] <= usageDeadline, "window %d: reported %t, %v after its end", window, told, simulation.lateness[window])
+		if !simulation.withinTolerance(counts, simulation.begun[window]) {
 			off++
-			world.t.Logf("window %d: told %v, began %v", window, counts, world.truth[window])
+			simulation.t.Logf("window %d: reported %v, begun %v", window, counts, simulation.begun[window])
 		}
 	}
 	return off
 }
 
-// latest returns the longest time after a window's end at which one was told.
-func (world *world) latest(first, last tallier.Window) time.Duration {
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
+// maxDelay returns the longest time between the end of a window and its report.
+func (simulation *simulation) maxDelay(first, last tallier.Window) time.Duration {
+	simulation.mutex.Lock()
+	defer simulation.mutex.Unlock()
 	var longest time.Duration
 	for window := first; window <= last; window++ {
-		longest = max(longest, world.lateness[window])
+		longest = max(longest, simulation.lateness[window])
 	}
 	return longest
 }
 
-// sever sets which nodes are cut off from each other.
-func (world *world) sever(severed func(from, to *node) bool) {
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
-	world.severed = severed
+// partition sets which nodes are cut off from each other.
+func (simulation *simulation) partition(severed func(from, to *node) bool) {
+	simulation.mutex.Lock()
+	defer simulation.mutex.Unlock()
+	simulation.partitioned = severed
 }
 
-// set sets how a system answers, until the function that it returns is called.
-func (world *world) set(target *trouble, value trouble) (end func()) {
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
+// setFault sets the fault of a system until the returned function is called.
+func (simulation *simulation) setFault(target *fault, value fault) (end func()) {
+	simulation.mutex.Lock()
+	defer simulation.mutex.Unlock()
 	*target = value
 	return func() {
-		world.mutex.Lock()
-		defer world.mutex.Unlock()
-		*target = trouble{}
+		simulation.mutex.Lock()
+		defer simulation.mutex.Unlock()
+		*target = fault{}
 	}
 }
 
-// calls returns how many calls to the store a duty has made.
-func (world *world) calls(duty string) int {
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
-	return world.storeCalls[duty]
+// storeCallCount returns the number of store calls of a duty.
+func (simulation *simulation) storeCallCount(duty string) int {
+	simulation.mutex.Lock()
+	defer simulation.mutex.Unlock()
+	return simulation.storeCalls[duty]
 }
 
-// near tells whether counts are within the tolerance of the truth.
-func (world *world) near(counts, truth map[definer.OrganisationName]uint64) bool {
+// withinTolerance reports whether counts are within the tolerance of the truth.
+func (simulation *simulation) withinTolerance(counts, truth map[definer.OrganisationName]uint64) bool {
 	for organisation, began := range truth {
 		if diff := float64(counts[organisation]) - float64(began); max(diff, -diff) > max(tolerance*float64(began), 1) {
 			return false
@@ -581,20 +583,20 @@
 	return true
 }
 
-// current returns the window of now.
-func current() tallier.Window {
+// currentWindow returns the window that contains the present time.
+func currentWindow() tallier.Window {
 	return tallier.Window(time.Duration(time.Now().UnixNano()) / usageWindow)
 }
 
-// show logs what the processes logged when the test failed.
-func (world *world) show() {
-	if !world.t.Failed() {
+// logEvents writes the events of the processes to the test log if the test failed.
+func (simulation *simulation) logEvents() {
+	if !simulation.t.Failed() {
 		return
 	}
-	for _, node := range world.nodes {
+	for _, node := range simulation.nodes {
 		if node.process != nil && len(node.process.events) > 0 {
 			content, _ := json.Marshal(node.process.events)
-			world.t.Logf("%s: %s", node.peer.VM, content)
+			simulation.t.Logf("%s: %s", node.peer.VM, content)
 		}
 	}
 }
