--- a/leaseholder/doc.go
+++ b/leaseholder/doc.go
@@ -1,8 +1,8 @@
-// Package leaseholder lets one node at a time act on a duty, by one object of the
-// platform's store: each act is preceded by a conditional write that claims the duty and
-// records what will be done. The claim bears a fencing token that no other claim has, and
-// holds for a lease by the steady clock of its holder. Nothing is agreed between nodes:
-// two that try at once cost calls alone.
+// Package leaseholder implements a fenced lease that lets one node at a time perform a duty. The
+// lease is one object in the platform's store: before it acts, a node claims the duty by a
+// conditional write that also records what it is about to do. Each claim has a unique fencing
+// token and is valid for the lease time by the monotonic clock of its holder. Nodes don't
+// coordinate: concurrent claims cost calls only.
 package leaseholder
 
 import (
@@ -17,32 +17,32 @@
 const (
 	// Conflict marks a write whose condition did not hold.
 	Conflict Kind = "conflict"
-	// Unanswered marks a call that may still be carried out.
+	// Unanswered marks a call without an answer, which may still be carried out.
 	Unanswered Kind = "unanswered"
-	// Refused marks a call that the platform turned away; it is not carried out.
+	// Refused marks a call that the platform rejected; it is not carried out.
 	Refused Kind = "refused"
-	// Outdated marks an act that the platform refused for a newer fencing token.
+	// Outdated marks an act that the platform rejected because it has seen a newer fencing token.
 	Outdated Kind = "outdated"
-	// Unavailable marks an act of which there is nothing to be had now.
+	// Unavailable marks an act for which the platform has no resources at present.
 	Unavailable Kind = "unavailable"
 	// Unreadable marks a claim that another program or a newer version wrote.
 	Unreadable Kind = "unreadable"
-	// Resting marks a claim that this node may not make yet, since another has acted
-	// behind it.
-	Resting Kind = "resting"
-	// Needless marks a claim behind which nothing would be done.
-	Needless Kind = "needless"
+	// HeldByOther marks a claim that this node may not make yet: it acted a short time ago, and
+	// another node has claimed the duty since.
+	HeldByOther Kind = "resting"
+	// Unneeded marks a claim that is not made because there is nothing to do under it.
+	Unneeded Kind = "needless"
 )
 
-// Error is the one error type of this package.
+// Error is the error type of this package.
 type Error = failer.Error[Kind]
 
-// Fail returns an error of this package; stores and platforms use it.
+// Fail returns an error of this package; implementations of stores and platforms use it.
 func Fail(operation string, kind Kind, format string, values ...any) *Error {
 	return failer.New("leaseholder."+operation, kind, format, values...)
 }
 
-// IsKind tells whether an error is one of this package, of the kind.
+// IsKind reports whether an error is an Error of this package with the given kind.
 func IsKind(err error, kind Kind) bool {
 	var failure *Error
 	return errors.As(err, &failure) && failure.Kind() == kind
--- a/scaler/scaler.go
+++ b/scaler/scaler.go
@@ -1,11 +1,12 @@
-// Package scaler decides how many engines of each kind a service is to have in each data
-// centre. It is deterministic: what is seen goes in, counts come out.
+// Package scaler computes how many engines of each kind a service needs in each data centre,
+// from its load and its present engines. It is deterministic.
 //
-// Bursts rise within a second and are over before an engine has started, so that there have
-// to be engines for them beforehand: as many as the usual work takes, times a headroom, and
-// no fewer than the most work of late took. Where engines may be had for less that may be reclaimed, all of a data centre
-// at once, most are of that kind, and so many more that the others carry the work when one
-// data centre's go. A few of the other kind stay in each.
+// Bursts rise within a second and are over before an engine has started, so their engines have
+// to exist beforehand: as many as the usual load occupies times a headroom, and no fewer than
+// the recent peak load occupied. Spot engines cost less, but all of a data centre's may be
+// reclaimed at once. Where they are available most engines are of that kind, with so many more
+// that the others carry the load when one data centre loses its own; a few ordinary engines stay
+// in each data centre.
 package scaler
 
 import (
@@ -16,125 +17,124 @@
 )
 
 const (
-	// memory is how long the most work of late counts before fewer engines are ordered.
-	memory = 2 * time.Minute
-	// growShare and shrinkShare are how far what is needed must be from what is ordered
-	// until that changes.
-	growShare   = 1.05
-	shrinkShare = 0.8
-	// baseShare is the part of the engines needed that is of the kind which is not
-	// reclaimed.
-	baseShare = 0.05
-	// stepShare is the part of a data centre's engines that goes at a time while there is
-	// work, stepPause the time between: those that come hold nothing of what these did.
-	stepShare = 0.25
-	stepPause = 2 * time.Second
-	// idleShare is the part of the engines up to which work counts as none.
-	idleShare = 0.02
-	// spareShare is how many engines there have to be for each one that the work takes at
-	// its most.
-	spareShare = 1.25
-	// usualMemory is how long work counts for what is usual: bursts are over before.
-	usualMemory = 30 * time.Second
-	// scarceLife is how long engines count as not to be had behind a refusal.
-	scarceLife = 4 * time.Second
-	// firstSpending is the part of the price of what stood first that is spent on engines
-	// while the work is not known.
-	firstSpending = 0.5
-	// DefaultHeadroom is how many engines there are for each one that the usual work takes.
+	// peakMemory is how long a peak of the load counts, at least, before fewer engines are ordered.
+	peakMemory = 2 * time.Minute
+	// growThreshold and shrinkThreshold are the ratios of the needed to the planned engines beyond
+	// which the plan changes.
+	growThreshold   = 1.05
+	shrinkThreshold = 0.8
+	// minOrdinaryShare is the share of ordinary engines, which are not reclaimed, among those needed.
+	minOrdinaryShare = 0.05
+	// maxStepShare is the share of a data centre's engines that is given up at a time under load,
+	// stepPause the time between two such steps: the engines that replace them start with empty
+	// caches.
+	maxStepShare = 0.25
+	stepPause    = 2 * time.Second
+	// idleThreshold is the share of the engines up to which the load counts as none.
+	idleThreshold = 0.02
+	// peakHeadroom is the number of engines to provide for each one that the peak load occupies.
+	peakHeadroom = 1.25
+	// averagingTime is the time constant of the average that is the usual load: bursts are shorter.
+	averagingTime = 30 * time.Second
+	// scarcityDuration is how long spot engines count as unavailable after a refusal.
+	scarcityDuration = 4 * time.Second
+	// initialSpending is the share of the price of the initial engines that is spent on engines
+	// while the load is unknown.
+	initialSpending = 0.5
+	// DefaultHeadroom is the number of engines to provide for each one that the usual load occupies.
 	DefaultHeadroom = 3.0
 )
 
-// Terms are what a service's engines may be ordered by.
+// Terms are the limits and prices for ordering a service's engines.
 type Terms struct {
-	// Least and Most bound the engines of both kinds in each data centre.
+	// Least and Most bound the engines of both kinds together in each data centre.
 	Least int
 	Most  int
-	// SpotPrice is the price of engines that may be reclaimed, as a part of that of the
-	// others; 0 is when there are none.
+	// SpotPrice is the price of a spot engine, which may be reclaimed, as a fraction of the price
+	// of an ordinary engine; 0 if there are no spot engines.
 	SpotPrice float64
-	// DataCentres are where they may be ordered.
+	// DataCentres are the data centres in which engines may be ordered.
 	DataCentres []definer.DataCentre
 }
 
-// hasSpot tells whether there are engines that may be reclaimed, for less.
+// hasSpot reports whether there are spot engines that cost less than ordinary ones.
 func (terms *Terms) hasSpot() bool { return terms.SpotPrice > 0 && terms.SpotPrice < 1 }
 
-// margin returns how many engines there have to be for each one that is needed, so that
-// the others carry the work when those of one data centre go.
-func (terms *Terms) margin() float64 {
-	places := float64(len(terms.DataCentres))
-	if places < 2 {
+// redundancy returns the number of engines to provide for each one that is needed, so that the
+// others carry the load when one data centre loses its engines.
+func (terms *Terms) redundancy() float64 {
+	dataCentres := float64(len(terms.DataCentres))
+	if dataCentres < 2 {
 		return 1
 	}
-	return places / (places - 1)
+	return dataCentres / (dataCentres - 1)
 }
 
-// Counts are engines of one data centre.
+// Counts are the numbers of engines in one data centre.
 type Counts struct {
 	Ordinary int `json:"ordinary"`
-	// Spot counts those that may be reclaimed.
+	// Spot counts the engines that may be reclaimed.
 	Spot int `json:"spot"`
 }
 
-// Sum returns the engines of both kinds.
-func (counts Counts) Sum() int { return counts.Ordinary + counts.Spot }
+// Total returns the number of engines of both kinds.
+func (counts Counts) Total() int { return counts.Ordinary + counts.Spot }
 
-// Plan is what is ordered of a service, as the store keeps it.
+// Plan is what is ordered for a service, in the form in which the store keeps it.
 type Plan struct {
-	// Need is how many engines the work needs, with headroom.
+	// Need is the number of engines that the load requires, with headroom.
 	Need   float64                       `json:"need"`
 	Counts map[definer.DataCentre]Counts `json:"counts"`
 }
 
-// Situation is what is seen of a service.
+// Situation is the present load and engines of a service.
 type Situation struct {
-	// Busy is how many engines the work takes now.
+	// Busy is the number of engines that the load occupies now.
 	Busy float64
-	// Whole is set if the work of nearly all nodes is known.
-	Whole bool
-	// Standing are the engines that take work.
+	// Complete is set if the load of nearly all nodes is known.
+	Complete bool
+	// Standing are the engines that accept work.
 	Standing map[definer.DataCentre]Counts
 }
 
-// serving returns how many engines take work.
-func (situation *Situation) serving() int {
+// totalEngines returns the number of engines that accept work.
+func (situation *Situation) totalEngines() int {
 	sum := 0
 	for _, counts := range situation.Standing {
-		sum += counts.Sum()
+		sum += counts.Total()
 	}
 	return sum
 }
 
-// Scaler decides for one service. One goroutine owns it.
+// Scaler plans the engines of one service. It must be used by a single goroutine.
 type Scaler struct {
 	headroom float64
-	// usual is how many engines the work took of late, as of seenAt.
-	usual  float64
-	seenAt time.Time
-	// most and before are the most need of this span of time and of the one before; a span
-	// began at since.
-	most   float64
-	before float64
-	since  time.Time
-	// steppedAt is when engines were last given up.
-	steppedAt time.Time
-	// scarce holds until when engines that may be reclaimed count as not to be had.
-	scarce map[definer.DataCentre]time.Time
-}
-
-// New returns a Scaler that wants so many engines for each one that the usual work takes.
+	// averageBusy is the moving average of occupied engines, as of updatedAt.
+	averageBusy float64
+	updatedAt   time.Time
+	// peakNeed and previousPeak are the highest needs of the current period and of the one before;
+	// the current period began at periodStart.
+	peakNeed     float64
+	previousPeak float64
+	periodStart  time.Time
+	// shrunkAt is when engines were last given up.
+	shrunkAt time.Time
+	// scarceUntil is until when spot engines count as unavailable in a data centre.
+	scarceUntil map[definer.DataCentre]time.Time
+}
+
+// New returns a Scaler that provides headroom engines for each one that the usual load occupies.
 func New(headroom float64) *Scaler {
-	return &Scaler{headroom: headroom, scarce: make(map[definer.DataCentre]time.Time)}
+	return &Scaler{headroom: headroom, scarceUntil: make(map[definer.DataCentre]time.Time)}
 }
 
-// First returns the plan of a service of which nothing was ordered yet. What stands is what
-// its operator thought was needed and worth its price; until the work is known, as many
-// engines that may be reclaimed are wanted as a part of that price buys.
-func First(terms *Terms, situation *Situation) Plan {
-	plan := Plan{Need: float64(situation.serving()), Counts: make(map[definer.DataCentre]Counts)}
+// InitialPlan returns the plan of a service for which nothing has been ordered yet. The present
+// engines are what its operator considered necessary and worth their price; until the load is
+// known, the plan needs as many spot engines as a share of that price buys.
+func InitialPlan(terms *Terms, situation *Situation) Plan {
+	plan := Plan{Need: float64(situation.totalEngines()), Counts: make(map[definer.DataCentre]Counts)}
 	if terms.hasSpot() {
-		plan.Need = max(plan.Need, firstSpending*plan.Need/terms.SpotPrice/terms.margin())
+		plan.Need = max(plan.Need, initialSpending*plan.Need/terms.SpotPrice/terms.redundancy())
 	}
 	for _, dataCentre := range terms.DataCentres {
 		plan.Counts[dataCentre] = situation.Standing[dataCentre]
@@ -142,19 +142,19 @@
 	return plan
 }
 
-// Refused notes that no engines that may be reclaimed are to be had in a data centre.
-func (scaler *Scaler) Refused(now time.Time, dataCentre definer.DataCentre) {
-	scaler.scarce[dataCentre] = now.Add(scarceLife)
+// MarkUnavailable notes that no spot engines are available in a data centre.
+func (scaler *Scaler) MarkUnavailable(now time.Time, dataCentre definer.DataCentre) {
+	scaler.scarceUntil[dataCentre] = now.Add(scarcityDuration)
 }
 
-// Next returns the plan behind the one that is in force.
-func (scaler *Scaler) Next(now time.Time, terms *Terms, plan *Plan, situation *Situation) Plan {
+// NextPlan returns the plan that follows the one in force.
+func (scaler *Scaler) NextPlan(now time.Time, terms *Terms, plan *Plan, situation *Situation) Plan {
 	next := Plan{Need: scaler.need(now, plan, situation), Counts: make(map[definer.DataCentre]Counts)}
-	shrinks := situation.Whole && (now.Sub(scaler.steppedAt) >= stepPause || scaler.isIdle(situation))
+	shrinks := situation.Complete && (now.Sub(scaler.shrunkAt) >= stepPause || scaler.isIdle(situation))
 	stepped := false
 	for _, dataCentre := range terms.DataCentres {
-		counts := scaler.counts(now, terms, &next, plan.Counts[dataCentre], dataCentre, situation)
-		if ordered := plan.Counts[dataCentre]; counts.Sum() < ordered.Sum() || counts.Ordinary < ordered.Ordinary {
+		counts := scaler.targetCounts(now, terms, &next, plan.Counts[dataCentre], dataCentre, situation)
+		if ordered := plan.Counts[dataCentre]; counts.Total() < ordered.Total() || counts.Ordinary < ordered.Ordinary {
 			if !shrinks {
 				counts = Counts{Ordinary: max(counts.Ordinary, ordered.Ordinary), Spot: min(max(counts.Spot, ordered.Spot), terms.Most-max(counts.Ordinary, ordered.Ordinary))}
 			}
@@ -163,79 +163,79 @@
 		next.Counts[dataCentre] = counts
 	}
 	if stepped {
-		scaler.steppedAt = now
+		scaler.shrunkAt = now
 	}
 	return next
 }
 
-// need returns how many engines are needed: more at once, fewer once the most work of late
-// has been forgotten.
+// need returns how many engines are needed. It grows at once, and falls once the recent peak has
+// been forgotten.
 func (scaler *Scaler) need(now time.Time, plan *Plan, situation *Situation) float64 {
-	if scaler.since.IsZero() {
-		scaler.since, scaler.seenAt, scaler.before = now, now, plan.Need
+	if scaler.periodStart.IsZero() {
+		scaler.periodStart, scaler.updatedAt, scaler.previousPeak = now, now, plan.Need
 	}
-	if now.Sub(scaler.since) >= memory && situation.Whole {
-		scaler.since, scaler.before, scaler.most = now, scaler.most, 0
+	if now.Sub(scaler.periodStart) >= peakMemory && situation.Complete {
+		scaler.periodStart, scaler.previousPeak, scaler.peakNeed = now, scaler.peakNeed, 0
 	}
-	weight := 1 - math.Exp(-now.Sub(scaler.seenAt).Seconds()/usualMemory.Seconds())
-	scaler.usual += weight * (situation.Busy - scaler.usual)
-	scaler.seenAt = now
-	scaler.most = max(scaler.most, scaler.usual*scaler.headroom, situation.Busy*spareShare)
-	need := max(scaler.most, scaler.before)
-	if need > plan.Need*growShare || need < plan.Need*shrinkShare {
+	weight := 1 - math.Exp(-now.Sub(scaler.updatedAt).Seconds()/averagingTime.Seconds())
+	scaler.averageBusy += weight * (situation.Busy - scaler.averageBusy)
+	scaler.updatedAt = now
+	scaler.peakNeed = max(scaler.peakNeed, scaler.averageBusy*scaler.headroom, situation.Busy*peakHeadroom)
+	need := max(scaler.peakNeed, scaler.previousPeak)
+	if need > plan.Need*growThreshold || need < plan.Need*shrinkThreshold {
 		return need
 	}
 	return plan.Need
 }
 
 func (scaler *Scaler) isIdle(situation *Situation) bool {
-	return situation.Busy < idleShare*float64(situation.serving())
+	return situation.Busy < idleThreshold*float64(situation.totalEngines())
 }
 
-// counts returns what is to be ordered in one data centre where so much is ordered.
-func (scaler *Scaler) counts(now time.Time, terms *Terms, next *Plan, ordered Counts, dataCentre definer.DataCentre, situation *Situation) Counts {
-	places := float64(len(terms.DataCentres))
-	share := int(math.Ceil(next.Need / places))
+// targetCounts returns the counts to order in one data centre where ordered is in force.
+func (scaler *Scaler) targetCounts(now time.Time, terms *Terms, next *Plan, ordered Counts, dataCentre definer.DataCentre, situation *Situation) Counts {
+	dataCentres := float64(len(terms.DataCentres))
+	share := int(math.Ceil(next.Need / dataCentres))
 	if !terms.hasSpot() {
-		return Counts{Ordinary: scaler.towards(ordered.Ordinary, clamp(share, terms.Least, terms.Most), situation)}
+		return Counts{Ordinary: scaler.limitStep(ordered.Ordinary, clamp(share, terms.Least, terms.Most), situation)}
 	}
-	all := clamp(int(math.Ceil(next.Need*terms.margin()/places)), terms.Least, terms.Most)
+	all := clamp(int(math.Ceil(next.Need*terms.redundancy()/dataCentres)), terms.Least, terms.Most)
 	standing := situation.Standing[dataCentre]
 	room := max(ordered.Ordinary, terms.Most-standing.Spot)
-	base := clamp(int(math.Ceil(baseShare*next.Need/places)), 1, max(min(all, room), 1))
-	ordinary := min(base+scaler.bridge(now, dataCentre, situation), max(base, room))
+	base := clamp(int(math.Ceil(minOrdinaryShare*next.Need/dataCentres)), 1, max(min(all, room), 1))
+	ordinary := min(base+scaler.ordinarySubstitutes(now, dataCentre, situation), max(base, room))
 	if ordered.Ordinary > ordinary {
-		// Those that replace them have to be there first, and need room to come.
-		staying := min(share, ordered.Ordinary, terms.Most-int(stepShare*float64(terms.Most)))
-		ordinary = scaler.towards(ordered.Ordinary, max(ordinary, staying-standing.Spot), situation)
+		// The spot engines that replace them have to serve first, and need room to start.
+		staying := min(share, ordered.Ordinary, terms.Most-int(maxStepShare*float64(terms.Most)))
+		ordinary = scaler.limitStep(ordered.Ordinary, max(ordinary, staying-standing.Spot), situation)
 	}
 	return Counts{Ordinary: ordinary, Spot: clamp(all-base, 0, terms.Most-ordinary)}
 }
 
-// bridge returns how many more ordinary engines a data centre needs while others are not to
-// be had there, and too few are left in all for the work. Where others stand they stay:
-// they hold what callers ask for.
-func (scaler *Scaler) bridge(now time.Time, dataCentre definer.DataCentre, situation *Situation) int {
-	for known, until := range scaler.scarce {
+// ordinarySubstitutes returns how many more ordinary engines a data centre needs while spot
+// engines are unavailable there and too few engines are left in all for the load. Spot engines
+// in other data centres are kept, as their caches hold the prompts of callers.
+func (scaler *Scaler) ordinarySubstitutes(now time.Time, dataCentre definer.DataCentre, situation *Situation) int {
+	for known, until := range scaler.scarceUntil {
 		if now.After(until) {
-			delete(scaler.scarce, known)
+			delete(scaler.scarceUntil, known)
 		}
 	}
-	_, scarce := scaler.scarce[dataCentre]
-	lacking := spareShare*situation.Busy - float64(situation.serving())
+	_, scarce := scaler.scarceUntil[dataCentre]
+	lacking := peakHeadroom*situation.Busy - float64(situation.totalEngines())
 	if !scarce || lacking <= 0 {
 		return 0
 	}
-	return int(math.Ceil(lacking / float64(len(scaler.scarce))))
+	return int(math.Ceil(lacking / float64(len(scaler.scarceUntil))))
 }
 
-// towards returns the count on the way from what is ordered to what is wanted: up at once,
-// down in steps while there is work.
-func (scaler *Scaler) towards(ordered, wanted int, situation *Situation) int {
+// limitStep returns the next count on the way from ordered to wanted: it rises at once, and falls
+// in steps while there is load.
+func (scaler *Scaler) limitStep(ordered, wanted int, situation *Situation) int {
 	if wanted >= ordered || scaler.isIdle(situation) {
 		return wanted
 	}
-	step := max(int(stepShare*float64(ordered)), 1)
+	step := max(int(maxStepShare*float64(ordered)), 1)
 	return max(wanted, ordered-step)
 }
 
--- a/steward/doc.go
+++ b/steward/doc.go
@@ -112,11 +112,11 @@
 // unreported returns the settled windows that the platform is not known to have accepted, the
 // oldest first.
 func (book *Book) unreported() []*Settled {
-	var untold []*Settled
+	var unreported []*Settled
 	for index := range book.Settled {
 		if !book.Settled[index].Told {
-			untold = append(untold, &book.Settled[index])
+			unreported = append(unreported, &book.Settled[index])
 		}
 	}
-	return untold
+	return unreported
 }
--- a/steward/engines_test.go
+++ b/steward/engines_test.go
@@ -214,10 +214,10 @@
 			}
 			simulation.runTraffic(time.Second, 20)
 			standing := simulation.engines.count()
-			assert.Assert(t, standing.Sum() >= 4*initialEngines, "%d engines accept work after %d s", standing.Sum(), second)
+			assert.Assert(t, standing.Total() >= 4*initialEngines, "%d engines accept work after %d s", standing.Total(), second)
 		}
 		standing := simulation.engines.count()
-		assert.Assert(t, standing.Sum() > 4*initialEngines*3/2 && standing.Ordinary < 4*initialEngines/5, "%+v", standing)
+		assert.Assert(t, standing.Total() > 4*initialEngines*3/2 && standing.Ordinary < 4*initialEngines/5, "%+v", standing)
 		orders := simulation.engines.orders
 		assert.Assert(t, orders <= 16, "%d orders", orders)
 		paid := simulation.engines.cost()
@@ -242,9 +242,9 @@
 		simulation.runTraffic(4*time.Second, 20)
 		for range 30 {
 			simulation.runTraffic(500*time.Millisecond, 20)
-			assert.Assert(t, simulation.engines.count().Sum() >= 4*initialEngines, "%+v", simulation.engines.count())
+			assert.Assert(t, simulation.engines.count().Total() >= 4*initialEngines, "%+v", simulation.engines.count())
 		}
-		assert.Assert(t, simulation.engines.count().Sum() >= 3*4*initialEngines/2, "%+v", simulation.engines.count())
+		assert.Assert(t, simulation.engines.count().Total() >= 3*4*initialEngines/2, "%+v", simulation.engines.count())
 	})
 }
 
@@ -258,7 +258,7 @@
 		simulation.engines.reclaim("b", 8*time.Second)
 		for range 18 {
 			simulation.runTraffic(time.Second, 20)
-			assert.Assert(t, simulation.engines.count().Sum() >= 4*initialEngines, "%+v", simulation.engines.count())
+			assert.Assert(t, simulation.engines.count().Total() >= 4*initialEngines, "%+v", simulation.engines.count())
 		}
 		assert.Equal(t, simulation.engines.count(), before)
 	})
@@ -300,7 +300,7 @@
 			simulation.engines.reclaim(place, 15*time.Second)
 		}
 		simulation.runTraffic(14*time.Second, 20)
-		assert.Assert(t, simulation.engines.count().Sum() > 56, "%+v", simulation.engines.count())
+		assert.Assert(t, simulation.engines.count().Total() > 56, "%+v", simulation.engines.count())
 		simulation.runTraffic(60*time.Second, 20)
 		assert.Equal(t, simulation.engines.count(), before)
 	})
@@ -333,6 +333,6 @@
 		simulation.partition(func(from, to *node) bool { return (from.index < half) != (to.index < half) })
 		simulation.engines.setBusy(5)
 		simulation.runTraffic(5*time.Minute, 5)
-		assert.Assert(t, simulation.engines.count().Sum() >= standing.Sum())
+		assert.Assert(t, simulation.engines.count().Total() >= standing.Total())
 	})
 }
--- a/steward/scaling.go
+++ b/steward/scaling.go
@@ -122,15 +122,15 @@
 func (duty *scalingDuty) readClaim(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return duty.lease.Look(ctx)
+	return duty.lease.Load(ctx)
 }
 
 // plan returns the next plan of each service. If whole is false, the load of some nodes is
 // unknown and no plan has fewer engines than before.
 func (duty *scalingDuty) plan(table *router.Table, whole bool) Plans {
 	plans := Plans{Services: make(map[definer.PoolName]scaler.Plan)}
-	if standing := duty.lease.Standing(); standing != nil {
-		maps.Copy(plans.Services, standing.Record.Services)
+	if current := duty.lease.Current(); current != nil {
+		maps.Copy(plans.Services, current.Record.Services)
 	}
 	now := time.Now()
 	for _, service := range table.Definition().Services {
@@ -144,9 +144,9 @@
 			continue
 		}
 		if !known {
-			plan = scaler.First(terms, situation)
+			plan = scaler.InitialPlan(terms, situation)
 		}
-		plans.Services[service.Name] = duty.scaler(service.Name).Next(now, terms, &plan, situation)
+		plans.Services[service.Name] = duty.scaler(service.Name).NextPlan(now, terms, &plan, situation)
 	}
 	return plans
 }
@@ -181,7 +181,7 @@
 func (duty *scalingDuty) observe(now time.Time, service definer.PoolName, whole bool) *scaler.Situation {
 	situation := &scaler.Situation{
 		Busy:     duty.steward.parts.Demand.Busy(now, service),
-		Whole:    whole,
+		Complete: whole,
 		Standing: make(map[definer.DataCentre]scaler.Counts),
 	}
 	for _, engine := range duty.steward.parts.Engines.Of(service) {
@@ -242,13 +242,14 @@
 func (duty *scalingDuty) claim(ctx context.Context, now time.Time, plans Plans) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	basis := duty.lease.Standing()
-	return duty.lease.Take(ctx, now, func(standing *leaseholder.Claim[Plans]) (Plans, bool) {
-		return plans, standing == basis
+	basis := duty.lease.Current()
+	return duty.lease.Acquire(ctx, now, func(current *leaseholder.Claim[Plans]) (Plans, bool) {
+		return plans, current == basis
 	})
 }
 
-// placeOrders places the orders under this node's claim until one fails or the lease ends.
+// placeOrders places the orders under this node's claim, until the lease ends or an order fails
+// for another reason than that no engines are available.
 func (duty *scalingDuty) placeOrders(ctx context.Context, orders []Order) {
 	steward := duty.steward
 	for index := range orders {
@@ -258,11 +259,11 @@
 			return
 		}
 		err := duty.place(ctx, Grant{Holder: steward.self.VM, Token: token}, order)
-		duty.lease.Acted(err)
+		duty.lease.RecordResult(err)
 		duty.recordOrder(order, token, err)
 		switch {
 		case leaseholder.IsKind(err, leaseholder.Unavailable):
-			duty.scaler(order.Service).Refused(time.Now(), order.DataCentre)
+			duty.scaler(order.Service).MarkUnavailable(time.Now(), order.DataCentre)
 		case err != nil:
 			duty.handleFailure("order", err)
 			return
@@ -277,7 +278,7 @@
 func (duty *scalingDuty) recordOrder(order *Order, token uint64, err error) {
 	steward := duty.steward
 	decision := Decision{
-		Order: *order, Token: token, Need: duty.lease.Standing().Record.Services[order.Service].Need,
+		Order: *order, Token: token, Need: duty.lease.Current().Record.Services[order.Service].Need,
 		Busy: steward.parts.Demand.Busy(time.Now(), order.Service), At: steward.parts.Clock.Now(), Failure: err,
 	}
 	steward.parts.Log(logger.EventEnginesOrdered, "service", order.Service, "dataCentre", order.DataCentre, "spot", order.Spot, "count", order.Count,
@@ -316,7 +317,7 @@
 // handleFailure logs a failed step and pauses the duty; after maxFailures in a row the node
 // yields the duty.
 func (duty *scalingDuty) handleFailure(step string, err error) {
-	if leaseholder.IsKind(err, leaseholder.Needless) {
+	if leaseholder.IsKind(err, leaseholder.Unneeded) {
 		return // Another node has claimed the duty: the next step makes new plans.
 	}
 	duty.pausedUntil = time.Now().Add(timer.Doubled(firstPause, longestPause, duty.failures))
--- a/steward/steward.go
+++ b/steward/steward.go
@@ -86,7 +86,7 @@
 	// done is closed by Run.
 	done chan struct{}
 
-	// mutex guards yielding; no other lock is taken under it.
+	// mutex guards yieldedAt; no other lock is taken under it.
 	mutex sync.Mutex
 	// yieldedAt holds when each node that leaves duties to others announced it.
 	yieldedAt map[definer.VM]time.Time
--- a/steward/trouble_test.go
+++ b/steward/trouble_test.go
@@ -145,7 +145,7 @@
 }
 
 // TestWrongAnswersOfThePlatform checks that unreadable claims in the store are not overwritten,
-// and that they are not read again and again.
+// and that they are not read repeatedly.
 func TestWrongAnswersOfThePlatform(t *testing.T) {
 	for name, content := range map[string]string{
 		"no claim":           `"text"`,
--- a/steward/usage.go
+++ b/steward/usage.go
@@ -127,8 +127,8 @@
 func (duty *usageDuty) claim(ctx context.Context, now time.Time, due tallier.Window, listed int) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return duty.lease.Take(ctx, now, func(standing *leaseholder.Claim[Book]) (Book, bool) {
-		return duty.settle(now, due, standing, listed)
+	return duty.lease.Acquire(ctx, now, func(current *leaseholder.Claim[Book]) (Book, bool) {
+		return duty.settle(now, due, current, listed)
 	})
 }
 
@@ -164,23 +164,23 @@
 	if _, held := duty.lease.Token(); !held {
 		return false
 	}
-	last, found := duty.lease.Standing().Record.lastWindow()
+	last, found := duty.lease.Current().Record.lastWindow()
 	return found && last >= window
 }
 
 // settle returns the book with all windows settled up to the due one, or false if nothing is
 // to be claimed: all windows are reported, or another node has settled them and is given time
 // to report them.
-func (duty *usageDuty) settle(now time.Time, due tallier.Window, standing *leaseholder.Claim[Book], listed int) (Book, bool) {
+func (duty *usageDuty) settle(now time.Time, due tallier.Window, current *leaseholder.Claim[Book], listed int) (Book, bool) {
 	var book Book
 	next := duty.firstWindow
-	if standing != nil {
-		book.Settled = retainedWindows(standing.Record.Settled)
-		if last, found := standing.Record.lastWindow(); found {
+	if current != nil {
+		book.Settled = retainedWindows(current.Record.Settled)
+		if last, found := current.Record.lastWindow(); found {
 			next = last + 1
 		}
 	}
-	if next > due && !duty.shouldTakeOver(standing) {
+	if next > due && !duty.shouldTakeOver(current) {
 		return Book{}, false
 	}
 	if due >= next+maxBacklog {
@@ -202,20 +202,20 @@
 // shouldTakeOver reports whether this node is to report the windows that are settled in the
 // current claim. Windows that another node has settled are left to it while its claim is
 // valid.
-func (duty *usageDuty) shouldTakeOver(standing *leaseholder.Claim[Book]) bool {
-	if standing == nil {
+func (duty *usageDuty) shouldTakeOver(current *leaseholder.Claim[Book]) bool {
+	if current == nil {
 		duty.markReported(duty.firstWindow - 1) // No request began before the first process started.
 		return false
 	}
-	if len(standing.Record.unreported()) == 0 {
-		last, _ := standing.Record.lastWindow()
+	if len(current.Record.unreported()) == 0 {
+		last, _ := current.Record.lastWindow()
 		duty.markReported(last)
 		return false
 	}
-	if standing.Holder == duty.steward.self.VM || standing.Token == duty.watchedToken {
+	if current.Holder == duty.steward.self.VM || current.Token == duty.watchedToken {
 		return true
 	}
-	duty.watchedToken = standing.Token
+	duty.watchedToken = current.Token
 	duty.pause(duty.steward.settings.Lease)
 	return false
 }
@@ -245,13 +245,13 @@
 // until one fails or the lease ends.
 func (duty *usageDuty) reportAll(ctx context.Context) {
 	steward := duty.steward
-	for _, settled := range duty.lease.Standing().Record.unreported() {
+	for _, settled := range duty.lease.Current().Record.unreported() {
 		token, held := duty.lease.Token()
 		if !held {
 			return
 		}
 		err := duty.reportWindow(ctx, Grant{Holder: steward.self.VM, Token: token}, settled)
-		duty.lease.Acted(err)
+		duty.lease.RecordResult(err)
 		if err != nil {
 			duty.handleFailure("tell", err)
 			return
@@ -291,10 +291,10 @@
 // handleFailure counts and logs a failed step, and pauses the duty.
 func (duty *usageDuty) handleFailure(step string, err error) {
 	switch {
-	case leaseholder.IsKind(err, leaseholder.Needless):
+	case leaseholder.IsKind(err, leaseholder.Unneeded):
 		duty.lease.Forget()
 		return
-	case leaseholder.IsKind(err, leaseholder.Resting) || leaseholder.IsKind(err, leaseholder.Conflict):
+	case leaseholder.IsKind(err, leaseholder.HeldByOther) || leaseholder.IsKind(err, leaseholder.Conflict):
 		duty.pause(firstPause)
 	case leaseholder.IsKind(err, leaseholder.Unreadable):
 		duty.pause(unreadablePause)
--- a/steward/world_test.go
+++ b/steward/world_test.go
@@ -406,8 +406,8 @@
 		if outdated = !simulation.acceptAct("usage", process, grant); outdated {
 			return
 		}
-		if told, again := simulation.reports[window]; again {
-			assert.Check(simulation.t, maps.Equal(told, counts), "window %d is reported twice, with different counts", window)
+		if reported, again := simulation.reports[window]; again {
+			assert.Check(simulation.t, maps.Equal(reported, counts), "window %d is reported twice, with different counts", window)
 			return
 		}
 		simulation.reports[window] = counts
@@ -526,8 +526,8 @@
 	simulation.mutex.Lock()
 	defer simulation.mutex.Unlock()
 	for window := first; window <= last; window++ {
-		counts, told := simulation.reports[window]
-		assert.Check(simulation.t, told && simulation.lateness[window] <= usageDeadline, "window %d: reported %t, %v after its end", window, told, simulation.lateness[window])
+		counts, reported := simulation.reports[window]
+		assert.Check(simulation.t, reported && simulation.lateness[window] <= usageDeadline, "window %d: reported %t, %v after its end", window, reported, simulation.lateness[window])
 		if !simulation.withinTolerance(counts, simulation.begun[window]) {
 			off++
 			simulation.t.Logf("window %d: reported %v, begun %v", window, counts, simulation.begun[window])
