--- a/follower/arrival.go
+++ b/follower/arrival.go
@@ -2,35 +2,38 @@
 
 import "context"
 
-// Arrivals is told how far the answer to a call has come, so that feeds need not bound
-// their calls. It may be called from any goroutine.
+// Arrivals observes how much of the answer to a call has been received. A call whose
+// answer is still coming in is left running, so feeds need no timeout of their own. Its
+// methods may be called from any goroutine.
 type Arrivals interface {
-	// Arrived tells that so many more bytes have come.
+	// Arrived reports that the given number of further bytes has been received.
 	Arrived(bytes int)
-	// Received tells that all of it has come and is being read.
+	// Received reports that the whole answer has been received and is being decoded.
 	Received()
 }
 
 type arrivalsKey struct{}
 
-// withArrivals returns a context whose calls tell of their answers.
+// withArrivals returns a context whose calls report the progress of their answers to
+// arrivals.
 func withArrivals(ctx context.Context, arrivals Arrivals) context.Context {
 	return context.WithValue(ctx, arrivalsKey{}, arrivals)
 }
 
-// ArrivalsOf returns who is to be told of the answer to a call with the context.
+// ArrivalsOf returns the observer that a call with the context reports to. It is never
+// nil.
 func ArrivalsOf(ctx context.Context) Arrivals {
 	if arrivals, ok := ctx.Value(arrivalsKey{}).(Arrivals); ok {
 		return arrivals
 	}
-	return unheeded{}
+	return discardedArrivals{}
 }
 
-// unheeded is for calls of whose answers nobody wants to be told.
-type unheeded struct{}
+// discardedArrivals ignores the progress of calls that have no observer.
+type discardedArrivals struct{}
 
 // Arrived does nothing.
-func (unheeded) Arrived(int) {}
+func (discardedArrivals) Arrived(int) {}
 
 // Received does nothing.
-func (unheeded) Received() {}
+func (discardedArrivals) Received() {}
--- a/follower/caller.go
+++ b/follower/caller.go
@@ -13,72 +13,75 @@
 )
 
 const (
-	// patience is how long nothing may come of an answer, beyond what a watch is to
-	// wait, until the store is asked again. It answers in some 4 ms and up to 60 times
-	// slower at bad times. The call goes on beside the next: one that would have been
-	// answered later, or whose answer is large and the link thin, is not begun anew.
-	// When it was given up instead, 1 MB never came over 10 Mbit/s (0.84 s against
-	// 0.62 s) and no answer of a store that takes longer than this.
-	patience = 600 * time.Millisecond
-	// maxCalls bounds the calls under way: the one asked first, for a store that is
-	// slow, and three more, of which one finds out that it answers again.
+	// silenceTimeout is how long no byte of an answer may arrive, beyond the wait of a
+	// watch, before the store is asked again. The store usually answers in about 4 ms,
+	// and up to 60 times slower at bad times. The earlier call stays open beside the
+	// next one, so that a late answer, or a large answer over a slow link, is not
+	// requested from the start again. Cancelling it instead meant that 1 MB never
+	// arrived over 10 Mbit/s (0.84 s against a timeout of 0.62 s), nor did any answer of
+	// a store slower than the timeout.
+	silenceTimeout = 600 * time.Millisecond
+	// maxCalls bounds the open calls: the oldest, which a slow store answers first, and
+	// three more, one of which detects that the store answers again.
 	maxCalls = 4
-	// longestAnswer is how long the call asked first may go without its answer's
-	// beginning: the store's history, behind which nothing can be watched any more.
-	longestAnswer = 20 * time.Second
-	// hurryAfter is how long a watch may wait before it is ended in a hurry.
-	hurryAfter = time.Second
+	// firstByteTimeout is how long the oldest call may stay open without a byte of its
+	// answer, beyond the wait of a watch. It equals the length of the store's history:
+	// changes from before it cannot be watched any more.
+	firstByteTimeout = 20 * time.Second
+	// minInterruptAge is how long a watch must have been waiting before interruptWatch
+	// ends it.
+	minInterruptAge = time.Second
 )
 
-// errHurried says that a watch was ended by Hurry.
-var errHurried = errors.New("the watch was ended in a hurry")
+// errInterrupted reports that interruptWatch ended a watch early.
+var errInterrupted = errors.New("the watch was ended early to check the store")
 
-// question is what is asked of the store: a list, or a watch from the revision on.
-type question struct {
+// query is what the store is asked for: a list, or a watch from a revision on.
+type query struct {
 	list     bool
 	revision uint64
 	// stale allows an answer that is seconds old.
 	stale bool
-	// wait is how long a watch is to wait for a change.
+	// wait is how long a watch waits for a change.
 	wait time.Duration
-	// reason is why it is asked.
+	// reason is why the call is made.
 	reason Reason
 }
 
-// String names the question for the log.
-func (question question) String() string {
-	if question.list {
+// String describes the query for error messages.
+func (query query) String() string {
+	if query.list {
 		return "list"
 	}
-	return fmt.Sprintf("watch from revision %d for %v", question.revision, question.wait)
+	return fmt.Sprintf("watch from revision %d for %v", query.revision, query.wait)
 }
 
-// answer is what came of a question that was asked at the time.
+// answer is the store's answer to a query that was sent at the time asked.
 type answer[Entry, Change any] struct {
-	question question
+	query    query
 	asked    time.Time
 	entries  []Entry
 	changes  []Change
 	revision uint64
 }
 
-// call is one question under way.
+// call is one open query.
 type call struct {
-	question question
-	asked    time.Time
-	cancel   context.CancelFunc
-	// begun is set once any byte of the answer has come, received once all have; bytes
-	// counts them.
+	query  query
+	asked  time.Time
+	cancel context.CancelFunc
+	// begun is set once any byte of the answer has been received, received once the
+	// whole answer has; bytes counts the bytes.
 	begun    atomic.Bool
 	received atomic.Bool
 	bytes    atomic.Int64
-	// arrived gets the call when bytes have come.
-	arrived chan<- *call
-	// hurried is closed by Hurry, once.
-	hurried chan struct{}
+	// progressed is sent the call when bytes have been received.
+	progressed chan<- *call
+	// interrupted is closed by interruptWatch, at most once.
+	interrupted chan struct{}
 }
 
-// Arrived notes that so many bytes of the answer have come.
+// Arrived records that the given number of further bytes has been received.
 func (call *call) Arrived(bytes int) {
 	if bytes == 0 {
 		return
@@ -86,126 +89,131 @@
 	call.begun.Store(true)
 	call.bytes.Add(int64(bytes))
 	select {
-	case call.arrived <- call:
-	default: // Another is noted; the next bytes will be.
+	case call.progressed <- call:
+	default: // The channel is full; the next bytes report this call.
 	}
 }
 
-// Received notes that all of the answer has come.
+// Received records that the whole answer has been received.
 func (call *call) Received() { call.received.Store(true) }
 
-// ended is a call whose answer has come or which failed.
-type ended[Entry, Change any] struct {
+// result is the outcome of a call that was answered or failed.
+type result[Entry, Change any] struct {
 	call   *call
 	answer answer[Entry, Change]
 	err    error
 }
 
-// decides tells whether the store has answered, so that no other call can tell more.
-func (ended *ended[Entry, Change]) decides() bool {
-	return ended.err == nil || isKind(ended.err, Gone) || isKind(ended.err, TooLarge)
+// conclusive reports whether the store has answered, so that the other open calls cannot
+// add anything.
+func (result *result[Entry, Change]) conclusive() bool {
+	return result.err == nil || isKind(result.err, Gone) || isKind(result.err, TooLarge)
 }
 
-// caller asks a feed, and asks again while earlier calls are still without an answer.
-// Only hurry may be called by others than its owner.
+// caller sends queries to a feed, and sends another while earlier calls are still
+// unanswered. It is used by one goroutine, except for interruptWatch, which is safe for
+// concurrent use.
 type caller[Entry, Change any] struct {
 	feed Feed[Entry, Change]
 	now  func() time.Time
-	// open holds the calls under way, the one asked first in front.
+	// open holds the open calls, oldest first.
 	open []*call
-	// ended is sent each call that ended by itself.
-	ended chan ended[Entry, Change]
-	// arrived holds a call of whose answer bytes have come.
-	arrived chan *call
-	group   conc.WaitGroup
-	// mutex guards newest; no other lock is taken under it.
+	// results receives each call that ended without being cancelled.
+	results chan result[Entry, Change]
+	// progressed holds a call of whose answer bytes have been received.
+	progressed chan *call
+	group      conc.WaitGroup
+	// mutex guards newest; no other lock is acquired while it is held.
 	mutex sync.Mutex
-	// newest is the call that was asked last; nil between calls.
+	// newest is the call that was started last, or the one whose answer is coming in;
+	// nil between calls of ask.
 	newest *call
 }
 
 func newCaller[Entry, Change any](feed Feed[Entry, Change]) *caller[Entry, Change] {
 	return &caller[Entry, Change]{
-		feed:    feed,
-		now:     time.Now,
-		ended:   make(chan ended[Entry, Change]),
-		arrived: make(chan *call, 1),
+		feed:       feed,
+		now:        time.Now,
+		results:    make(chan result[Entry, Change]),
+		progressed: make(chan *call, 1),
 	}
 }
 
-// ask asks a question and returns the first answer to it or to one asked before. The
-// error is errHurried, that of the call, or of kind Lost when nothing comes; the call
-// then goes on beside the next one.
-func (caller *caller[Entry, Change]) ask(ctx context.Context, question question) (answer[Entry, Change], error) {
-	call := caller.begin(ctx, question)
+// ask sends a query and returns the first answer to it or to an earlier open query. The
+// error is errInterrupted, the error of a call, that of the context, or of kind Lost
+// when no byte arrives for silenceTimeout; in the last case the call stays open beside
+// the next one.
+func (caller *caller[Entry, Change]) ask(ctx context.Context, query query) (answer[Entry, Change], error) {
+	call := caller.start(ctx, query)
 	defer caller.setNewest(nil)
-	silence := time.NewTimer(question.wait + patience)
+	silence := time.NewTimer(query.wait + silenceTimeout)
 	defer silence.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return answer[Entry, Change]{}, ctx.Err()
-		case <-call.hurried:
-			caller.end(call)
-			return answer[Entry, Change]{}, errHurried
-		case begun := <-caller.arrived:
-			if caller.keepOnly(begun) {
-				silence.Reset(patience)
+		case <-call.interrupted:
+			caller.cancelCall(call)
+			return answer[Entry, Change]{}, errInterrupted
+		case begun := <-caller.progressed:
+			if caller.cancelOthers(begun) {
+				silence.Reset(silenceTimeout)
 			}
-		case ended := <-caller.ended:
-			caller.end(ended.call)
-			if ended.decides() {
-				caller.endAll()
+		case result := <-caller.results:
+			caller.cancelCall(result.call)
+			if result.conclusive() {
+				caller.cancelAll()
 			}
-			if ended.decides() || ended.call == call || len(caller.open) == 0 {
-				return ended.answer, ended.err
+			if result.conclusive() || result.call == call || len(caller.open) == 0 {
+				return result.answer, result.err
 			}
 		case <-silence.C:
 			if caller.reading() {
-				// A slow processor is no reason to ask for the same again.
-				silence.Reset(patience)
+				// Decoding on a slow processor is no reason to send the query again.
+				silence.Reset(silenceTimeout)
 				continue
 			}
-			return answer[Entry, Change]{}, Fail("ask", Lost, "%v: %d bytes of the answer have come, the last over %v ago", question, call.bytes.Load(), patience)
+			return answer[Entry, Change]{}, Fail("ask", Lost, "%v: received %d bytes of the answer, and none for %v", query, call.bytes.Load(), silenceTimeout)
 		}
 	}
 }
 
-// begin puts a question to the feed in the background.
-func (caller *caller[Entry, Change]) begin(ctx context.Context, question question) *call {
+// start sends a query to the feed in a goroutine.
+func (caller *caller[Entry, Change]) start(ctx context.Context, query query) *call {
 	caller.makeRoom()
 	ctx, cancel := context.WithCancel(ctx)
-	call := &call{question: question, asked: caller.now(), cancel: cancel, arrived: caller.arrived, hurried: make(chan struct{})}
-	ctx = WithReason(withArrivals(ctx, call), question.reason)
-	if question.stale {
+	call := &call{query: query, asked: caller.now(), cancel: cancel, progressed: caller.progressed, interrupted: make(chan struct{})}
+	ctx = WithReason(withArrivals(ctx, call), query.reason)
+	if query.stale {
 		ctx = WithStale(ctx)
 	}
 	caller.open = append(caller.open, call)
 	caller.setNewest(call)
 	caller.group.Go(func() {
-		ended := caller.put(ctx, call)
+		result := caller.execute(ctx, call)
 		select {
-		case caller.ended <- ended:
-		case <-ctx.Done(): // Nobody waits for it any more.
+		case caller.results <- result:
+		case <-ctx.Done(): // The call was cancelled; its result is not read.
 		}
 	})
 	return call
 }
 
-// put puts the question to the feed.
-func (caller *caller[Entry, Change]) put(ctx context.Context, call *call) ended[Entry, Change] {
-	ended := ended[Entry, Change]{call: call, answer: answer[Entry, Change]{question: call.question, asked: call.asked}}
-	if call.question.list {
-		ended.answer.entries, ended.answer.revision, ended.err = caller.feed.List(ctx)
+// execute runs the call on the feed and returns its result.
+func (caller *caller[Entry, Change]) execute(ctx context.Context, call *call) result[Entry, Change] {
+	result := result[Entry, Change]{call: call, answer: answer[Entry, Change]{query: call.query, asked: call.asked}}
+	if call.query.list {
+		result.answer.entries, result.answer.revision, result.err = caller.feed.List(ctx)
 	} else {
-		ended.answer.changes, ended.answer.revision, ended.err = caller.feed.Watch(ctx, call.question.revision, call.question.wait)
+		result.answer.changes, result.answer.revision, result.err = caller.feed.Watch(ctx, call.query.revision, call.query.wait)
 	}
-	return ended
+	return result
 }
 
-// keepOnly ends all calls but one whose answer comes in: on a thin link each would take
-// its share of the bytes of the others. False says that the call has ended.
-func (caller *caller[Entry, Change]) keepOnly(begun *call) bool {
+// cancelOthers cancels all calls but the one whose answer is coming in, since their
+// answers would share the bandwidth of a slow link. It returns false if that call is no
+// longer open.
+func (caller *caller[Entry, Change]) cancelOthers(begun *call) bool {
 	if !slices.Contains(caller.open, begun) {
 		return false
 	}
@@ -219,49 +227,50 @@
 	return true
 }
 
-// reading tells whether an answer has come whole and is being read.
+// reading reports whether a whole answer has been received and is being decoded.
 func (caller *caller[Entry, Change]) reading() bool {
 	return slices.ContainsFunc(caller.open, func(call *call) bool { return call.received.Load() })
 }
 
-// makeRoom ends calls so that one more may be made. The one asked first is kept: it is
-// the one that a slow store answers first.
+// makeRoom cancels calls so that one more may be started. It keeps the oldest call until
+// that expires, since a slow store answers it first.
 func (caller *caller[Entry, Change]) makeRoom() {
-	if len(caller.open) > 0 && caller.tooOld(caller.open[0]) {
-		caller.end(caller.open[0])
+	if len(caller.open) > 0 && caller.expired(caller.open[0]) {
+		caller.cancelCall(caller.open[0])
 	}
 	if len(caller.open) >= maxCalls {
-		caller.end(caller.open[1])
+		caller.cancelCall(caller.open[1])
 	}
 }
 
-// tooOld tells whether an answer is no longer waited for.
-func (caller *caller[Entry, Change]) tooOld(call *call) bool {
-	return !call.begun.Load() && caller.now().Sub(call.asked) > call.question.wait+longestAnswer
+// expired reports whether no byte of the answer came within the wait and
+// firstByteTimeout.
+func (caller *caller[Entry, Change]) expired(call *call) bool {
+	return !call.begun.Load() && caller.now().Sub(call.asked) > call.query.wait+firstByteTimeout
 }
 
-// end ends a call, if it is under way.
-func (caller *caller[Entry, Change]) end(call *call) {
+// cancelCall cancels a call and removes it from the open calls.
+func (caller *caller[Entry, Change]) cancelCall(call *call) {
 	call.cancel()
 	caller.open = without(caller.open, call)
 }
 
-// without returns the calls but for one.
+// without returns the calls other than one.
 func without(calls []*call, one *call) []*call {
 	return slices.DeleteFunc(calls, func(call *call) bool { return call == one })
 }
 
-// endAll ends all calls.
-func (caller *caller[Entry, Change]) endAll() {
+// cancelAll cancels all open calls.
+func (caller *caller[Entry, Change]) cancelAll() {
 	for _, call := range caller.open {
 		call.cancel()
 	}
 	caller.open = nil
 }
 
-// close ends all calls and waits for them.
+// close cancels all calls and waits for their goroutines.
 func (caller *caller[Entry, Change]) close() {
-	caller.endAll()
+	caller.cancelAll()
 	caller.group.Wait()
 }
 
@@ -271,19 +280,19 @@
 	caller.newest = call
 }
 
-// hurry ends a watch that has been waiting for hurryAfter. It leaves alone a call that
-// is to be answered at once, and one of whose answer something has come: there is no
-// sooner way to what is new.
-func (caller *caller[Entry, Change]) hurry() {
+// interruptWatch ends a watch that has been waiting for minInterruptAge or longer. It
+// leaves a call with a short wait alone, and a call whose answer has begun to arrive:
+// starting again would not be faster.
+func (caller *caller[Entry, Change]) interruptWatch() {
 	caller.mutex.Lock()
 	defer caller.mutex.Unlock()
 	call := caller.newest
-	if call == nil || call.question.wait <= quickWait || call.begun.Load() {
+	if call == nil || call.query.wait <= quickWait || call.begun.Load() {
 		return
 	}
-	if caller.now().Sub(call.asked) < hurryAfter {
+	if caller.now().Sub(call.asked) < minInterruptAge {
 		return
 	}
-	close(call.hurried)
+	close(call.interrupted)
 	caller.newest = nil
 }
--- a/follower/confirmer.go
+++ b/follower/confirmer.go
@@ -5,30 +5,36 @@
 	"time"
 )
 
-// Confirmer knows up to when the configuration in force was the newest, from the
-// store itself and from peers to which the store said so.
+// Confirmer tracks until when the configuration in force is known to have been the
+// newest, from the store itself and from peers that the store confirmed it to. It is
+// safe for concurrent use.
 type Confirmer struct {
 	holder *Holder
-	// direct returns up to when the store itself has confirmed it to this node.
-	direct func() time.Time
-	// behind is told of a newer version that a peer knows, and up to when it was the newest.
-	behind func(newer uint64, at time.Time)
-	// mutex guards byPeers; no other lock is taken under it.
+	// confirmedByStore returns the time up to which the store itself has confirmed the
+	// configuration to this node.
+	confirmedByStore func() time.Time
+	// onNewer is called with a newer version that a peer knows, and the time at which
+	// that version was the newest.
+	onNewer func(newer uint64, at time.Time)
+	// mutex guards confirmedByPeers; no other lock is acquired while it is held.
 	mutex sync.Mutex
-	// byPeers is up to when peers have confirmed it.
-	byPeers time.Time
+	// confirmedByPeers is the time up to which peers have confirmed the configuration.
+	confirmedByPeers time.Time
 }
 
-// NewConfirmer returns a Confirmer of what the holder holds.
-func NewConfirmer(holder *Holder, direct func() time.Time, behind func(newer uint64, at time.Time)) *Confirmer {
-	return &Confirmer{holder: holder, direct: direct, behind: behind}
+// NewConfirmer returns a Confirmer for the configuration of the holder. It calls
+// confirmedByStore for the time up to which the store has confirmed the configuration,
+// and onNewer when a peer knows a newer version.
+func NewConfirmer(holder *Holder, confirmedByStore func() time.Time, onNewer func(newer uint64, at time.Time)) *Confirmer {
+	return &Confirmer{holder: holder, confirmedByStore: confirmedByStore, onNewer: onNewer}
 }
 
-// Direct returns the version in force and up to when the store itself has confirmed
-// it; the time is zero when there is none.
+// Direct returns the version in force and the time up to which the store itself has
+// confirmed it. Both are zero while no configuration is in force.
 func (confirmer *Confirmer) Direct() (uint64, time.Time) {
-	// The time is read first: a version that comes into force in between is newer.
-	at := confirmer.direct()
+	// The time is read before the version: a version that comes into force in
+	// between is newer than the one that the time is about.
+	at := confirmer.confirmedByStore()
 	table := confirmer.holder.Table()
 	if table == nil {
 		return 0, time.Time{}
@@ -36,37 +42,37 @@
 	return table.Version(), at
 }
 
-// Learn takes in that a version was the newest at the time. That says nothing of
-// another version but for one that came into force since.
+// Learn records a peer's word that a version was the newest at a time. It confirms only
+// that version: an older version is ignored, and a newer version is passed to onNewer.
 func (confirmer *Confirmer) Learn(version uint64, at time.Time) {
 	table := confirmer.holder.Table()
 	switch {
 	case table == nil || version > table.Version():
-		confirmer.behind(version, at)
+		confirmer.onNewer(version, at)
 		return
 	case version < table.Version():
 		return
 	}
 	confirmer.mutex.Lock()
 	defer confirmer.mutex.Unlock()
-	if at.After(confirmer.byPeers) {
-		confirmer.byPeers = at
+	if at.After(confirmer.confirmedByPeers) {
+		confirmer.confirmedByPeers = at
 	}
 }
 
-// Confirmed returns up to when the configuration in force is known to have been the
-// newest.
+// Confirmed returns the time up to which the configuration in force is known to have
+// been the newest, from the store or from peers.
 func (confirmer *Confirmer) Confirmed() time.Time {
-	byPeers, direct := confirmer.ByPeers(), confirmer.direct()
-	if byPeers.After(direct) {
-		return byPeers
+	confirmedByPeers, confirmedByStore := confirmer.ByPeers(), confirmer.confirmedByStore()
+	if confirmedByPeers.After(confirmedByStore) {
+		return confirmedByPeers
 	}
-	return direct
+	return confirmedByStore
 }
 
-// ByPeers returns up to when peers have confirmed it.
+// ByPeers returns the time up to which peers have confirmed the configuration.
 func (confirmer *Confirmer) ByPeers() time.Time {
 	confirmer.mutex.Lock()
 	defer confirmer.mutex.Unlock()
-	return confirmer.byPeers
+	return confirmer.confirmedByPeers
 }
--- a/follower/confirmer_test.go
+++ b/follower/confirmer_test.go
@@ -10,9 +10,9 @@
 	"limpetcleat/router"
 )
 
-// TestConfirmerTakesPeersWordForItsOwnVersion holds that a peer's confirmation
-// counts for the version in force only, that an older one changes nothing, and that
-// a newer version is asked for.
+// TestConfirmerTakesPeersWordForItsOwnVersion checks that a peer's confirmation counts
+// for the version in force only, that an older version changes nothing, and that a newer
+// version is passed on to be fetched.
 func TestConfirmerTakesPeersWordForItsOwnVersion(t *testing.T) {
 	start := time.Unix(1000, 0)
 	cases := []struct {
@@ -35,14 +35,14 @@
 				behind = newer == test.version && at.Equal(start.Add(test.at))
 			})
 			_, at := confirmer.Direct()
-			assert.Assert(t, at.IsZero(), "nothing is in force yet")
+			assert.Assert(t, at.IsZero(), "a time is returned while no configuration is in force")
 			holder.Replace([]router.Definition{{Version: 5}}, follower.Reading{})
 			confirmer.Learn(test.version, start.Add(test.at))
 			assert.Equal(t, confirmer.Confirmed(), start.Add(test.confirmed))
 			assert.Equal(t, behind, test.behind)
 			version, at := confirmer.Direct()
 			assert.Equal(t, version, uint64(5))
-			assert.Equal(t, at, start.Add(2*time.Second), "a peer's word is not passed on as the store's")
+			assert.Equal(t, at, start.Add(2*time.Second), "a confirmation of a peer is returned as one of the store")
 		})
 	}
 }
--- a/follower/duty.go
+++ b/follower/duty.go
@@ -9,29 +9,31 @@
 )
 
 const (
-	// staleLooks is how often what a peer told of is looked for where it costs a tenth
-	// and may be seconds old, before the store itself is asked.
-	staleLooks = 1
-	// lookPause and longestLookPause bound the time between two looks, which doubles.
-	lookPause        = 250 * time.Millisecond
-	longestLookPause = 4 * time.Second
+	// maxStaleLists is how many lists of a lookup may be answered seconds old, at a
+	// tenth of the price, before the store itself is asked.
+	maxStaleLists = 1
+	// minLookupPause and maxLookupPause bound the pause between two lists of a lookup,
+	// which doubles.
+	minLookupPause = 250 * time.Millisecond
+	maxLookupPause = 4 * time.Second
 )
 
-// Duty tells followers whether the store is to be asked: a node to which others tell what
-// the store says rests. It is safe for concurrent use.
+// Duty tells followers whether this node polls the store. A node that gets the contents
+// of the store from its peers is off duty and sends the store nothing but lookups. It is
+// safe for concurrent use.
 type Duty struct {
-	// mutex guards the rest; no other lock is taken under it.
+	// mutex guards the fields below; no other lock is acquired while it is held.
 	mutex sync.Mutex
 	on    bool
-	// turned is closed and replaced whenever the duty changes or a look is asked for.
-	turned chan struct{}
-	looks  bool
+	// changed is closed and replaced whenever the duty changes or a lookup is requested.
+	changed         chan struct{}
+	lookupRequested bool
 }
 
-// NewDuty returns a duty that is on or off.
-func NewDuty(on bool) *Duty { return &Duty{on: on, turned: make(chan struct{})} }
+// NewDuty returns a Duty that is on or off.
+func NewDuty(on bool) *Duty { return &Duty{on: on, changed: make(chan struct{})} }
 
-// On tells whether the store is to be asked.
+// On reports whether this node polls the store.
 func (duty *Duty) On() bool {
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
@@ -44,81 +46,83 @@
 	defer duty.mutex.Unlock()
 	if duty.on != on {
 		duty.on = on
-		duty.turn()
+		duty.notify()
 	}
 }
 
-// Look has a resting follower look for what is wanted.
+// Look requests a lookup: a follower that is off duty lists until it has the newer
+// version that WithWanted tells of.
 func (duty *Duty) Look() {
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
-	if !duty.looks {
-		duty.looks = true
-		duty.turn()
+	if !duty.lookupRequested {
+		duty.lookupRequested = true
+		duty.notify()
 	}
 }
 
-// turn tells those who wait; mutex is held.
-func (duty *Duty) turn() {
-	close(duty.turned)
-	duty.turned = make(chan struct{})
+// notify wakes the waiting followers; the caller holds mutex.
+func (duty *Duty) notify() {
+	close(duty.changed)
+	duty.changed = make(chan struct{})
 }
 
-// await returns once the duty is on (false), a look is asked for (true), or the context
-// ends (false).
-func (duty *Duty) await(ctx context.Context) (looks bool) {
+// await blocks until the duty is on, a lookup is requested, or the context ends. It
+// returns true only for a lookup.
+func (duty *Duty) await(ctx context.Context) (lookupRequested bool) {
 	for ctx.Err() == nil {
 		duty.mutex.Lock()
-		on, looks, turned := duty.on, duty.looks, duty.turned
-		duty.looks = false
+		on, lookupRequested, changed := duty.on, duty.lookupRequested, duty.changed
+		duty.lookupRequested = false
 		duty.mutex.Unlock()
-		if on || looks {
-			return looks
+		if on || lookupRequested {
+			return lookupRequested
 		}
 		select {
-		case <-turned:
+		case <-changed:
 		case <-ctx.Done():
 		}
 	}
 	return false
 }
 
-// rest waits until the store is to be asked, and looks meanwhile for what is wanted. Calls
-// that are still under way from before are ended: the answer to one that may be old must
-// not be taken for what the store says now.
-func (follower *Follower[Entry, Change]) rest(ctx context.Context) {
-	defer follower.caller.endAll()
-	follower.caller.endAll()
+// standBy waits until the duty is on, and runs a lookup if one is requested. It cancels
+// the calls that are still open before and after, so that an answer that may be old is
+// not taken for the present state of the store.
+func (follower *Follower[Entry, Change]) standBy(ctx context.Context) {
+	defer follower.caller.cancelAll()
+	follower.caller.cancelAll()
 	if follower.duty.await(ctx) {
-		follower.look(ctx)
+		follower.lookUp(ctx)
 		return
 	}
 	follower.resume()
 }
 
-// resume has the next call go on from where the sink is by now. It is one that is answered
-// at once, so that it shows whether the store answers this node.
+// resume prepares the next call to go on from the position of the sink. The next watch
+// has a short wait, so that it shows at once whether the store answers this node.
 func (follower *Follower[Entry, Change]) resume() {
-	follower.failures, follower.hurried, follower.gathering = 0, true, false
-	follower.setUnknown()
+	follower.failures, follower.quickNext, follower.gatherDue = 0, true, false
+	follower.clearHealth()
 	position := follower.position()
 	follower.listed = position > 0
 	if follower.listed {
-		follower.goOn(position)
+		follower.continueFrom(position)
 	}
 }
 
-// look lists until what is wanted has come, the duty is on, or the context ends: first
-// where it costs least, then at the store itself.
-func (follower *Follower[Entry, Change]) look(ctx context.Context) {
-	for tries := 0; follower.wanted() && !follower.duty.On() && ctx.Err() == nil; tries++ {
-		stale := tries < staleLooks
-		answer, err := follower.caller.ask(ctx, question{list: true, stale: stale, reason: Told})
+// lookUp lists until the sink has the newer version, the duty is on, or the context
+// ends. The first maxStaleLists lists allow a stale answer, which costs least; the rest
+// ask the store itself.
+func (follower *Follower[Entry, Change]) lookUp(ctx context.Context) {
+	for tries := 0; follower.newerKnown() && !follower.duty.On() && ctx.Err() == nil; tries++ {
+		stale := tries < maxStaleLists
+		answer, err := follower.caller.ask(ctx, query{list: true, stale: stale, reason: Told})
 		if err == nil {
 			follower.sink.Replace(answer.entries, Reading{Revision: answer.revision, Stale: stale})
 		}
-		if follower.wanted() {
-			follower.pause(ctx, timer.Doubled(lookPause, longestLookPause, tries))
+		if follower.newerKnown() {
+			follower.pause(ctx, timer.Doubled(minLookupPause, maxLookupPause, tries))
 		}
 	}
 }
--- a/follower/duty_test.go
+++ b/follower/duty_test.go
@@ -14,43 +14,44 @@
 	"limpetcleat/follower"
 )
 
-// dutyStore answers lists and watches at once and notes what it is asked and told.
+// dutyStore answers lists and watches at once, except for late, and records the calls
+// and the readings that it gets as a sink.
 type dutyStore struct {
-	// mutex guards the rest; no other lock is taken under it.
+	// mutex guards the fields below; no other lock is acquired while it is held.
 	mutex sync.Mutex
-	asked []string
-	// stale lists are answered with old, others with current.
+	made  []string
+	// old is the version that stale lists return, current that of other lists.
 	old, current uint64
 	failing      bool
-	// late is how long lists that may be old take.
-	late time.Duration
-	held uint64
-	told []follower.Reading
+	// late is how long a stale list takes.
+	late     time.Duration
+	held     uint64
+	readings []follower.Reading
 }
 
-// with runs what reads or sets fields.
-func (store *dutyStore) with(run func()) {
+// locked runs a function that reads or sets fields while mutex is held.
+func (store *dutyStore) locked(run func()) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	run()
 }
 
-// questions returns what was asked so far.
-func (store *dutyStore) questions() []string {
+// calls returns the calls made so far.
+func (store *dutyStore) calls() []string {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	return slices.Clone(store.asked)
+	return slices.Clone(store.made)
 }
 
 func (store *dutyStore) List(ctx context.Context) ([]uint64, uint64, error) {
 	if follower.IsStale(ctx) {
-		store.with(func() { store.asked = append(store.asked, "old list") })
+		store.locked(func() { store.made = append(store.made, "old list") })
 		time.Sleep(store.late)
 		return []uint64{store.old}, store.old, nil
 	}
 	failing := false
-	store.with(func() {
-		store.asked = append(store.asked, "list "+string(follower.ReasonOf(ctx)))
+	store.locked(func() {
+		store.made = append(store.made, "list "+string(follower.ReasonOf(ctx)))
 		failing = store.failing
 	})
 	if failing {
@@ -60,7 +61,7 @@
 }
 
 func (store *dutyStore) Watch(ctx context.Context, revision uint64, wait time.Duration) ([]uint64, uint64, error) {
-	store.with(func() { store.asked = append(store.asked, "watch "+string(follower.ReasonOf(ctx))) })
+	store.locked(func() { store.made = append(store.made, "watch "+string(follower.ReasonOf(ctx))) })
 	select {
 	case <-time.After(wait):
 	case <-ctx.Done():
@@ -69,13 +70,13 @@
 }
 
 func (store *dutyStore) Replace(versions []uint64, reading follower.Reading) {
-	store.with(func() {
+	store.locked(func() {
 		store.held = max(store.held, versions[0])
-		store.told = append(store.told, reading)
+		store.readings = append(store.readings, reading)
 	})
 }
 
-// holds returns the newest version that was handed on.
+// holds returns the newest version that the follower has handed to the sink.
 func (store *dutyStore) holds() uint64 {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -84,8 +85,8 @@
 
 func (store *dutyStore) Apply([]uint64, follower.Reading) {}
 
-// resting runs a test with a follower that is not to ask.
-func resting(t *testing.T, store *dutyStore, test func(following *follower.Follower[uint64, uint64], duty *follower.Duty), options ...follower.Option[uint64, uint64]) {
+// runOffDuty runs a test with a follower whose duty is off.
+func runOffDuty(t *testing.T, store *dutyStore, test func(following *follower.Follower[uint64, uint64], duty *follower.Duty), options ...follower.Option[uint64, uint64]) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		duty := follower.NewDuty(false)
@@ -99,21 +100,21 @@
 	})
 }
 
-// TestRestingFollowerAsksNothing holds that the store is asked only while it is this
-// node's duty, and that what it confirmed before stays what it was.
+// TestRestingFollowerAsksNothing checks that the store is called only while the duty is
+// on, and that the confirmed time does not change while it is off.
 func TestRestingFollowerAsksNothing(t *testing.T) {
 	store := &dutyStore{current: 7}
-	resting(t, store, func(following *follower.Follower[uint64, uint64], duty *follower.Duty) {
+	runOffDuty(t, store, func(following *follower.Follower[uint64, uint64], duty *follower.Duty) {
 		time.Sleep(time.Minute)
-		assert.Equal(t, len(store.questions()), 0)
+		assert.Equal(t, len(store.calls()), 0)
 		duty.Set(true)
 		time.Sleep(3 * time.Second)
 		assert.Assert(t, following.Healthy() && store.holds() == 7)
 		duty.Set(false)
 		time.Sleep(2 * follower.DefaultWait)
-		asked, confirmed := len(store.questions()), following.Confirmed()
+		asked, confirmed := len(store.calls()), following.Confirmed()
 		time.Sleep(time.Minute)
-		assert.Equal(t, len(store.questions()), asked)
+		assert.Equal(t, len(store.calls()), asked)
 		assert.Equal(t, following.Confirmed(), confirmed)
 		duty.Set(true)
 		synctest.Wait()
@@ -121,22 +122,22 @@
 	})
 }
 
-// TestResumeGoesOnFromWhereTheSinkIs holds that a node which takes over watches from what
-// it was told, with a call that is answered at once, and lists only if it knows nothing.
+// TestResumeGoesOnFromWhereTheSinkIs checks that a node that comes on duty watches from
+// the position of its sink, first with a short wait, and lists only if the position is
+// unknown.
 func TestResumeGoesOnFromWhereTheSinkIs(t *testing.T) {
 	for position, want := range map[uint64][]string{0: {"list starting", "watch changed"}, 40: {"watch hurried", "watch standing"}} {
 		store := &dutyStore{current: 7}
-		resting(t, store, func(_ *follower.Follower[uint64, uint64], duty *follower.Duty) {
+		runOffDuty(t, store, func(_ *follower.Follower[uint64, uint64], duty *follower.Duty) {
 			duty.Set(true)
 			time.Sleep(time.Second)
-			assert.DeepEqual(t, store.questions(), want)
+			assert.DeepEqual(t, store.calls(), want)
 		}, follower.WithPosition[uint64, uint64](func() uint64 { return position }))
 	}
 }
 
-// TestLookTriesWhereItCostsLeast holds that what a peer told of is looked for first where
-// the answer may be old, then at the store, with pauses that grow, and no more once it has
-// come.
+// TestLookTriesWhereItCostsLeast checks that a lookup first allows a stale list, then
+// lists from the store with growing pauses, and stops once the version has arrived.
 func TestLookTriesWhereItCostsLeast(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -151,24 +152,24 @@
 		t.Run(test.name, func(t *testing.T) {
 			store := test.store
 			wanted := func() bool { return store.holds() < 9 }
-			resting(t, store, func(_ *follower.Follower[uint64, uint64], duty *follower.Duty) {
+			runOffDuty(t, store, func(_ *follower.Follower[uint64, uint64], duty *follower.Duty) {
 				duty.Look()
 				time.Sleep(3 * time.Second)
-				assert.DeepEqual(t, store.questions(), test.want)
-				store.with(func() { assert.Assert(t, store.told[0].Stale) })
+				assert.DeepEqual(t, store.calls(), test.want)
+				store.locked(func() { assert.Assert(t, store.readings[0].Stale) })
 			}, follower.WithWanted[uint64, uint64](wanted))
 		})
 	}
 }
 
-// TestOldAnswersAreNotTakenForWhatTheStoreSaysNow holds that the answer to a look, which
-// may be old and comes when the node has taken over, confirms nothing.
+// TestOldAnswersAreNotTakenForWhatTheStoreSaysNow checks that a stale list of a lookup
+// confirms nothing if its answer comes after the node has gone on duty.
 func TestOldAnswersAreNotTakenForWhatTheStoreSaysNow(t *testing.T) {
 	store := &dutyStore{old: 3, current: 9, late: 2 * time.Second}
-	resting(t, store, func(following *follower.Follower[uint64, uint64], duty *follower.Duty) {
+	runOffDuty(t, store, func(following *follower.Follower[uint64, uint64], duty *follower.Duty) {
 		duty.Look()
 		time.Sleep(100 * time.Millisecond)
-		store.with(func() { store.failing = true })
+		store.locked(func() { store.failing = true })
 		duty.Set(true)
 		time.Sleep(4 * time.Second)
 		assert.Assert(t, following.Confirmed().IsZero(), "confirmed up to %v", following.Confirmed())
@@ -176,31 +177,32 @@
 	}, follower.WithWanted[uint64, uint64](func() bool { return true }))
 }
 
-// TestPauseEndsWhenOthersRelyOnTheNode holds that a node which paused for long behind a
-// failure, since others asked too, asks soon once it is the one that they rely on, and
-// that one whose duty ended meanwhile begins anew when it has it again.
+// TestPauseEndsWhenOthersRelyOnTheNode checks that a node in a long pause after
+// failures, taken since other nodes asked too, calls the store soon after the bound of
+// the pause falls because others rely on it, and that a node whose duty ended during the
+// pause starts afresh when the duty returns.
 func TestPauseEndsWhenOthersRelyOnTheNode(t *testing.T) {
 	const short = 500 * time.Millisecond
 	var longest atomic.Int64
 	longest.Store(int64(time.Minute))
 	store := &dutyStore{current: 7, failing: true}
-	resting(t, store, func(following *follower.Follower[uint64, uint64], duty *follower.Duty) {
+	runOffDuty(t, store, func(following *follower.Follower[uint64, uint64], duty *follower.Duty) {
 		duty.Set(true)
 		time.Sleep(10 * time.Minute)
-		store.with(func() { store.failing = false })
+		store.locked(func() { store.failing = false })
 		longest.Store(int64(short))
 		time.Sleep(2 * short)
 		assert.Assert(t, following.Healthy())
 
-		store.with(func() { store.failing = true })
+		store.locked(func() { store.failing = true })
 		longest.Store(int64(time.Minute))
 		time.Sleep(10 * time.Minute)
 		duty.Set(false)
 		time.Sleep(2 * short)
-		store.with(func() { store.failing = false })
-		asked := len(store.questions())
+		store.locked(func() { store.failing = false })
+		asked := len(store.calls())
 		duty.Set(true)
 		time.Sleep(short)
-		assert.Assert(t, following.Healthy() && len(store.questions()) > asked)
+		assert.Assert(t, following.Healthy() && len(store.calls()) > asked)
 	}, follower.WithLongestPause[uint64, uint64](func() time.Duration { return time.Duration(longest.Load()) }))
 }
--- a/follower/failure.go
+++ b/follower/failure.go
@@ -6,7 +6,8 @@
 	"limpetcleat/failer"
 )
 
-// Fail returns an error of this package; feeds use it.
+// Fail returns an Error of the kind for the operation, with a formatted message. Feeds
+// use it for their errors.
 func Fail(operation string, kind Kind, format string, values ...any) *Error {
 	return failer.New("follower."+operation, kind, format, values...)
 }
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -1,5 +1,6 @@
-// Package follower keeps what the platform's store holds up to date: it lists a
-// kind of entries once, then watches it, and tells how old its knowledge is.
+// Package follower keeps a local copy of entries in the platform's store up to date: it
+// lists all entries of one kind once and then watches for changes by long polling. It
+// reports up to when the copy is known to have been current, and how calls to the store end.
 package follower
 
 import (
@@ -17,130 +18,136 @@
 type Kind string
 
 const (
-	// Gone marks a watch that the store's history no longer reaches back to.
+	// Gone marks a watch from a revision older than the store's history.
 	Gone Kind = "gone"
-	// TooLarge marks a watch whose answer was not read to its end, since a list returns
-	// the same in less.
+	// TooLarge marks a call whose answer exceeds the size limit and was not read to its
+	// end. After a watch, a list returns the same entries in fewer bytes.
 	TooLarge Kind = "tooLarge"
-	// Rejected marks a call that the store turned away without doing anything.
+	// Rejected marks a call that the store refused without any effect.
 	Rejected Kind = "rejected"
 	// Lost marks a call without an answer.
 	Lost Kind = "lost"
-	// Malformed marks an answer that could not be read.
+	// Malformed marks an answer that could not be decoded.
 	Malformed Kind = "malformed"
 )
 
-// Error is the one error type of this package and of the feeds.
+// Error is the error type of this package and of its feeds.
 type Error = failer.Error[Kind]
 
 const (
-	// DefaultWait is how long a watch waits for a change. What is known is then at
-	// most some 2.2 s old while the store answers, so that keys are honoured for
-	// another 2.5 s of an outage: a revoked one may be for 5 s.
+	// DefaultWait is how long a watch waits for a change. While the store answers, the
+	// local copy is then at most about 2.2 s old, so that keys stay valid for another
+	// 2.5 s of an outage: a revoked key may be accepted for up to 5 s.
 	DefaultWait = 1200 * time.Millisecond
-	// watchLag is how far a watch may be behind: the platform says that, when it
-	// drops its history, watches hear of no change for a second.
+	// watchLag is how far a watch may lag behind the store: according to the platform,
+	// watches report no change for a second when it drops its history.
 	watchLag = time.Second
-	// quickWait is how long the first watch after a failure waits, and one in a
-	// hurry.
+	// quickWait is the wait of the first watch after a failure, after an interrupted
+	// watch, and after the duty is turned on.
 	quickWait = 20 * time.Millisecond
-	// firstBackoff and maxBackoff bound the pause after a failure, which doubles.
-	// A node has to know of a change within some 2 s of the store's return.
+	// firstBackoff and maxBackoff bound the pause after a failure, which doubles. A node
+	// has to learn of a change within about 2 s of the store's return.
 	firstBackoff = 60 * time.Millisecond
 	maxBackoff   = 500 * time.Millisecond
-	// settleTime is how long after an outage a removed entry may come back; the
-	// platform says within about 2 s.
+	// settleTime is how long after an outage a removed entry may reappear; the platform
+	// states about 2 s.
 	settleTime = 2500 * time.Millisecond
-	// advanceAfter is how long the store's revision must have been known before a
-	// watch without events moves up to it: an event that a watch missed is then
-	// still delivered by the next. It is well within the store's history (20 s).
+	// advanceAfter is how long a revision of the store must have been known before a
+	// watch without changes advances to it, so that the next watch still delivers a
+	// change that an earlier one missed. It is well within the store's history (20 s).
 	advanceAfter = 6 * time.Second
 )
 
-// Feed reads one kind of entries. Its calls last until they are answered or their context
-// ends, and tell the context's Arrivals of their answers. The errors are of this package.
+// Feed reads one kind of entries from the store. Its calls last until they are answered
+// or their context ends, and report the progress of their answers to ArrivalsOf the
+// context. Their errors are of type Error.
 type Feed[Entry, Change any] interface {
-	// List returns all entries that can be read and the store's revision.
+	// List returns all entries that can be decoded, and the store's revision.
 	List(ctx context.Context) ([]Entry, uint64, error)
-	// Watch returns the changes after the revision as soon as there is one, or
-	// none after the wait, and the revision to go on from.
+	// Watch returns the changes after the revision as soon as there is one, or none
+	// after the wait, and the revision to continue from.
 	Watch(ctx context.Context, revision uint64, wait time.Duration) ([]Change, uint64, error)
 }
 
-// Reading tells of an answer that a sink takes in.
+// Reading describes an answer that is handed to a Sink.
 type Reading struct {
-	// Revision is the store's up to which the sink knows all with it.
+	// Revision is the store's revision that the sink is up to date with after this
+	// answer.
 	Revision uint64
-	// Outage tells that the store was away until just now.
+	// Outage reports that the store has just returned from an outage.
 	Outage bool
-	// Stale tells that the answer may be seconds old.
+	// Stale reports that the answer may be seconds old.
 	Stale bool
 }
 
-// Sink takes in what a feed reads.
+// Sink receives what a feed reads: Replace all entries, Apply the changes since the last
+// answer.
 type Sink[Entry, Change any] interface {
 	Replace(entries []Entry, reading Reading)
 	Apply(changes []Change, reading Reading)
 }
 
-// Follower follows one feed.
+// Follower keeps a Sink up to date with a Feed.
 type Follower[Entry, Change any] struct {
 	caller *caller[Entry, Change]
 	sink   Sink[Entry, Change]
 	wait   func() time.Duration
 	now    func() time.Time
 	pause  func(ctx context.Context, wait time.Duration)
-	// gather is the pause behind a watch with changes.
-	gather time.Duration
-	away   func(outage Outage)
-	back   func(after time.Duration)
-	// duty tells when the store is to be asked.
+	// gatherPause is the pause after a watch that returned changes.
+	gatherPause time.Duration
+	onOutage    func(outage Outage)
+	onRecovery  func(after time.Duration)
+	// duty tells whether this node polls the store.
 	duty *Duty
-	// position returns up to where the sink knows all by other ways; 0 is unknown.
+	// position returns the revision that the sink is up to date with by other means; 0
+	// means unknown.
 	position func() uint64
-	// wanted tells whether there is something newer than the sink holds.
-	wanted func() bool
-	// longest bounds the pause behind a failure.
-	longest func() time.Duration
+	// newerKnown reports whether there is a newer version than the sink holds.
+	newerKnown func() bool
+	// maxPause returns the bound of the pause after a failure.
+	maxPause func() time.Duration
 
-	// mutex guards the next three; no other lock is taken under it.
+	// mutex guards confirmed, healthy and failing; no other lock is acquired while it is
+	// held.
 	mutex     sync.Mutex
 	confirmed time.Time
-	// healthy is set while the last call was answered, failing while it failed; neither is
-	// before the first.
+	// healthy is set while the last call was answered, failing while it failed. Neither
+	// is set before the first call.
 	healthy bool
 	failing bool
 
-	// The rest belongs to Run.
+	// The fields below are used by the goroutine of Run alone.
 
 	listed bool
-	// gathering is set when there were changes, behind which to wait.
-	gathering bool
-	// changed is set when the last answer held changes, or all entries.
+	// gatherDue is set when the last watch returned changes, so that a pause follows.
+	gatherDue bool
+	// changed is set when the last answer was a list or held changes.
 	changed bool
-	// hurried is set when the next watch is to be a quick one.
-	hurried bool
-	// revision is what the next watch goes on from.
+	// quickNext is set when the next watch waits for quickWait only.
+	quickNext bool
+	// revision is where the next watch continues from.
 	revision uint64
-	// ahead is a later revision of the store, known since aheadSince.
-	ahead      uint64
-	aheadSince time.Time
-	// failures counts those in a row; failedSince is when they began.
+	// pendingRevision is a later revision of the store, known since pendingSince, that
+	// watches do not continue from yet.
+	pendingRevision uint64
+	pendingSince    time.Time
+	// failures counts consecutive failures; failedSince is the time of the first.
 	failures    int
 	failedSince time.Time
-	backSince   time.Time
-	// done is closed by Run.
+	recoveredAt time.Time
+	// done is closed when Run returns.
 	done chan struct{}
 }
 
-// New returns a follower that hands what the feed reads to the sink.
+// New returns a Follower that hands what the feed reads to the sink. Run starts it.
 func New[Entry, Change any](feed Feed[Entry, Change], sink Sink[Entry, Change], options ...Option[Entry, Change]) *Follower[Entry, Change] {
 	follower := &Follower[Entry, Change]{
 		caller: newCaller(feed), sink: sink, wait: func() time.Duration { return DefaultWait }, now: time.Now, pause: sleep,
-		away: func(Outage) {}, back: func(time.Duration) {},
-		duty: NewDuty(true), position: func() uint64 { return 0 }, wanted: func() bool { return false },
-		longest: func() time.Duration { return maxBackoff },
-		done:    make(chan struct{}),
+		onOutage: func(Outage) {}, onRecovery: func(time.Duration) {},
+		duty: NewDuty(true), position: func() uint64 { return 0 }, newerKnown: func() bool { return false },
+		maxPause: func() time.Duration { return maxBackoff },
+		done:     make(chan struct{}),
 	}
 	for _, option := range options {
 		option(follower)
@@ -148,96 +155,97 @@
 	return follower
 }
 
-// Confirmed returns the time up to which what the sink holds is known to have been
-// the store's newest. A list tells that of when it was asked for; a watch without
-// a change of when it had waited, less its lag.
+// Confirmed returns the time up to which the contents of the sink are known to have been
+// the newest in the store. A list, or a watch with changes, confirms the time at which
+// it was asked; a watch without a change confirms the end of its wait, less watchLag.
 func (follower *Follower[Entry, Change]) Confirmed() time.Time {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
 	return follower.confirmed
 }
 
-// Healthy tells whether the last call was answered.
+// Healthy reports whether the last call was answered.
 func (follower *Follower[Entry, Change]) Healthy() bool {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
 	return follower.healthy
 }
 
-// Failing tells whether the last call failed.
+// Failing reports whether the last call failed.
 func (follower *Follower[Entry, Change]) Failing() bool {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
 	return follower.failing
 }
 
-// Hurry ends a watch that has been waiting for hurryAfter, so that the next call shows
-// whether the store answers. It is for who learns elsewhere that the watch may hang or
-// that there is something newer. A call whose answer is coming in is left alone.
-func (follower *Follower[Entry, Change]) Hurry() { follower.caller.hurry() }
+// Hurry ends a watch that has been waiting for minInterruptAge, so that the next call
+// shows whether the store answers. Callers use it when they learn from elsewhere that
+// the watch may hang or that there is a newer version. A call whose answer is coming in
+// continues. Hurry is safe for concurrent use.
+func (follower *Follower[Entry, Change]) Hurry() { follower.caller.interruptWatch() }
 
-// Done is closed once Run has ended.
+// Done returns a channel that is closed when Run has returned.
 func (follower *Follower[Entry, Change]) Done() <-chan struct{} { return follower.done }
 
-// Run follows the feed until the context ends.
+// Run follows the feed until the context ends. It may be called once.
 func (follower *Follower[Entry, Change]) Run(ctx context.Context) {
 	defer close(follower.done)
 	defer follower.caller.close()
 	for ctx.Err() == nil {
 		if !follower.duty.On() {
-			follower.rest(ctx)
+			follower.standBy(ctx)
 			continue
 		}
 		confirmed, err := follower.step(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		follower.hurried = errors.Is(err, errHurried)
-		if follower.hurried {
+		follower.quickNext = errors.Is(err, errInterrupted)
+		if follower.quickNext {
 			continue
 		}
 		if err != nil {
-			follower.failed(ctx, err)
+			follower.recordFailure(ctx, err)
 			continue
 		}
-		follower.succeeded(confirmed)
-		if follower.gathering {
-			follower.gathering = false
-			follower.pause(ctx, follower.gather)
+		follower.recordSuccess(confirmed)
+		if follower.gatherDue {
+			follower.gatherDue = false
+			follower.pause(ctx, follower.gatherPause)
 		}
 	}
 }
 
-// step asks once, takes in the answer, and returns up to when that confirms what the
-// sink holds.
+// step makes one call, hands the answer to the sink, and returns the time up to which
+// the answer confirms the contents of the sink.
 func (follower *Follower[Entry, Change]) step(ctx context.Context) (time.Time, error) {
 	answer, err := follower.caller.ask(ctx, follower.next())
 	if err != nil {
 		return time.Time{}, err
 	}
-	follower.changed = answer.question.list || len(answer.changes) > 0
-	if answer.question.list {
+	follower.changed = answer.query.list || len(answer.changes) > 0
+	if answer.query.list {
 		follower.sink.Replace(answer.entries, Reading{Revision: answer.revision, Outage: follower.settling()})
 		follower.listed = true
-		follower.goOn(answer.revision)
+		follower.continueFrom(answer.revision)
 		return answer.asked, nil
 	}
-	return follower.take(answer), nil
+	return follower.applyWatch(answer), nil
 }
 
-// next returns what is to be asked.
-func (follower *Follower[Entry, Change]) next() question {
+// next returns the next query.
+func (follower *Follower[Entry, Change]) next() query {
 	if !follower.listed {
-		return question{list: true, reason: follower.reason()}
+		return query{list: true, reason: follower.reason()}
 	}
 	wait := follower.wait()
-	if follower.failures > 0 || follower.hurried {
+	if follower.failures > 0 || follower.quickNext {
 		wait = quickWait
 	}
-	return question{revision: follower.revision, wait: wait, reason: follower.reason()}
+	return query{revision: follower.revision, wait: wait, reason: follower.reason()}
 }
 
-// reason returns why the store is asked next.
+// reason returns why the next call is made.
 func (follower *Follower[Entry, Change]) reason() Reason {
 	switch {
 	case follower.failures > 0:
@@ -246,7 +254,7 @@
 		return Starting
 	case !follower.listed:
 		return CatchingUp
-	case follower.hurried:
+	case follower.quickNext:
 		return Hurried
 	case follower.changed:
 		return Changed
@@ -254,49 +262,51 @@
 	return Standing
 }
 
-// take takes in the answer to a watch.
-func (follower *Follower[Entry, Change]) take(answer answer[Entry, Change]) time.Time {
+// applyWatch hands the changes of a watch to the sink, and returns the time up to which
+// the answer confirms the contents of the sink.
+func (follower *Follower[Entry, Change]) applyWatch(answer answer[Entry, Change]) time.Time {
 	if len(answer.changes) > 0 {
 		follower.sink.Apply(answer.changes, Reading{Revision: answer.revision, Outage: follower.settling()})
-		follower.goOn(answer.revision)
-		follower.gathering = follower.gather > 0 && !follower.settling()
+		follower.continueFrom(answer.revision)
+		follower.gatherDue = follower.gatherPause > 0 && !follower.settling()
 		return answer.asked
 	}
 	follower.advance(answer.revision)
-	waited := min(follower.now().Sub(answer.asked), answer.question.wait)
+	waited := min(follower.now().Sub(answer.asked), answer.query.wait)
 	return answer.asked.Add(waited - watchLag)
 }
 
-// goOn sets what the next watch goes on from.
-func (follower *Follower[Entry, Change]) goOn(revision uint64) {
+// continueFrom sets the revision that the next watch continues from.
+func (follower *Follower[Entry, Change]) continueFrom(revision uint64) {
 	follower.revision = revision
-	follower.ahead = revision
-	follower.aheadSince = follower.now()
+	follower.pendingRevision = revision
+	follower.pendingSince = follower.now()
 }
 
-// advance moves up to a revision that has been known for long enough.
+// advance moves to pendingRevision once that has been known for advanceAfter.
 func (follower *Follower[Entry, Change]) advance(revision uint64) {
-	if follower.now().Sub(follower.aheadSince) < advanceAfter {
+	if follower.now().Sub(follower.pendingSince) < advanceAfter {
 		return
 	}
-	follower.revision = max(follower.revision, follower.ahead)
-	follower.ahead = revision
-	follower.aheadSince = follower.now()
+	follower.revision = max(follower.revision, follower.pendingRevision)
+	follower.pendingRevision = revision
+	follower.pendingSince = follower.now()
 }
 
-// settling tells whether the store is just back from an outage.
+// settling reports whether the store is failing or returned from an outage less than
+// settleTime ago.
 func (follower *Follower[Entry, Change]) settling() bool {
 	if follower.failures > 0 {
 		return true
 	}
-	return !follower.backSince.IsZero() && follower.now().Sub(follower.backSince) < settleTime
+	return !follower.recoveredAt.IsZero() && follower.now().Sub(follower.recoveredAt) < settleTime
 }
 
-func (follower *Follower[Entry, Change]) failed(ctx context.Context, err error) {
+func (follower *Follower[Entry, Change]) recordFailure(ctx context.Context, err error) {
 	if follower.listed && (isKind(err, Gone) || isKind(err, TooLarge)) {
-		// The store answered; a list tells what the watch did not.
+		// The store did answer; a list returns what the watch could not.
 		follower.listed = false
-		follower.away(Outage{Cause: err})
+		follower.onOutage(Outage{Cause: err})
 		return
 	}
 	if follower.failures == 0 {
@@ -304,27 +314,27 @@
 	}
 	follower.failures++
 	if isPowerOfTwo(follower.failures) {
-		follower.away(Outage{Cause: err, Failures: follower.failures, Lasted: follower.now().Sub(follower.failedSince)})
+		follower.onOutage(Outage{Cause: err, Failures: follower.failures, Lasted: follower.now().Sub(follower.failedSince)})
 	}
 	follower.setFailing()
-	backoff := timer.Doubled(firstBackoff, follower.longest(), follower.failures-1)
-	follower.waitBehind(ctx, backoff/2+time.Duration(rand.Int64N(int64(backoff))))
+	backoff := timer.Doubled(firstBackoff, follower.maxPause(), follower.failures-1)
+	follower.backOff(ctx, backoff/2+time.Duration(rand.Int64N(int64(backoff))))
 }
 
-// waitBehind waits behind a failure, in steps: the bound of the pause may fall meanwhile,
-// when the node is the one that others rely on now, and the duty may end.
-func (follower *Follower[Entry, Change]) waitBehind(ctx context.Context, left time.Duration) {
+// backOff pauses after a failure, in steps of at most maxBackoff: maxPause may fall
+// meanwhile, when other nodes begin to rely on this node, and the duty may end.
+func (follower *Follower[Entry, Change]) backOff(ctx context.Context, left time.Duration) {
 	for left > 0 && ctx.Err() == nil && follower.duty.On() {
 		step := min(left, maxBackoff)
 		follower.pause(ctx, step)
-		left = min(left-step, follower.longest())
+		left = min(left-step, follower.maxPause())
 	}
 }
 
-func (follower *Follower[Entry, Change]) succeeded(confirmed time.Time) {
+func (follower *Follower[Entry, Change]) recordSuccess(confirmed time.Time) {
 	if follower.failures > 0 {
-		follower.backSince = follower.now()
-		follower.back(follower.backSince.Sub(follower.failedSince))
+		follower.recoveredAt = follower.now()
+		follower.onRecovery(follower.recoveredAt.Sub(follower.failedSince))
 	}
 	follower.failures = 0
 	follower.mutex.Lock()
@@ -335,8 +345,8 @@
 	follower.healthy, follower.failing = true, false
 }
 
-// setUnknown notes that nothing is known of whether the store answers.
-func (follower *Follower[Entry, Change]) setUnknown() {
+// clearHealth records that it is unknown whether the store answers.
+func (follower *Follower[Entry, Change]) clearHealth() {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
 	follower.healthy, follower.failing = false, false
@@ -348,5 +358,5 @@
 	follower.healthy, follower.failing = false, true
 }
 
-// sleep waits; Run sees by itself when the context ends.
+// sleep waits for the duration or the end of the context, which Run checks itself.
 func sleep(ctx context.Context, wait time.Duration) { _ = timer.Sleep(ctx, wait) }
--- a/follower/follower_test.go
+++ b/follower/follower_test.go
@@ -12,22 +12,22 @@
 	"limpetcleat/router"
 )
 
-// world is a stepped clock, a scripted feed and a recording sink.
-type world struct {
+// harness is a stepped clock, a scripted feed and a recording sink.
+type harness struct {
 	clock time.Time
 	steps []step
-	// cancel ends the follower behind the last step.
+	// cancel ends the follower after the last step.
 	cancel   context.CancelFunc
 	asked    []uint64
 	reasons  []follower.Reason
 	replaced []bool
 	applied  []bool
 	paused   time.Duration
-	// onApply is called at each Apply; nil is nothing.
+	// onApply, unless nil, is called at each Apply.
 	onApply func()
 }
 
-// step is one answer of the feed.
+// step is one answer of the scripted feed.
 type step struct {
 	takes    time.Duration
 	changes  []int
@@ -35,86 +35,88 @@
 	err      error
 }
 
-func (world *world) next(ctx context.Context, revision uint64) ([]int, uint64, error) {
-	world.asked = append(world.asked, revision)
-	world.reasons = append(world.reasons, follower.ReasonOf(ctx))
-	if len(world.steps) == 0 {
-		world.cancel()
+func (harness *harness) answerNext(ctx context.Context, revision uint64) ([]int, uint64, error) {
+	harness.asked = append(harness.asked, revision)
+	harness.reasons = append(harness.reasons, follower.ReasonOf(ctx))
+	if len(harness.steps) == 0 {
+		harness.cancel()
 		return nil, 0, follower.Fail("watch", follower.Lost, "the script is over")
 	}
-	current := world.steps[0]
-	world.steps = world.steps[1:]
-	world.clock = world.clock.Add(current.takes)
+	current := harness.steps[0]
+	harness.steps = harness.steps[1:]
+	harness.clock = harness.clock.Add(current.takes)
 	return current.changes, current.revision, current.err
 }
 
-func (world *world) List(ctx context.Context) ([]int, uint64, error) { return world.next(ctx, 0) }
+func (harness *harness) List(ctx context.Context) ([]int, uint64, error) {
+	return harness.answerNext(ctx, 0)
+}
 
-func (world *world) Watch(ctx context.Context, revision uint64, _ time.Duration) ([]int, uint64, error) {
-	return world.next(ctx, revision)
+func (harness *harness) Watch(ctx context.Context, revision uint64, _ time.Duration) ([]int, uint64, error) {
+	return harness.answerNext(ctx, revision)
 }
 
-func (world *world) Replace(_ []int, reading follower.Reading) {
-	world.replaced = append(world.replaced, reading.Outage)
+func (harness *harness) Replace(_ []int, reading follower.Reading) {
+	harness.replaced = append(harness.replaced, reading.Outage)
 }
 
-func (world *world) Apply(_ []int, reading follower.Reading) {
-	world.applied = append(world.applied, reading.Outage)
-	if world.onApply != nil {
-		world.onApply()
+func (harness *harness) Apply(_ []int, reading follower.Reading) {
+	harness.applied = append(harness.applied, reading.Outage)
+	if harness.onApply != nil {
+		harness.onApply()
 	}
 }
 
-func (world *world) run(steps ...step) *follower.Follower[int, int] {
-	return world.runWith(nil, steps...)
+func (harness *harness) run(steps ...step) *follower.Follower[int, int] {
+	return harness.runWith(nil, steps...)
 }
 
-func (world *world) runWith(options []follower.Option[int, int], steps ...step) *follower.Follower[int, int] {
-	world.clock = time.Unix(1000, 0)
-	world.steps = steps
+func (harness *harness) runWith(options []follower.Option[int, int], steps ...step) *follower.Follower[int, int] {
+	harness.clock = time.Unix(1000, 0)
+	harness.steps = steps
 	ctx, cancel := context.WithCancel(context.Background())
-	world.cancel = cancel
+	harness.cancel = cancel
 	clock := follower.WithClock[int, int](
-		func() time.Time { return world.clock },
+		func() time.Time { return harness.clock },
 		func(_ context.Context, wait time.Duration) {
-			world.clock = world.clock.Add(wait)
-			world.paused += wait
+			harness.clock = harness.clock.Add(wait)
+			harness.paused += wait
 		},
 	)
-	following := follower.New[int, int](world, world, append(options, clock)...)
+	following := follower.New[int, int](harness, harness, append(options, clock)...)
 	following.Run(ctx)
 	return following
 }
 
-// TestGatherWaitsBehindChanges holds that changes are handed on at once, and that
-// the next watch waits only behind changes.
+// TestGatherWaitsBehindChanges checks that changes are handed on at once, and that the
+// pause before the next watch follows changes only.
 func TestGatherWaitsBehindChanges(t *testing.T) {
 	const gather = time.Second
-	world := &world{}
-	world.runWith([]follower.Option[int, int]{follower.WithGather[int, int](gather)},
+	harness := &harness{}
+	harness.runWith([]follower.Option[int, int]{follower.WithGather[int, int](gather)},
 		step{revision: 1}, step{revision: 2, changes: []int{1}}, step{revision: 2}, step{revision: 3, changes: []int{2, 3}})
-	assert.Equal(t, len(world.applied), 2)
-	assert.DeepEqual(t, world.asked, []uint64{0, 1, 2, 2, 3})
-	assert.Equal(t, world.paused-world.paused%gather, 2*gather)
+	assert.Equal(t, len(harness.applied), 2)
+	assert.DeepEqual(t, harness.asked, []uint64{0, 1, 2, 2, 3})
+	assert.Equal(t, harness.paused-harness.paused%gather, 2*gather)
 }
 
-// TestGatherDoesNotWaitAfterAnOutage holds that a removal soon after an outage, which
-// is doubted for some time, is not late besides.
+// TestGatherDoesNotWaitAfterAnOutage checks that changes soon after an outage, when
+// removals are doubted for some time, are not delayed by the pause as well.
 func TestGatherDoesNotWaitAfterAnOutage(t *testing.T) {
 	const gather = 700 * time.Millisecond
-	world := &world{}
+	harness := &harness{}
 	var applied []time.Duration
-	world.onApply = func() { applied = append(applied, world.clock.Sub(time.Unix(1000, 0))) }
-	world.runWith([]follower.Option[int, int]{follower.WithGather[int, int](gather)},
+	harness.onApply = func() { applied = append(applied, harness.clock.Sub(time.Unix(1000, 0))) }
+	harness.runWith([]follower.Option[int, int]{follower.WithGather[int, int](gather)},
 		step{revision: 1}, step{err: lost()}, step{revision: 2, changes: []int{1}}, step{revision: 3, changes: []int{2}})
-	assert.DeepEqual(t, world.applied, []bool{true, true})
+	assert.DeepEqual(t, harness.applied, []bool{true, true})
 	assert.Assert(t, applied[1]-applied[0] < gather, "%v between the changes", applied[1]-applied[0])
 }
 
 func lost() error { return follower.Fail("watch", follower.Lost, "no answer") }
 
-// TestConfirmed holds up to when each kind of answer confirms what is known: never
-// beyond what the store had seen when it answered.
+// TestConfirmed checks up to when each kind of answer confirms the contents of the sink:
+// never beyond what the store had seen when it answered.
 func TestConfirmed(t *testing.T) {
 	listed := step{takes: time.Second, revision: 7}
 	cases := []struct {
@@ -132,8 +134,8 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			world := &world{}
-			following := world.run(test.steps...)
+			harness := &harness{}
+			following := harness.run(test.steps...)
 			if test.confirmed < 0 {
 				assert.Assert(t, following.Confirmed().IsZero())
 				return
@@ -144,8 +146,8 @@
 	}
 }
 
-// TestCallsTellWhyTheyAreMade holds the reason that each call gives: the bill is read by
-// it.
+// TestCallsTellWhyTheyAreMade checks the reason that each call carries, by which the
+// bill of the store is read.
 func TestCallsTellWhyTheyAreMade(t *testing.T) {
 	gone := follower.Fail("watch", follower.Gone, "no history")
 	cases := []struct {
@@ -181,14 +183,15 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			world := &world{}
-			world.run(test.steps...)
-			assert.DeepEqual(t, world.reasons, test.want)
+			harness := &harness{}
+			harness.run(test.steps...)
+			assert.DeepEqual(t, harness.reasons, test.want)
 		})
 	}
 }
 
-// TestOutcomes holds how the end of a call is told.
+// TestOutcomes checks the outcome of a call for each kind of error and end of its
+// context.
 func TestOutcomes(t *testing.T) {
 	ended, end := context.WithCancel(t.Context())
 	end()
@@ -211,15 +214,14 @@
 	assert.Equal(t, follower.ReasonOf(t.Context()), follower.Unstated)
 }
 
-// TestHurryEndsAWatch holds that a watch that hangs is given up when it is known
-// elsewhere that it may, that one that has just begun goes on, and that this is no
-// failure of the store.
+// TestHurryEndsAWatch checks that Hurry ends a hanging watch, leaves one that has just
+// begun alone, and does not count the ended watch as a failure of the store.
 func TestHurryEndsAWatch(t *testing.T) {
 	hanging := &hangingFeed{watching: make(chan struct{}), ended: make(chan struct{}), next: make(chan time.Duration, 1)}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var passed atomic.Int64
-	following := follower.New[int, int](hanging, &world{},
+	following := follower.New[int, int](hanging, &harness{},
 		follower.WithWait[int, int](func() time.Duration { return time.Hour }),
 		follower.WithClock[int, int](func() time.Time { return time.Unix(1000, passed.Load()) }, func(context.Context, time.Duration) {}))
 	go following.Run(ctx)
@@ -233,16 +235,16 @@
 	passed.Store(int64(2 * time.Second))
 	following.Hurry()
 	<-hanging.ended
-	assert.Assert(t, <-hanging.next < time.Second, "the next watch is to be a quick one")
+	assert.Assert(t, <-hanging.next < time.Second, "the watch after an interrupted one has a long wait")
 	assert.Assert(t, following.Healthy())
 	cancel()
 	<-following.Done()
 }
 
-// hangingFeed lists nothing and then never answers.
+// hangingFeed lists no entries, and its watches never answer.
 type hangingFeed struct {
 	watching, ended chan struct{}
-	// next is told how long the watch behind the first one waits.
+	// next receives the wait of the watch that follows the first one.
 	next chan time.Duration
 }
 
@@ -263,32 +265,35 @@
 	return nil, 0, ctx.Err()
 }
 
-// TestGoneListsAtOnce holds that a list follows at once when the store answered that a
-// watch cannot tell what changed, or that it would tell more than a list.
+// TestGoneListsAtOnce checks that a list follows without a pause when the store answered
+// that its history does not reach back to the watch's revision, or that the changes are
+// larger than a list.
 func TestGoneListsAtOnce(t *testing.T) {
 	for _, kind := range []follower.Kind{follower.Gone, follower.TooLarge} {
 		t.Run(string(kind), func(t *testing.T) {
-			world := &world{}
-			world.run(step{revision: 7}, step{err: follower.Fail("watch", kind, "no changes")}, step{revision: 20}, step{changes: []int{1}, revision: 21})
-			assert.DeepEqual(t, world.asked, []uint64{0, 7, 0, 20, 21})
-			assert.DeepEqual(t, world.replaced, []bool{false, false})
-			assert.Equal(t, world.paused, time.Duration(0))
+			harness := &harness{}
+			harness.run(step{revision: 7}, step{err: follower.Fail("watch", kind, "no changes")}, step{revision: 20}, step{changes: []int{1}, revision: 21})
+			assert.DeepEqual(t, harness.asked, []uint64{0, 7, 0, 20, 21})
+			assert.DeepEqual(t, harness.replaced, []bool{false, false})
+			assert.Equal(t, harness.paused, time.Duration(0))
 		})
 	}
 }
 
-// TestListsThatAreTooLargeArePausedBehind holds that a list which cannot be read is not
-// asked for again at once.
+// TestListsThatAreTooLargeArePausedBehind checks that a list which exceeds the size
+// limit is followed by a pause.
 func TestListsThatAreTooLargeArePausedBehind(t *testing.T) {
-	world := &world{}
-	world.run(step{err: follower.Fail("list", follower.TooLarge, "17 MB")}, step{revision: 7})
-	assert.Assert(t, world.paused > 0)
-	assert.DeepEqual(t, world.asked, []uint64{0, 0, 7})
+	harness := &harness{}
+	harness.run(step{err: follower.Fail("list", follower.TooLarge, "17 MB")}, step{revision: 7})
+	assert.Assert(t, harness.paused > 0)
+	assert.DeepEqual(t, harness.asked, []uint64{0, 0, 7})
 }
 
+// TestRemovalsAfterAnOutageAreMarked checks that the readings of changes are marked
+// during an outage and for settleTime after it, when a removed entry may reappear.
 func TestRemovalsAfterAnOutageAreMarked(t *testing.T) {
-	world := &world{}
-	world.run(
+	harness := &harness{}
+	harness.run(
 		step{revision: 7},
 		step{changes: []int{1}, revision: 8},
 		step{takes: 5 * time.Second, err: lost()},
@@ -296,22 +301,22 @@
 		step{takes: 2 * time.Second, changes: []int{3}, revision: 10},
 		step{takes: 2 * time.Second, changes: []int{4}, revision: 11},
 	)
-	assert.DeepEqual(t, world.applied, []bool{false, true, true, false})
+	assert.DeepEqual(t, harness.applied, []bool{false, true, true, false})
 }
 
-// TestWatchStaysBehind holds that an empty watch does not move past changes that
-// a watch may have missed.
+// TestWatchStaysBehind checks that a watch without changes does not move the revision
+// past changes that a watch may have missed.
 func TestWatchStaysBehind(t *testing.T) {
-	world := &world{}
+	harness := &harness{}
 	empty := step{takes: 2 * time.Second, revision: 50}
-	world.run(step{revision: 7}, empty, empty, empty, empty, empty, empty, empty)
-	assert.DeepEqual(t, world.asked, []uint64{0, 7, 7, 7, 7, 7, 7, 50, 50})
+	harness.run(step{revision: 7}, empty, empty, empty, empty, empty, empty, empty)
+	assert.DeepEqual(t, harness.asked, []uint64{0, 7, 7, 7, 7, 7, 7, 50, 50})
 }
 
-// TestOutageIsToldAsItGoesOn holds that a lasting outage is told whenever the failures
-// have doubled, and not at each.
+// TestOutageIsToldAsItGoesOn checks that a lasting outage is reported whenever the
+// number of failures has doubled, and not at each failure.
 func TestOutageIsToldAsItGoesOn(t *testing.T) {
-	world := &world{}
+	harness := &harness{}
 	steps := []step{{revision: 7}}
 	for range 9 {
 		steps = append(steps, step{err: lost()})
@@ -322,11 +327,13 @@
 		failures = append(failures, outage.Failures)
 		lasted = outage.Lasted
 	}, func(time.Duration) {})
-	world.runWith([]follower.Option[int, int]{reports}, steps...)
+	harness.runWith([]follower.Option[int, int]{reports}, steps...)
 	assert.DeepEqual(t, failures, []int{1, 2, 4, 8})
 	assert.Assert(t, lasted > 0 && lasted < 7*time.Second, lasted)
 }
 
+// TestHolderNeverGoesBack checks that a Holder ignores a version that is not higher than
+// the one in force.
 func TestHolderNeverGoesBack(t *testing.T) {
 	var versions []uint64
 	holder := follower.NewHolder(func(table *router.Table, err error) {
--- a/follower/link_test.go
+++ b/follower/link_test.go
@@ -15,34 +15,36 @@
 )
 
 const (
-	// linkRate is that of a thin link, 10 Mbit/s in bytes a second; linkPiece passes at
-	// once.
+	// linkRate is the rate of a slow link, 10 Mbit/s, in bytes a second; linkPiece is
+	// the number of bytes sent at once.
 	linkRate  = 1_250_000
 	linkPiece = 16 << 10
-	// objectSize is that of a configuration.
+	// objectSize is the size of a configuration.
 	objectSize = 1 << 20
-	// limit is the most that a watch reads, as that of configurations has it.
+	// limit is the most that a watch reads, as for configurations.
 	limit = objectSize + linkPiece
 )
 
-// linkStore is a store with one object that grows a version at each write, as it is met
-// over a thin link. Its clock is that of the test's bubble.
+// linkStore is a store behind a slow link, with one object that gets a new version at
+// each write. Its clock is that of the synctest bubble. It is the sink of the follower
+// too.
 type linkStore struct {
-	// mutex guards the rest; no other lock is taken under it.
+	// mutex guards the fields below; no other lock is acquired while it is held.
 	mutex   sync.Mutex
 	version uint64
 	changed chan struct{}
-	// delay is that of each answer; silent ones never come.
+	// delay is the time before each answer; while silent is set no answer comes.
 	delay  time.Duration
 	silent bool
-	// reading is how long the node takes to read an answer.
+	// reading is how long the node takes to decode an answer.
 	reading time.Duration
-	// free is when what was sent so far will have passed the link.
-	free time.Time
-	// open holds the calls under way, most is their highest number, calls counts all.
+	// freeAt is when the link will have transmitted all that was sent so far.
+	freeAt time.Time
+	// open holds the open calls; most is their highest number, without cancelled calls;
+	// calls counts all calls.
 	open        map[context.Context]bool
 	most, calls int
-	// held is the newest version that the follower handed on.
+	// held is the newest version that the follower has handed to the sink.
 	held uint64
 }
 
@@ -64,7 +66,7 @@
 	store.delay, store.silent = delay, silent
 }
 
-// enter counts a call; the function that it returns ends it.
+// enter counts a call as open until the returned function is called.
 func (store *linkStore) enter(ctx context.Context) func() {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -84,7 +86,7 @@
 	}
 }
 
-// counts returns how many calls were made, and how many were under way at most.
+// counts returns how many calls were made, and the highest number of open calls.
 func (store *linkStore) counts() (calls, most int) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -100,10 +102,10 @@
 	store.mutex.Lock()
 	version := store.version
 	store.mutex.Unlock()
-	return []uint64{version}, version, store.pass(ctx, 1)
+	return []uint64{version}, version, store.transmit(ctx, 1)
 }
 
-// Watch returns the versions after one, each whole.
+// Watch returns all versions after the revision, each transmitted whole.
 func (store *linkStore) Watch(ctx context.Context, revision uint64, wait time.Duration) ([]uint64, uint64, error) {
 	defer store.enter(ctx)()
 	store.await(ctx, revision, wait)
@@ -120,10 +122,10 @@
 	if len(versions)*objectSize > limit {
 		return nil, 0, follower.Fail("watch", follower.TooLarge, "%d versions", len(versions))
 	}
-	return versions, version, store.pass(ctx, len(versions))
+	return versions, version, store.transmit(ctx, len(versions))
 }
 
-// await returns when there is a later version or the wait is over.
+// await blocks until there is a later version, the wait is over, or the context ends.
 func (store *linkStore) await(ctx context.Context, revision uint64, wait time.Duration) {
 	over := time.After(wait)
 	for {
@@ -143,7 +145,7 @@
 	}
 }
 
-// begin returns when an answer begins; the error is of kind Lost.
+// begin blocks until an answer begins; its error is of kind Lost.
 func (store *linkStore) begin(ctx context.Context) error {
 	store.mutex.Lock()
 	delay, silent := store.delay, store.silent
@@ -158,8 +160,9 @@
 	return nil
 }
 
-// pass returns when so many objects have passed the link; the error is of kind Lost.
-func (store *linkStore) pass(ctx context.Context, objects int) error {
+// transmit blocks until the given number of objects has passed the link and is decoded;
+// its error is of kind Lost.
+func (store *linkStore) transmit(ctx context.Context, objects int) error {
 	for range objects * objectSize / linkPiece {
 		if err := timer.Sleep(ctx, time.Until(store.reserve())); err != nil {
 			return follower.Fail("pass", follower.Lost, "%w", err)
@@ -176,23 +179,23 @@
 	return nil
 }
 
-// reserve returns when the next piece will have passed.
+// reserve returns when the link will have transmitted the next piece.
 func (store *linkStore) reserve() time.Time {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	if now := time.Now(); store.free.Before(now) {
-		store.free = now
+	if now := time.Now(); store.freeAt.Before(now) {
+		store.freeAt = now
 	}
-	store.free = store.free.Add(linkPiece * time.Second / linkRate)
-	return store.free
+	store.freeAt = store.freeAt.Add(linkPiece * time.Second / linkRate)
+	return store.freeAt
 }
 
-// Replace takes in a list.
+// Replace applies the versions of a list.
 func (store *linkStore) Replace(versions []uint64, reading follower.Reading) {
 	store.Apply(versions, reading)
 }
 
-// Apply takes in versions.
+// Apply records the newest version.
 func (store *linkStore) Apply(versions []uint64, _ follower.Reading) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -208,8 +211,9 @@
 	return store.version - store.held
 }
 
-// over runs a test against a follower of a store, whose watches wait so long.
-func over(t *testing.T, wait time.Duration, test func(t *testing.T, store *linkStore, following *follower.Follower[uint64, uint64])) {
+// withLinkStore runs a test with a follower of a linkStore, whose watches wait for the
+// given time.
+func withLinkStore(t *testing.T, wait time.Duration, test func(t *testing.T, store *linkStore, following *follower.Follower[uint64, uint64])) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newLinkStore()
 		following := follower.New[uint64, uint64](store, store, follower.WithWait[uint64, uint64](func() time.Duration { return wait }))
@@ -221,10 +225,10 @@
 	})
 }
 
-// TestHurryLeavesAnAnswerThatComesIn holds that what is being received is not asked for
-// again when others tell of it.
+// TestHurryLeavesAnAnswerThatComesIn checks that Hurry does not make the follower
+// request an answer again that is being received.
 func TestHurryLeavesAnAnswerThatComesIn(t *testing.T) {
-	over(t, 10*time.Second, func(t *testing.T, store *linkStore, following *follower.Follower[uint64, uint64]) {
+	withLinkStore(t, 10*time.Second, func(t *testing.T, store *linkStore, following *follower.Follower[uint64, uint64]) {
 		time.Sleep(5 * time.Second)
 		before, _ := store.counts()
 		store.write()
@@ -236,14 +240,14 @@
 		synctest.Wait()
 		assert.Equal(t, store.behind(), uint64(0), "1 MB takes 0.84 s")
 		calls, _ := store.counts()
-		assert.Equal(t, calls, before+1, "the next watch alone was asked")
+		assert.Equal(t, calls, before+1, "the next watch is to be the only call")
 	})
 }
 
-// TestSlowProcessorAsksOnce holds that an answer which is being read is not asked for
-// again, however long that takes.
+// TestSlowProcessorAsksOnce checks that an answer which is being decoded is not
+// requested again, however long decoding takes.
 func TestSlowProcessorAsksOnce(t *testing.T) {
-	over(t, 10*time.Second, func(t *testing.T, store *linkStore, _ *follower.Follower[uint64, uint64]) {
+	withLinkStore(t, 10*time.Second, func(t *testing.T, store *linkStore, _ *follower.Follower[uint64, uint64]) {
 		time.Sleep(5 * time.Second)
 		store.mutex.Lock()
 		store.reading = 3 * time.Second
@@ -254,14 +258,14 @@
 		synctest.Wait()
 		assert.Equal(t, store.behind(), uint64(0))
 		calls, _ := store.counts()
-		assert.Equal(t, calls, before+1, "the next watch alone was asked")
+		assert.Equal(t, calls, before+1, "the next watch is to be the only call")
 	})
 }
 
-// TestQuietStoreIsAskedAsOftenAsItsWatchesEnd holds that no watch is taken for unanswered
-// before its wait is over, however the answer before it came.
+// TestQuietStoreIsAskedAsOftenAsItsWatchesEnd checks that no watch counts as unanswered
+// before its wait is over, however the previous answer came.
 func TestQuietStoreIsAskedAsOftenAsItsWatchesEnd(t *testing.T) {
-	over(t, 10*time.Second, func(t *testing.T, store *linkStore, following *follower.Follower[uint64, uint64]) {
+	withLinkStore(t, 10*time.Second, func(t *testing.T, store *linkStore, following *follower.Follower[uint64, uint64]) {
 		for range 3 {
 			store.write()
 			time.Sleep(25 * time.Second)
@@ -274,17 +278,17 @@
 	})
 }
 
-// TestSilentStore holds how many calls a store that answers nothing gets, and how soon a
-// node finds out that it answers again.
+// TestSilentStore checks how many calls a store that answers nothing gets, and how soon
+// a node detects that it answers again.
 func TestSilentStore(t *testing.T) {
-	over(t, follower.DefaultWait, func(t *testing.T, store *linkStore, following *follower.Follower[uint64, uint64]) {
+	withLinkStore(t, follower.DefaultWait, func(t *testing.T, store *linkStore, following *follower.Follower[uint64, uint64]) {
 		time.Sleep(5 * time.Second)
 		store.set(0, true)
 		before, _ := store.counts()
 		time.Sleep(time.Minute)
 		assert.Assert(t, !following.Healthy())
 		calls, most := store.counts()
-		assert.Assert(t, most <= 4, "%d calls under way", most)
+		assert.Assert(t, most <= 4, "%d open calls", most)
 		assert.Assert(t, calls-before <= 70, "%d calls in a minute", calls-before)
 		store.write()
 		store.set(0, false)
@@ -295,12 +299,12 @@
 	})
 }
 
-// TestSlowAnswersAreTakenHoweverSlow holds that no time is too long for an answer of a
-// store that answers at all, within its history.
+// TestSlowAnswersAreTakenHoweverSlow checks that an answer is used however slow it is,
+// as long as it comes within the store's history.
 func TestSlowAnswersAreTakenHoweverSlow(t *testing.T) {
 	for _, delay := range []time.Duration{time.Second, 3 * time.Second, 8 * time.Second, 15 * time.Second} {
 		t.Run(delay.String(), func(t *testing.T) {
-			over(t, follower.DefaultWait, func(t *testing.T, store *linkStore, _ *follower.Follower[uint64, uint64]) {
+			withLinkStore(t, follower.DefaultWait, func(t *testing.T, store *linkStore, _ *follower.Follower[uint64, uint64]) {
 				time.Sleep(5 * time.Second)
 				store.set(delay, false)
 				time.Sleep(10 * time.Second)
@@ -313,10 +317,10 @@
 	}
 }
 
-// TestStormOfLargeChanges holds that a node on a thin link is not ever further behind
-// while changes come faster than it receives them.
+// TestStormOfLargeChanges checks that a node behind a slow link does not fall further
+// and further behind while changes come faster than it can receive them.
 func TestStormOfLargeChanges(t *testing.T) {
-	over(t, follower.DefaultWait, func(t *testing.T, store *linkStore, following *follower.Follower[uint64, uint64]) {
+	withLinkStore(t, follower.DefaultWait, func(t *testing.T, store *linkStore, following *follower.Follower[uint64, uint64]) {
 		time.Sleep(5 * time.Second)
 		for range 12 {
 			store.write()
@@ -329,12 +333,12 @@
 	})
 }
 
-// TestCatchesUpAfterAnyTrouble plays troubles in random order, overlapping changes and
-// words of peers: 4 s after the store is well the newest version is in force, whatever
-// came before, and never were more than 4 calls under way.
+// TestCatchesUpAfterAnyTrouble applies delays, outages, changes and calls of Hurry in
+// random, overlapping order. Whatever came before, the newest version is in force 4 s
+// after the store has recovered, and no more than 4 calls were ever open.
 func TestCatchesUpAfterAnyTrouble(t *testing.T) {
 	for seed := range uint64(60) {
-		over(t, follower.DefaultWait, func(t *testing.T, store *linkStore, following *follower.Follower[uint64, uint64]) {
+		withLinkStore(t, follower.DefaultWait, func(t *testing.T, store *linkStore, following *follower.Follower[uint64, uint64]) {
 			random := rand.New(rand.NewPCG(seed, 1))
 			for range 30 {
 				switch random.IntN(5) {
@@ -356,7 +360,7 @@
 			synctest.Wait()
 			assert.Equal(t, store.behind(), uint64(0), "seed %d", seed)
 			_, most := store.counts()
-			assert.Assert(t, most <= 4, "seed %d: %d calls under way", seed, most)
+			assert.Assert(t, most <= 4, "seed %d: %d open calls", seed, most)
 		})
 	}
 }
--- a/follower/option.go
+++ b/follower/option.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// Option changes one setting of a Follower.
+// Option configures a Follower.
 type Option[Entry, Change any] func(*Follower[Entry, Change])
 
-// WithClock sets the clock and how to wait; the system's without it.
+// WithClock sets the clock and the function that pauses. The default is the system
+// clock.
 func WithClock[Entry, Change any](now func() time.Time, pause func(context.Context, time.Duration)) Option[Entry, Change] {
 	return func(follower *Follower[Entry, Change]) {
 		follower.now, follower.pause = now, pause
@@ -16,42 +17,45 @@
 	}
 }
 
-// WithWait sets how long each watch waits for a change; DefaultWait without it.
+// WithWait sets how long each watch waits for a change. The default is DefaultWait.
 func WithWait[Entry, Change any](wait func() time.Duration) Option[Entry, Change] {
 	return func(follower *Follower[Entry, Change]) { follower.wait = wait }
 }
 
-// WithGather sets how long to wait behind changes before the next watch, so that
-// those that come in a row come together: each call is billed. Changes are late by
-// as much; without it there is no such wait.
-func WithGather[Entry, Change any](gather time.Duration) Option[Entry, Change] {
-	return func(follower *Follower[Entry, Change]) { follower.gather = gather }
+// WithGather sets the pause between an answer with changes and the next watch, so that
+// one call returns a series of changes: each call is billed. Changes may be late by the
+// pause. By default there is none.
+func WithGather[Entry, Change any](gatherPause time.Duration) Option[Entry, Change] {
+	return func(follower *Follower[Entry, Change]) { follower.gatherPause = gatherPause }
 }
 
-// WithDuty sets when the store is to be asked; always without it.
+// WithDuty sets the Duty that tells whether this node polls the store. By default it
+// always does.
 func WithDuty[Entry, Change any](duty *Duty) Option[Entry, Change] {
 	return func(follower *Follower[Entry, Change]) { follower.duty = duty }
 }
 
-// WithPosition sets what tells up to where the sink knows all by other ways, so that a
-// watch goes on from there.
+// WithPosition sets the function that returns the revision that the sink is up to date
+// with by other means, 0 if unknown; a node that comes on duty watches from that
+// revision on. By default it is unknown.
 func WithPosition[Entry, Change any](position func() uint64) Option[Entry, Change] {
 	return func(follower *Follower[Entry, Change]) { follower.position = position }
 }
 
-// WithWanted sets what tells, while the store is not to be asked, that there is something
-// newer than what the sink holds; Look has it looked for.
-func WithWanted[Entry, Change any](wanted func() bool) Option[Entry, Change] {
-	return func(follower *Follower[Entry, Change]) { follower.wanted = wanted }
+// WithWanted sets the function that reports, while the node is off duty, whether there
+// is a newer version than the sink holds. Duty.Look starts the lookup of that version.
+func WithWanted[Entry, Change any](newerKnown func() bool) Option[Entry, Change] {
+	return func(follower *Follower[Entry, Change]) { follower.newerKnown = newerKnown }
 }
 
-// WithLongestPause sets the bound of the pause behind failures, which doubles;
-// maxBackoff without it.
-func WithLongestPause[Entry, Change any](longest func() time.Duration) Option[Entry, Change] {
-	return func(follower *Follower[Entry, Change]) { follower.longest = longest }
+// WithLongestPause sets the bound of the pause after failures, which doubles. The
+// default is maxBackoff.
+func WithLongestPause[Entry, Change any](maxPause func() time.Duration) Option[Entry, Change] {
+	return func(follower *Follower[Entry, Change]) { follower.maxPause = maxPause }
 }
 
-// WithReports sets what is told when the store is lost and regained.
-func WithReports[Entry, Change any](away func(outage Outage), back func(after time.Duration)) Option[Entry, Change] {
-	return func(follower *Follower[Entry, Change]) { follower.away, follower.back = away, back }
+// WithReports sets the functions that are called when the store fails, and when it
+// answers again after the given time.
+func WithReports[Entry, Change any](onOutage func(outage Outage), onRecovery func(after time.Duration)) Option[Entry, Change] {
+	return func(follower *Follower[Entry, Change]) { follower.onOutage, follower.onRecovery = onOutage, onRecovery }
 }
--- a/follower/outage.go
+++ b/follower/outage.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Outage is a time in which the store did not answer a feed's calls, as far as it has
-// come. It is told at the first failure and whenever the number of failures has
-// doubled: that it goes on stands in the log, in a few lines however long it lasts.
+// Outage describes a period of failing calls to the store, up to now. It is reported at
+// the first failure and whenever the number of failures has doubled, so that the log
+// shows a lasting outage in a few lines.
 type Outage struct {
-	// Cause is the last failure's.
+	// Cause is the error of the last failure.
 	Cause error
-	// Failures counts the calls in a row that failed. It is 0 when the store answered
-	// that its history no longer reaches back.
+	// Failures counts the consecutive failed calls. It is 0 when the store answered that
+	// it cannot return the changes since the watch's revision (Gone or TooLarge).
 	Failures int
-	// Lasted is the time since the first of them failed.
+	// Lasted is the time since the first of the failures.
 	Lasted time.Duration
 }
 
--- a/follower/reason.go
+++ b/follower/reason.go
@@ -5,33 +5,34 @@
 	"errors"
 )
 
-// Reason is why the store is asked. Each call is billed, so that what a deployment pays
-// for is told apart.
+// Reason is why a call to the store is made. Each call is billed, so calls are counted
+// by reason.
 type Reason string
 
 const (
-	// Starting marks a list for a node that knows nothing yet.
+	// Starting marks a list by a node that holds nothing yet.
 	Starting Reason = "starting"
-	// Standing marks a watch behind one that ended without a change.
+	// Standing marks a watch that follows one without a change.
 	Standing Reason = "standing"
-	// Changed marks a watch behind one that ended with changes.
+	// Changed marks a watch that follows an answer with changes, or a list.
 	Changed Reason = "changed"
-	// CatchingUp marks a list in place of a watch that the store could not answer, or not
-	// in fewer bytes.
+	// CatchingUp marks a list in place of a watch that the store could not answer, or
+	// not in fewer bytes than a list.
 	CatchingUp Reason = "catchingUp"
-	// Hurried marks a watch that is answered at once: in place of one that was ended early,
-	// since something else told of a change or raised doubts about the store, or when this
+	// Hurried marks a watch with a short wait: after one that was ended early, because
+	// another source reported a change or raised doubts about the store, or when this
 	// node takes over from another.
 	Hurried Reason = "hurried"
-	// Told marks a list, which may be seconds old, for a version that a peer told of.
+	// Told marks a list, possibly seconds old, for a version that a peer reported.
 	Told Reason = "told"
-	// Retrying marks a call behind one that failed, or of which nothing comes.
+	// Retrying marks a call after one that failed or of whose answer no byte arrived in
+	// time.
 	Retrying Reason = "retrying"
-	// Announcing marks the writing or removing of the node's own entry.
+	// Announcing marks a call that writes or removes the node's own entry.
 	Announcing Reason = "announcing"
-	// Acting marks a call of a duty that is one node's at a time.
+	// Acting marks a call for a duty that one node at a time holds.
 	Acting Reason = "acting"
-	// Unstated marks a call of whoever gives no reason.
+	// Unstated marks a call whose context has no reason.
 	Unstated Reason = "unstated"
 )
 
@@ -41,19 +42,20 @@
 const (
 	// Answered marks a call that was answered as asked.
 	Answered Outcome = "answered"
-	// Ended marks a call that this node ended before its answer.
+	// Ended marks a call that this node cancelled before its answer.
 	Ended Outcome = "ended"
 )
 
-// Call is one call to the store that is over.
+// Call is a finished call to the store.
 type Call struct {
-	// Feed is what was asked for, in this product's words.
+	// Feed names what was asked for, in the terms of this project.
 	Feed    string
 	Reason  Reason
 	Outcome Outcome
 }
 
-// OutcomeOf returns how a call with the context ended that returned the error.
+// OutcomeOf returns the outcome of a call that was made with the context and returned
+// err. An error that is not an Error counts as Lost.
 func OutcomeOf(ctx context.Context, err error) Outcome {
 	var failure *Error
 	switch {
@@ -69,21 +71,22 @@
 
 type staleKey struct{}
 
-// WithStale returns a context whose lists may be answered seconds old, at a tenth of the
-// price.
+// WithStale returns a context whose lists may be answered with data that is seconds old,
+// at a tenth of the price.
 func WithStale(ctx context.Context) context.Context { return context.WithValue(ctx, staleKey{}, true) }
 
-// IsStale tells whether lists with the context may be answered seconds old.
+// IsStale reports whether lists with the context may be answered with data that is
+// seconds old.
 func IsStale(ctx context.Context) bool { return ctx.Value(staleKey{}) != nil }
 
 type reasonKey struct{}
 
-// WithReason returns a context whose calls to the store are made for the reason.
+// WithReason returns a context whose calls to the store carry the reason.
 func WithReason(ctx context.Context, reason Reason) context.Context {
 	return context.WithValue(ctx, reasonKey{}, reason)
 }
 
-// ReasonOf returns why calls with the context are made.
+// ReasonOf returns the reason of calls with the context, Unstated if there is none.
 func ReasonOf(ctx context.Context) Reason {
 	if reason, ok := ctx.Value(reasonKey{}).(Reason); ok {
 		return reason
