--- a/watcher/caller.go
+++ b/watcher/caller.go
@@ -8,32 +8,34 @@
 	"limpetcleat/storer"
 )
 
-// Call queues one of the core's calls; PlatformAnswered is delivered later,
-// unless the watcher ends first.
+// Call queues a call to the platform and returns at once. The result is delivered
+// later as a PlatformAnswered event, unless the watcher ends first.
 func (watcher *Watcher) Call(call decider.CallPlatform) { watcher.queue.put(call) }
 
-// work carries out queued calls until the context ends.
-func (watcher *Watcher) work(ctx context.Context) error {
+// runWorker executes queued calls until the context ends; it always returns nil. A
+// call that waited longer than maxQueueTime is answered without being sent.
+func (watcher *Watcher) runWorker(ctx context.Context) error {
 	for {
 		next, err := watcher.queue.take(ctx)
 		if err != nil {
 			return nil
 		}
-		if time.Since(next.since) > callPatience {
-			watcher.deliver(decider.PlatformAnswered{Call: next.call.Call, Result: unsent(next.call)})
+		if time.Since(next.queuedAt) > maxQueueTime {
+			watcher.deliver(decider.PlatformAnswered{Call: next.call.Call, Result: noEffectResult(next.call)})
 			continue
 		}
-		object, err := watcher.carry(ctx, next.call)
+		object, err := watcher.execute(ctx, next.call)
 		watcher.deliver(decider.PlatformAnswered{
 			Call:    next.call.Call,
-			Result:  result(next.call, err),
+			Result:  resultOf(next.call, err),
 			Version: object.Version,
 			Value:   object.Value,
 		})
 	}
 }
 
-func (watcher *Watcher) carry(ctx context.Context, call decider.CallPlatform) (storer.Object, error) {
+// execute sends the call to the platform and returns the object in the response.
+func (watcher *Watcher) execute(ctx context.Context, call decider.CallPlatform) (storer.Object, error) {
 	switch call.Verb {
 	case decider.CreateObject:
 		return watcher.platform.Create(ctx, call.Kind, call.Name, call.Value)
@@ -46,9 +48,10 @@
 	}
 }
 
-// result tells the core what became of a call. A read has no effect that could
-// be in doubt, so that any failure of one is Lost.
-func result(call decider.CallPlatform, err error) decider.PlatformResult {
+// resultOf returns the result of a call that ended with err. A failed read is Lost
+// whatever the error, unless the object is missing: a read has no effect, so the
+// difference between Rejected and Lost does not apply to it.
+func resultOf(call decider.CallPlatform, err error) decider.PlatformResult {
 	if err == nil {
 		return decider.Done
 	}
@@ -58,14 +61,15 @@
 	case storer.Conflict:
 		return decider.Conflict
 	case storer.Rejected, storer.Refused:
-		return unsent(call)
+		return noEffectResult(call)
 	default:
 		return decider.Lost
 	}
 }
 
-// unsent is the result of a call that had no effect.
-func unsent(call decider.CallPlatform) decider.PlatformResult {
+// noEffectResult returns the result of a failed call that had no effect on the
+// platform: Rejected for a write, Lost for a read.
+func noEffectResult(call decider.CallPlatform) decider.PlatformResult {
 	if call.Verb == decider.ReadObject {
 		return decider.Lost
 	}
--- a/watcher/configuration.go
+++ b/watcher/configuration.go
@@ -12,21 +12,22 @@
 	"limpetcleat/storer"
 )
 
-// configurationWatch is one time of holding the watch on the configuration.
+// configurationWatch is the state of watching the configuration, from the time this
+// node is given the watch to the time it is taken away.
 type configurationWatch struct {
 	*Watcher
-	// listed is set once the head has been read and all changes up to revision
-	// are known.
+	// listed reports whether the head has been listed, so that all changes up to
+	// revision are known and watching can continue from there.
 	listed   bool
 	revision uint64
-	// contents holds the sections of the last head that was delivered, and what
-	// has been read of the next, by hash.
+	// contents holds, by hash, the sections of the last head that was delivered and
+	// those already read of the next head.
 	contents map[string][]byte
 	backoff  backoff
 }
 
-// watchConfiguration delivers each head of the configuration until the context
-// ends.
+// watchConfiguration delivers each new head of the configuration, with its sections,
+// until the context ends.
 func (watcher *Watcher) watchConfiguration(ctx context.Context) {
 	watch := &configurationWatch{Watcher: watcher, contents: make(map[string][]byte)}
 	for ctx.Err() == nil {
@@ -34,27 +35,29 @@
 		if ctx.Err() != nil {
 			return
 		}
-		watcher.settle(ctx, &watch.backoff, "configuration", err)
+		watcher.handleResult(ctx, &watch.backoff, "configuration", err)
 	}
 }
 
-// settle logs the beginning and the end of an outage and waits after a failure.
-func (watcher *Watcher) settle(ctx context.Context, backoff *backoff, what string, err error) {
+// handleResult logs the beginning and the end of an outage, and waits after a failure
+// for the time that backoff gives. The argument what names the poll in the log.
+func (watcher *Watcher) handleResult(ctx context.Context, backoff *backoff, what string, err error) {
 	switch {
-	case err == nil && backoff.away:
+	case err == nil && backoff.failing:
 		watcher.log(logger.EventPlatformBack, "poll", what)
 		fallthrough
 	case err == nil:
-		backoff.away, backoff.wait = false, 0
+		backoff.failing, backoff.wait = false, 0
 		return
-	case !backoff.away:
-		backoff.away = true
+	case !backoff.failing:
+		backoff.failing = true
 		watcher.log(logger.EventPlatformAway, "poll", what, "cause", err)
 	}
-	_ = watcher.pause(ctx, backoff.next(err)) // The caller sees the context end.
+	_ = watcher.pause(ctx, backoff.next(err)) // The caller checks the context.
 }
 
-// step reads the head anew or waits for its next change.
+// step lists the head, or waits for its next change if it has been listed. If the
+// platform's history no longer covers the revision, the next step lists again.
 func (watch *configurationWatch) step(ctx context.Context) error {
 	var items storer.Items
 	var err error
@@ -71,16 +74,16 @@
 	if err != nil {
 		return err
 	}
-	if err := watch.take(ctx, items.Items); err != nil {
+	if err := watch.deliverLatest(ctx, items.Items); err != nil {
 		return err
 	}
 	watch.listed, watch.revision = true, items.Revision
 	return nil
 }
 
-// take delivers the last head among the items. An unusable one is logged and
-// passed over, since only an operator can mend it.
-func (watch *configurationWatch) take(ctx context.Context, items []storer.Object) error {
+// deliverLatest delivers the latest head among the items. A head that cannot be parsed
+// is logged and skipped, since only an operator can repair it.
+func (watch *configurationWatch) deliverLatest(ctx context.Context, items []storer.Object) error {
 	var latest *storer.Object
 	for index := range items {
 		if items[index].Name == sectioner.HeadName && !items[index].Deleted {
@@ -95,18 +98,19 @@
 		watch.log(logger.EventHeadUnusable, "version", latest.Version, "cause", err)
 		return nil
 	}
-	return watch.fetch(ctx, head)
+	return watch.deliverHead(ctx, head)
 }
 
-// fetch reads the sections that the last head did not have and delivers all.
-func (watch *configurationWatch) fetch(ctx context.Context, head *sectioner.Head) error {
+// deliverHead reads the sections that are not yet in contents and delivers the head
+// with all of its sections.
+func (watch *configurationWatch) deliverHead(ctx context.Context, head *sectioner.Head) error {
 	contents := make(map[string][]byte, len(head.Sections))
 	event := decider.ConfigurationFound{Head: decider.Head{Version: head.Version, Sections: head.Sums()}}
 	for _, entry := range head.Sections {
 		data, ok := watch.contents[entry.Hash]
 		if !ok {
 			var err error
-			if data, err = watch.section(ctx, entry); err != nil {
+			if data, err = watch.readSection(ctx, entry); err != nil {
 				return err
 			}
 			watch.contents[entry.Hash] = data
@@ -119,9 +123,10 @@
 	return nil
 }
 
-// section reads one section. One that is missing or altered is logged and tried
-// again, since the platform may be behind; the core never sees it.
-func (watch *configurationWatch) section(ctx context.Context, entry sectioner.Entry) ([]byte, error) {
+// readSection reads a section and checks it against its hash. A section that is missing
+// or does not match is logged and returned as an error, so that the caller tries again:
+// the platform's data may lag. The head is not delivered until all sections match.
+func (watch *configurationWatch) readSection(ctx context.Context, entry sectioner.Entry) ([]byte, error) {
 	object, err := watch.platform.Read(ctx, sectioner.SectionKind, entry.Hash)
 	if err != nil && storer.KindOf(err) != storer.Missing {
 		return nil, err
@@ -131,7 +136,7 @@
 		err = json.Compact(&data, object.Value)
 	}
 	if err != nil || sectioner.Hash(data.Bytes()) != entry.Hash {
-		err = fail("section", Unusable, "section %s is missing or altered", entry.Name)
+		err = fail("section", Unusable, "section %s is missing or does not match its hash", entry.Name)
 		watch.log(logger.EventHeadUnusable, "section", entry.Name, "cause", err)
 		return nil, err
 	}
--- a/watcher/holder.go
+++ b/watcher/holder.go
@@ -5,12 +5,12 @@
 	"sync"
 )
 
-// holder keeps whether this node holds the watch, and tells of changes.
+// holder records whether this node holds the watch and signals changes.
 type holder struct {
-	// mu guards all below; no other lock is taken under it.
+	// mu guards the fields below; no other lock is acquired while it is held.
 	mu   sync.Mutex
 	held bool
-	// changed is closed and replaced with each change of held.
+	// changed is closed and replaced whenever held changes.
 	changed chan struct{}
 }
 
@@ -27,19 +27,21 @@
 	holder.changed = make(chan struct{})
 }
 
+// state returns whether the watch is held, and a channel that is closed when this
+// changes.
 func (holder *holder) state() (bool, <-chan struct{}) {
 	holder.mu.Lock()
 	defer holder.mu.Unlock()
 	return holder.held, holder.changed
 }
 
-// wait returns, once the watch is held, a context that ends when it no longer
-// is. The error is that of the given context.
+// wait blocks until the watch is held and returns a context that is cancelled when it
+// no longer is. The error is the error of ctx.
 func (holder *holder) wait(ctx context.Context) (context.Context, context.CancelFunc, error) {
 	for {
 		held, changed := holder.state()
 		if held {
-			return until(ctx, changed)
+			return cancelOnClose(ctx, changed)
 		}
 		select {
 		case <-changed:
@@ -49,9 +51,10 @@
 	}
 }
 
-// until returns a context that ends with the channel or with its parent. The
-// returned function must be called; it waits for nothing.
-func until(ctx context.Context, changed <-chan struct{}) (context.Context, context.CancelFunc, error) {
+// cancelOnClose returns a child of ctx that is also cancelled when the channel is
+// closed. The caller must call the returned function, which does not block, to release
+// the goroutine. The error is always nil.
+func cancelOnClose(ctx context.Context, changed <-chan struct{}) (context.Context, context.CancelFunc, error) {
 	child, cancel := context.WithCancel(ctx)
 	go func() {
 		select {
--- a/watcher/poller.go
+++ b/watcher/poller.go
@@ -14,7 +14,8 @@
 	leavingState = "leaving"
 )
 
-// pollVMs delivers the list of VMs whenever it changed, until the context ends.
+// pollVMs polls the list of VMs until the context ends and delivers it first and then
+// whenever it has changed. The interval is random between pollInterval and twice that.
 func (watcher *Watcher) pollVMs(ctx context.Context) {
 	var known []decider.ListedVM
 	var backoff backoff
@@ -23,19 +24,19 @@
 		if ctx.Err() != nil {
 			return
 		}
-		watcher.settle(ctx, &backoff, "vms", err)
+		watcher.handleResult(ctx, &backoff, "vms", err)
 		if err != nil {
 			continue
 		}
-		if vms := convert(listed.VMs); known == nil || !slices.Equal(vms, known) {
+		if vms := toListedVMs(listed.VMs); known == nil || !slices.Equal(vms, known) {
 			known = vms
 			watcher.deliver(decider.VMsListed{VMs: vms})
 		}
-		_ = watcher.pause(ctx, jitter(2*watcher.poll)) // The loop sees the context end.
+		_ = watcher.pause(ctx, jitter(2*watcher.pollInterval)) // The loop checks the context.
 	}
 }
 
-func convert(vms []storer.VM) []decider.ListedVM {
+func toListedVMs(vms []storer.VM) []decider.ListedVM {
 	listed := make([]decider.ListedVM, 0, len(vms))
 	for _, vm := range vms {
 		listed = append(listed, decider.ListedVM{
--- a/watcher/queue.go
+++ b/watcher/queue.go
@@ -8,45 +8,47 @@
 	"limpetcleat/decider"
 )
 
-// waiting is one of the core's calls that no worker has taken yet.
-type waiting struct {
-	call  decider.CallPlatform
-	since time.Time
+// queuedCall is a call that no worker has taken yet.
+type queuedCall struct {
+	call     decider.CallPlatform
+	queuedAt time.Time
 }
 
-// queue holds calls in order for the workers. Its length is bounded by the
-// workers, which turn away what waited too long without a call being made.
+// queue is a first-in, first-out queue of calls for the workers. It has no limit of its
+// own: the workers keep it short by answering calls that waited longer than
+// maxQueueTime without sending them.
 type queue struct {
-	// mu guards calls; no other lock is taken under it.
+	// mu guards calls; no other lock is acquired while it is held.
 	mu    sync.Mutex
-	calls []waiting
-	// filled has an element whenever calls may not be empty.
-	filled chan struct{}
+	calls []queuedCall
+	// ready holds an element whenever calls may be non-empty.
+	ready chan struct{}
 }
 
-func newQueue() *queue { return &queue{filled: make(chan struct{}, 1)} }
+func newQueue() *queue { return &queue{ready: make(chan struct{}, 1)} }
 
 func (queue *queue) put(call decider.CallPlatform) {
 	queue.mu.Lock()
-	queue.calls = append(queue.calls, waiting{call: call, since: time.Now()})
+	queue.calls = append(queue.calls, queuedCall{call: call, queuedAt: time.Now()})
 	queue.mu.Unlock()
 	queue.signal()
 }
 
+// signal wakes one worker; it does not block.
 func (queue *queue) signal() {
 	select {
-	case queue.filled <- struct{}{}:
+	case queue.ready <- struct{}{}:
 	default:
 	}
 }
 
-// take waits for the next call. The error is that of the context.
-func (queue *queue) take(ctx context.Context) (waiting, error) {
+// take waits for the next call and removes it. The error is the error of ctx.
+func (queue *queue) take(ctx context.Context) (queuedCall, error) {
 	for {
 		select {
-		case <-queue.filled:
+		case <-queue.ready:
 		case <-ctx.Done():
-			return waiting{}, ctx.Err()
+			return queuedCall{}, ctx.Err()
 		}
 		if next, ok := queue.pop(); ok {
 			return next, nil
@@ -54,11 +56,12 @@
 	}
 }
 
-func (queue *queue) pop() (waiting, bool) {
+// pop removes the first call, if there is one, and signals again if more are left.
+func (queue *queue) pop() (queuedCall, bool) {
 	queue.mu.Lock()
 	defer queue.mu.Unlock()
 	if len(queue.calls) == 0 {
-		return waiting{}, false
+		return queuedCall{}, false
 	}
 	next := queue.calls[0]
 	queue.calls = queue.calls[1:]
--- a/watcher/watcher.go
+++ b/watcher/watcher.go
@@ -1,6 +1,7 @@
-// Package watcher is a node's side towards the platform: it carries out the
-// core's calls, watches the configuration and polls the list of VMs. An outage
-// of the platform is waited out and never ends anything.
+// Package watcher connects a node to the platform's object API: it executes the calls
+// of the decider, watches the configuration and polls the list of VMs, and delivers the
+// results as events. During an outage of the platform it retries with exponential
+// backoff; no outage stops it.
 package watcher
 
 import (
@@ -16,16 +17,17 @@
 )
 
 const (
-	defaultWorkers   = 8
-	defaultWatchWait = 20 * time.Second
-	defaultPoll      = time.Second
-	firstBackoff     = 200 * time.Millisecond
-	maxBackoff       = 5 * time.Second
-	// callPatience bounds the time a call waits for a worker.
-	callPatience = 2 * time.Second
+	defaultWorkers      = 8
+	defaultWatchWait    = 20 * time.Second
+	defaultPollInterval = time.Second
+	firstBackoff        = 200 * time.Millisecond
+	maxBackoff          = 5 * time.Second
+	// maxQueueTime is the longest time that a call may wait for a worker; a call that
+	// waited longer is not sent.
+	maxQueueTime = 2 * time.Second
 )
 
-// Platform is what the watcher needs of the platform's object API.
+// Platform is the part of the platform's object API that a Watcher uses.
 type Platform interface {
 	Read(ctx context.Context, kind, name string) (storer.Object, error)
 	List(ctx context.Context, kind string) (storer.Items, error)
@@ -37,53 +39,56 @@
 	Close()
 }
 
-// Watcher is a node's side towards the platform. It owns its workers and its
-// done channel.
+// Watcher executes calls to the platform, watches the configuration and polls the list
+// of VMs. It owns its workers and its done channel. Call and Hold are safe for
+// concurrent use.
 type Watcher struct {
-	platform  Platform
-	deliver   func(decider.Event)
-	log       func(number int, pairs ...any)
-	pause     func(ctx context.Context, wait time.Duration) error
-	workers   int
-	watchWait time.Duration
-	poll      time.Duration
-	queue     *queue
-	holder    *holder
-	done      chan struct{}
+	platform     Platform
+	deliver      func(decider.Event)
+	log          func(number int, pairs ...any)
+	pause        func(ctx context.Context, wait time.Duration) error
+	workers      int
+	watchWait    time.Duration
+	pollInterval time.Duration
+	queue        *queue
+	holder       *holder
+	done         chan struct{}
 }
 
 // Option changes one setting of a Watcher.
 type Option func(*Watcher)
 
-// WithPlatform sets the client; the default is a storer.Storer.
+// WithPlatform sets the client of the platform; the default is a storer.Storer.
 func WithPlatform(platform Platform) Option {
 	return func(watcher *Watcher) { watcher.platform = platform }
 }
 
-// WithLog sets where numbered events go; the default drops them.
+// WithLog sets the function that logs numbered events; the default discards them.
 func WithLog(log func(number int, pairs ...any)) Option {
 	return func(watcher *Watcher) { watcher.log = log }
 }
 
-// WithPause sets how the watcher waits; the default is the system's clock.
+// WithPause sets the function that waits between attempts and polls; the default is
+// timer.Sleep.
 func WithPause(pause func(ctx context.Context, wait time.Duration) error) Option {
 	return func(watcher *Watcher) { watcher.pause = pause }
 }
 
-// New returns a watcher of the platform at the addresses. It hands events to
-// deliver, which must be safe for concurrent use.
+// New returns a Watcher of the platform at the addresses, which sends the token as a
+// bearer token unless it is empty. It passes events to deliver, which must be safe for
+// concurrent use.
 func New(addresses []string, token string, deliver func(decider.Event), options ...Option) *Watcher {
 	watcher := &Watcher{
-		platform:  storer.New(addresses, token),
-		deliver:   deliver,
-		log:       func(int, ...any) {},
-		pause:     timer.Sleep,
-		workers:   defaultWorkers,
-		watchWait: defaultWatchWait,
-		poll:      defaultPoll,
-		queue:     newQueue(),
-		holder:    newHolder(),
-		done:      make(chan struct{}),
+		platform:     storer.New(addresses, token),
+		deliver:      deliver,
+		log:          func(int, ...any) {},
+		pause:        timer.Sleep,
+		workers:      defaultWorkers,
+		watchWait:    defaultWatchWait,
+		pollInterval: defaultPollInterval,
+		queue:        newQueue(),
+		holder:       newHolder(),
+		done:         make(chan struct{}),
 	}
 	for _, option := range options {
 		option(watcher)
@@ -91,32 +96,34 @@
 	return watcher
 }
 
-// Start begins the watcher's work, which lasts until the context ends.
+// Start starts the workers, the watch and the poll, and returns at once. They run until
+// the context ends.
 func (watcher *Watcher) Start(ctx context.Context) {
 	workers := pool.New().WithContext(ctx)
 	for range watcher.workers {
-		workers.Go(watcher.work)
+		workers.Go(watcher.runWorker)
 	}
-	workers.Go(func(ctx context.Context) error { return watcher.whileHeld(ctx, watcher.watchConfiguration) })
-	workers.Go(func(ctx context.Context) error { return watcher.whileHeld(ctx, watcher.pollVMs) })
-	go watcher.finish(workers)
+	workers.Go(func(ctx context.Context) error { return watcher.runWhileHeld(ctx, watcher.watchConfiguration) })
+	workers.Go(func(ctx context.Context) error { return watcher.runWhileHeld(ctx, watcher.pollVMs) })
+	go watcher.waitAndClose(workers)
 }
 
-func (watcher *Watcher) finish(workers *pool.ContextPool) {
-	_ = workers.Wait() // The workers end only with the context.
+func (watcher *Watcher) waitAndClose(workers *pool.ContextPool) {
+	_ = workers.Wait() // The workers return no errors.
 	watcher.platform.Close()
 	close(watcher.done)
 }
 
-// Done is closed once all of the watcher's work has ended.
+// Done returns a channel that is closed once all goroutines of the watcher have ended.
 func (watcher *Watcher) Done() <-chan struct{} { return watcher.done }
 
-// Hold says whether this node holds the watch on the configuration and polls
-// the list of VMs.
+// Hold sets whether this node watches the configuration and polls the list of VMs; at
+// first it does neither.
 func (watcher *Watcher) Hold(hold bool) { watcher.holder.set(hold) }
 
-// whileHeld runs the loop whenever the watch is held.
-func (watcher *Watcher) whileHeld(ctx context.Context, loop func(context.Context)) error {
+// runWhileHeld runs the loop whenever the watch is held, until ctx ends. The context of
+// the loop ends when the watch is no longer held. The error is always nil.
+func (watcher *Watcher) runWhileHeld(ctx context.Context, loop func(context.Context)) error {
 	for ctx.Err() == nil {
 		held, cancel, err := watcher.holder.wait(ctx)
 		if err != nil {
@@ -128,19 +135,20 @@
 	return nil
 }
 
-// jitter returns a time between half and all of the given one.
+// jitter returns a random duration between half of wait and wait.
 func jitter(wait time.Duration) time.Duration {
 	return wait/2 + time.Duration(rand.Float64()*float64(wait/2))
 }
 
-// backoff grows with each failure in a row.
+// backoff is an exponential backoff between firstBackoff and maxBackoff.
 type backoff struct {
-	// away is set from the first failure to the next success.
-	away bool
-	wait time.Duration
+	// failing is set from the first failure to the next success.
+	failing bool
+	wait    time.Duration
 }
 
-// next returns how long to wait after a failure.
+// next returns how long to wait after a failure: the next backoff with jitter, or the
+// wait that the platform asked for if that is longer.
 func (backoff *backoff) next(err error) time.Duration {
 	backoff.wait = min(max(2*backoff.wait, firstBackoff), maxBackoff)
 	return max(jitter(backoff.wait), storer.RetryAfter(err))
--- a/watcher/watcher_test.go
+++ b/watcher/watcher_test.go
@@ -25,80 +25,81 @@
 	"limpetcleat/watcher"
 )
 
-const patience = 20 * time.Second
+const eventTimeout = 20 * time.Second
 
-// bench is one watcher at one stand-in of the platform.
-type bench struct {
+// fixture is a watcher connected to a stand-in of the platform.
+type fixture struct {
 	t       *testing.T
 	address string
-	store   *counting
+	store   *countingStore
 	events  chan decider.Event
 	logged  chan int
 	watcher *watcher.Watcher
 	waits   chan time.Duration
 }
 
-// closing is a stand-in of the platform whose hanging calls can be ended.
-type closing struct {
+// platformHandler serves a stand-in of the platform; closing the platform ends calls
+// that hang.
+type platformHandler struct {
 	http.Handler
 	platform *platform.Platform
 }
 
-func newPlatform(options ...platform.Option) *closing {
+func newPlatform(options ...platform.Option) *platformHandler {
 	platform := platform.New(options...)
-	return &closing{Handler: platform.Handler(), platform: platform}
+	return &platformHandler{Handler: platform.Handler(), platform: platform}
 }
 
-// counting counts the sections that are read.
-type counting struct {
+// countingStore is a client of the platform that counts the sections read.
+type countingStore struct {
 	*storer.Storer
 	sections atomic.Int64
 }
 
-func (counting *counting) Read(ctx context.Context, kind, name string) (storer.Object, error) {
+func (countingStore *countingStore) Read(ctx context.Context, kind, name string) (storer.Object, error) {
 	if kind == sectioner.SectionKind {
-		counting.sections.Add(1)
+		countingStore.sections.Add(1)
 	}
-	return counting.Storer.Read(ctx, kind, name)
+	return countingStore.Storer.Read(ctx, kind, name)
 }
 
-func start(t *testing.T, handler http.Handler, options ...watcher.Option) *bench {
+func start(t *testing.T, handler http.Handler, options ...watcher.Option) *fixture {
 	earlier := goleak.IgnoreCurrent()
 	server := httptest.NewServer(handler)
 	address := strings.TrimPrefix(server.URL, "http://")
-	bench := &bench{
+	fixture := &fixture{
 		t:       t,
 		address: address,
-		store:   &counting{Storer: storer.New([]string{address}, "", storer.WithTimeout(300*time.Millisecond))},
+		store:   &countingStore{Storer: storer.New([]string{address}, "", storer.WithTimeout(300*time.Millisecond))},
 		events:  make(chan decider.Event, 1000),
 		logged:  make(chan int, 1000),
 		waits:   make(chan time.Duration, 100_000),
 	}
 	options = append([]watcher.Option{
-		watcher.WithPlatform(bench.store),
-		watcher.WithLog(func(number int, _ ...any) { bench.logged <- number }),
-		watcher.WithPause(bench.pause),
+		watcher.WithPlatform(fixture.store),
+		watcher.WithLog(func(number int, _ ...any) { fixture.logged <- number }),
+		watcher.WithPause(fixture.pause),
 	}, options...)
-	bench.watcher = watcher.New(nil, "", func(event decider.Event) { bench.events <- event }, options...)
+	fixture.watcher = watcher.New(nil, "", func(event decider.Event) { fixture.events <- event }, options...)
 	ctx, cancel := context.WithCancel(context.Background())
-	bench.watcher.Start(ctx)
+	fixture.watcher.Start(ctx)
 	t.Cleanup(func() {
 		cancel()
-		<-bench.watcher.Done()
-		if closer, ok := handler.(*closing); ok {
+		<-fixture.watcher.Done()
+		if closer, ok := handler.(*platformHandler); ok {
 			assert.NilError(t, closer.platform.Close())
 		}
 		server.CloseClientConnections()
 		server.Close()
 		goleak.VerifyNone(t, earlier)
 	})
-	return bench
+	return fixture
 }
 
-// pause records each wait and waits a little.
-func (bench *bench) pause(ctx context.Context, wait time.Duration) error {
+// pause records the requested wait and waits 1 ms instead.
+func (fixture *fixture) pause(ctx context.Context, wait time.Duration) error {
 	select {
-	case bench.waits <- wait:
+	case fixture.waits <- wait:
 	default:
 	}
 	select {
@@ -109,15 +110,15 @@
 	}
 }
 
-func (bench *bench) faults(body string) {
-	assert.NilError(bench.t, controller.New(bench.address).Faults(context.Background(), json.RawMessage(body)))
+func (fixture *fixture) faults(body string) {
+	assert.NilError(fixture.t, controller.New(fixture.address).Faults(context.Background(), json.RawMessage(body)))
 }
 
-func (bench *bench) edit(rules int) uint64 {
-	store := storer.New([]string{bench.address}, "")
+func (fixture *fixture) edit(rules int) uint64 {
+	store := storer.New([]string{fixture.address}, "")
 	defer store.Close()
 	version, err := editor.New(store, "maria").Edit(context.Background(), editor.Replace(0, "test", document(rules)))
-	assert.NilError(bench.t, err)
+	assert.NilError(fixture.t, err)
 	return version.Number()
 }
 
@@ -132,128 +133,142 @@
 	return document
 }
 
-// await returns the next event of a type.
-func await[Type decider.Event](bench *bench) Type {
-	bench.t.Helper()
-	deadline := time.After(patience)
+// await returns the next event of the type and discards events of other types before it.
+func await[Type decider.Event](fixture *fixture) Type {
+	fixture.t.Helper()
+	deadline := time.After(eventTimeout)
 	for {
 		select {
-		case event := <-bench.events:
+		case event := <-fixture.events:
 			if found, ok := event.(Type); ok {
 				return found
 			}
 		case <-deadline:
-			bench.t.Fatalf("no %T came", *new(Type))
+			fixture.t.Fatalf("no %T was delivered", *new(Type))
 		}
 	}
 }
 
-func (bench *bench) awaitLog(number int) {
-	bench.t.Helper()
-	deadline := time.After(patience)
+func (fixture *fixture) awaitLog(number int) {
+	fixture.t.Helper()
+	deadline := time.After(eventTimeout)
 	for {
 		select {
-		case logged := <-bench.logged:
+		case logged := <-fixture.logged:
 			if logged == number {
 				return
 			}
 		case <-deadline:
-			bench.t.Fatalf("event %d was not logged", number)
+			fixture.t.Fatalf("event %d was not logged", number)
 		}
 	}
 }
 
+// TestWorksThroughAnOutageAtStart checks that an outage that began before the watch is
+// logged, and that the configuration is delivered once it ends.
 func TestWorksThroughAnOutageAtStart(t *testing.T) {
-	bench := start(t, newPlatform())
-	bench.edit(1)
-	bench.faults(`{"outage":true}`)
-	bench.watcher.Hold(true)
-	bench.awaitLog(logger.EventPlatformAway)
-	bench.faults(`{"outage":false}`)
-	found := await[decider.ConfigurationFound](bench)
+	fixture := start(t, newPlatform())
+	fixture.edit(1)
+	fixture.faults(`{"outage":true}`)
+	fixture.watcher.Hold(true)
+	fixture.awaitLog(logger.EventPlatformAway)
+	fixture.faults(`{"outage":false}`)
+	found := await[decider.ConfigurationFound](fixture)
 	assert.Equal(t, found.Head.Version, uint64(1))
-	bench.awaitLog(logger.EventPlatformBack)
+	fixture.awaitLog(logger.EventPlatformBack)
 }
 
+// TestReadsOnlyNewSections checks that an edit of one section leads to the read of one
+// section, and that the sections delivered still make up the whole configuration.
 func TestReadsOnlyNewSections(t *testing.T) {
-	bench := start(t, newPlatform())
-	bench.watcher.Hold(true)
-	bench.edit(1)
-	first := await[decider.ConfigurationFound](bench)
-	before := bench.store.sections.Load()
+	fixture := start(t, newPlatform())
+	fixture.watcher.Hold(true)
+	fixture.edit(1)
+	first := await[decider.ConfigurationFound](fixture)
+	before := fixture.store.sections.Load()
 	assert.Equal(t, before, int64(len(first.Head.Sections)))
-	assert.Equal(t, bench.edit(2), uint64(2))
-	second := await[decider.ConfigurationFound](bench)
+	assert.Equal(t, fixture.edit(2), uint64(2))
+	second := await[decider.ConfigurationFound](fixture)
 	assert.Equal(t, second.Head.Version, uint64(2))
-	assert.Equal(t, bench.store.sections.Load()-before, int64(1))
+	assert.Equal(t, fixture.store.sections.Load()-before, int64(1))
 	joined, err := sectioner.Join(second.Head.Sections, second.Contents)
 	assert.NilError(t, err)
 	assert.Equal(t, len(joined.Rules), 2)
 }
 
+// TestFindsChangesAfterTheHistoryWasCut checks that an edit is found although the
+// platform's history, of 2 changes here, no longer covers the revision of the watch.
 func TestFindsChangesAfterTheHistoryWasCut(t *testing.T) {
-	bench := start(t, newPlatform(platform.WithHistory(2)))
-	bench.watcher.Hold(true)
-	bench.edit(1)
-	await[decider.ConfigurationFound](bench)
+	fixture := start(t, newPlatform(platform.WithHistory(2)))
+	fixture.watcher.Hold(true)
+	fixture.edit(1)
+	await[decider.ConfigurationFound](fixture)
 	for index := range 20 {
-		_, err := bench.store.Create(context.Background(), "claim", fmt.Sprint(index), []byte("1"))
+		_, err := fixture.store.Create(context.Background(), "claim", fmt.Sprint(index), []byte("1"))
 		assert.NilError(t, err)
 	}
-	bench.edit(2)
-	for await[decider.ConfigurationFound](bench).Head.Version != 2 {
+	fixture.edit(2)
+	for await[decider.ConfigurationFound](fixture).Head.Version != 2 {
 		continue
 	}
 }
 
+// TestReadsAgainAnUnusableSection checks that a section that does not match its hash is
+// logged and read again until it does.
 func TestReadsAgainAnUnusableSection(t *testing.T) {
-	bench := start(t, newPlatform())
-	bench.edit(1)
+	fixture := start(t, newPlatform())
+	fixture.edit(1)
 	ctx := context.Background()
-	head, err := bench.store.Read(ctx, sectioner.HeadKind, sectioner.HeadName)
+	head, err := fixture.store.Read(ctx, sectioner.HeadKind, sectioner.HeadName)
 	assert.NilError(t, err)
 	parsed, err := sectioner.ParseHead(head.Value)
 	assert.NilError(t, err)
 	hash := parsed.Sections[0].Hash
-	section, err := bench.store.Storer.Read(ctx, sectioner.SectionKind, hash)
+	section, err := fixture.store.Storer.Read(ctx, sectioner.SectionKind, hash)
 	assert.NilError(t, err)
-	altered, err := bench.store.Update(ctx, sectioner.SectionKind, hash, section.Version, []byte(`[]`))
+	altered, err := fixture.store.Update(ctx, sectioner.SectionKind, hash, section.Version, []byte(`[]`))
 	assert.NilError(t, err)
-	bench.watcher.Hold(true)
-	bench.awaitLog(logger.EventHeadUnusable)
-	_, err = bench.store.Update(ctx, sectioner.SectionKind, hash, altered.Version, section.Value)
+	fixture.watcher.Hold(true)
+	fixture.awaitLog(logger.EventHeadUnusable)
+	_, err = fixture.store.Update(ctx, sectioner.SectionKind, hash, altered.Version, section.Value)
 	assert.NilError(t, err)
-	assert.Equal(t, await[decider.ConfigurationFound](bench).Head.Version, uint64(1))
+	assert.Equal(t, await[decider.ConfigurationFound](fixture).Head.Version, uint64(1))
 }
 
+// TestHonoursRetryAfter checks that no wait is shorter than the Retry-After of the
+// platform.
 func TestHonoursRetryAfter(t *testing.T) {
-	bench := start(t, http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
+	fixture := start(t, http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set("Retry-After", "7")
 		writer.WriteHeader(http.StatusTooManyRequests)
 	}))
-	bench.watcher.Hold(true)
+	fixture.watcher.Hold(true)
 	for range 10 {
-		assert.Assert(t, <-bench.waits >= 7*time.Second)
+		assert.Assert(t, <-fixture.waits >= 7*time.Second)
 	}
 }
 
+// TestPollsOnlyWhileHeld checks that the list of VMs is delivered when the watch is
+// acquired and after a change, and again once the watch is acquired anew.
 func TestPollsOnlyWhileHeld(t *testing.T) {
-	bench := start(t, newPlatform())
+	fixture := start(t, newPlatform())
 	put := func(name string) {
 		vm := storer.VM{Name: name, DataCentre: "north", Address: "127.0.0.1:9", Role: "entry", State: "leaving"}
-		assert.NilError(t, controller.New(bench.address).PutVM(context.Background(), vm))
+		assert.NilError(t, controller.New(fixture.address).PutVM(context.Background(), vm))
 	}
-	bench.watcher.Hold(true)
-	assert.Equal(t, len(await[decider.VMsListed](bench).VMs), 0)
+	fixture.watcher.Hold(true)
+	assert.Equal(t, len(await[decider.VMsListed](fixture).VMs), 0)
 	put("a")
 	want := decider.ListedVM{Name: "a", DataCentre: "north", Address: "127.0.0.1:9", Leaving: true}
-	assert.DeepEqual(t, await[decider.VMsListed](bench).VMs, []decider.ListedVM{want})
-	bench.watcher.Hold(false)
+	assert.DeepEqual(t, await[decider.VMsListed](fixture).VMs, []decider.ListedVM{want})
+	fixture.watcher.Hold(false)
 	put("b")
-	bench.watcher.Hold(true)
-	assert.Equal(t, len(await[decider.VMsListed](bench).VMs), 2)
+	fixture.watcher.Hold(true)
+	assert.Equal(t, len(await[decider.VMsListed](fixture).VMs), 2)
 }
 
+// TestCallResults checks the result and the version reported for each kind of call under
+// each fault. A write that may have taken effect must be Lost, never Rejected.
 func TestCallResults(t *testing.T) {
 	create := decider.CallPlatform{Verb: decider.CreateObject, Kind: "claim", Name: "new", Value: []byte("1")}
 	update := decider.CallPlatform{Verb: decider.UpdateObject, Kind: "claim", Name: "old", Version: 1, Value: []byte("2")}
@@ -273,7 +288,7 @@
 		faults string
 		call   decider.CallPlatform
 		want   decider.PlatformResult
-		// version 0 is that of no object, 2 is that of a first write.
+		// version is 0 if no object is returned, and 2 after the first write of the call.
 		version uint64
 	}{
 		{"create", `{}`, create, decider.Done, 2},
@@ -295,13 +310,13 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			bench := start(t, newPlatform())
-			_, err := bench.store.Create(context.Background(), "claim", "old", []byte("1"))
+			fixture := start(t, newPlatform())
+			_, err := fixture.store.Create(context.Background(), "claim", "old", []byte("1"))
 			assert.NilError(t, err)
-			bench.faults(test.faults)
+			fixture.faults(test.faults)
 			test.call.Call = 7
-			bench.watcher.Call(test.call)
-			answer := await[decider.PlatformAnswered](bench)
+			fixture.watcher.Call(test.call)
+			answer := await[decider.PlatformAnswered](fixture)
 			assert.Equal(t, answer.Call, uint64(7))
 			assert.Equal(t, answer.Result, test.want)
 			assert.Equal(t, answer.Version, test.version)
@@ -309,6 +324,8 @@
 	}
 }
 
+// TestCallRejectedWithoutAConnection checks that a write is Rejected if no address can be
+// connected to, and sent to the second address if only the first cannot.
 func TestCallRejectedWithoutAConnection(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	dead := strings.TrimPrefix(server.URL, "http://")
