--- a/sifter/sifter.go
+++ b/sifter/sifter.go
@@ -1,5 +1,6 @@
-// Package sifter keeps which entries of the platform's store cannot be read: each is
-// logged once for each of its contents, and how many there are is counted.
+// Package sifter tracks which entries of the platform's store cannot be decoded: it
+// logs an entry once for each distinct content and reports the number of unreadable
+// entries.
 package sifter
 
 import (
@@ -9,39 +10,45 @@
 )
 
 const (
-	// maxEntries bounds the entries that are kept apart; those beyond are neither logged
-	// nor counted. A store holds some thousands of entries in all.
+	// maxEntries is the largest number of unreadable entries that are tracked; further
+	// entries are neither logged nor counted. A store holds some thousands of entries in
+	// all.
 	maxEntries = 4096
-	// maxContents bounds the contents of one entry that are logged until it can be read
-	// again: a writer may write another every second.
+	// maxContents is the largest number of distinct contents of an entry that are logged
+	// until the entry is readable again: a writer may write a new one every second.
 	maxContents = 8
 )
 
-// key names an entry; name is empty for all of a feed that have no name to read.
-type key struct{ feed, name string }
+// entryKey identifies an entry of a feed. All entries of a feed whose names cannot be
+// read share the empty name.
+type entryKey struct{ feed, name string }
 
-// Sifter keeps the unreadable entries of all feeds. It is safe for concurrent use.
+// Sifter tracks the unreadable entries of all feeds. It is safe for concurrent use.
 type Sifter struct {
-	log   func(number int, pairs ...any)
-	gauge func(count int)
-	// mutex guards entries; no other lock is taken under it.
+	log      func(number int, pairs ...any)
+	setCount func(count int)
+	// mutex guards entries; no other lock of this package is acquired while it is held, but
+	// log and setCount are called.
 	mutex sync.Mutex
-	// entries holds the contents that were logged of each unreadable entry.
-	entries map[key]map[uint64]bool
+	// entries holds, for each unreadable entry, the identifiers of the contents that
+	// were logged.
+	entries map[entryKey]map[uint64]bool
 }
 
-// New returns a Sifter that logs numbered events and tells how many entries cannot be
-// read; neither may block.
-func New(log func(number int, pairs ...any), gauge func(count int)) *Sifter {
-	return &Sifter{log: log, gauge: gauge, entries: make(map[key]map[uint64]bool)}
+// New returns a Sifter that logs numbered events to log and passes the number of
+// unreadable entries to setCount whenever it changes. Neither function may block or call
+// the Sifter.
+func New(log func(number int, pairs ...any), setCount func(count int)) *Sifter {
+	return &Sifter{log: log, setCount: setCount, entries: make(map[entryKey]map[uint64]bool)}
 }
 
-// Unreadable takes in that an entry cannot be read, and why. The content tells one that
-// was logged from another.
+// Unreadable records that an entry cannot be decoded, with the cause, and logs this if
+// the content has not been logged yet. The number content identifies the entry's
+// content, for example its hash or revision.
 func (sifter *Sifter) Unreadable(feed, name string, content uint64, cause error) {
 	sifter.mutex.Lock()
 	defer sifter.mutex.Unlock()
-	key := key{feed, name}
+	key := entryKey{feed, name}
 	contents, known := sifter.entries[key]
 	if !known && len(sifter.entries) >= maxEntries {
 		return
@@ -49,7 +56,7 @@
 	if !known {
 		contents = make(map[uint64]bool)
 		sifter.entries[key] = contents
-		sifter.gauge(len(sifter.entries))
+		sifter.setCount(len(sifter.entries))
 	}
 	if contents[content] || len(contents) >= maxContents {
 		return
@@ -58,17 +65,18 @@
 	sifter.log(logger.EventEntryUnreadable, "feed", feed, "name", name, "cause", cause)
 }
 
-// Readable takes in that an entry can be read, or that it went.
+// Readable records that an entry can be decoded or has been removed.
 func (sifter *Sifter) Readable(feed, name string) {
 	sifter.mutex.Lock()
 	defer sifter.mutex.Unlock()
-	if _, known := sifter.entries[key{feed, name}]; known {
-		delete(sifter.entries, key{feed, name})
-		sifter.gauge(len(sifter.entries))
+	if _, known := sifter.entries[entryKey{feed, name}]; known {
+		delete(sifter.entries, entryKey{feed, name})
+		sifter.setCount(len(sifter.entries))
 	}
 }
 
-// Listed takes in the names of all entries of a feed: others went.
+// Listed records the names of all entries of a feed; tracked entries of the feed that
+// are not among them are forgotten.
 func (sifter *Sifter) Listed(feed string, names map[string]bool) {
 	sifter.mutex.Lock()
 	defer sifter.mutex.Unlock()
@@ -79,6 +87,6 @@
 		}
 	}
 	if len(sifter.entries) != before {
-		sifter.gauge(len(sifter.entries))
+		sifter.setCount(len(sifter.entries))
 	}
 }
--- a/sifter/sifter_test.go
+++ b/sifter/sifter_test.go
@@ -10,7 +10,7 @@
 	"limpetcleat/sifter"
 )
 
-// recorder keeps what a sifter logs and counts.
+// recorder records the names that a Sifter logs and the last count that it reports.
 type recorder struct {
 	names []string
 	count int
@@ -22,8 +22,8 @@
 		func(count int) { recorder.count = count })
 }
 
-// TestEachContentIsLoggedOnce holds what is logged and counted as entries come, change,
-// turn good and go.
+// TestEachContentIsLoggedOnce checks what is logged and counted as unreadable entries
+// appear, change, become readable and are removed.
 func TestEachContentIsLoggedOnce(t *testing.T) {
 	recorder := &recorder{}
 	sifter := recorder.sifter()
@@ -41,13 +41,13 @@
 	sifter.Readable("upstreams", "never seen")
 	assert.Equal(t, recorder.count, 3)
 	sifter.Listed("upstreams", map[string]bool{"b": true})
-	assert.Equal(t, recorder.count, 2, "b is listed, and the peer is of another feed")
+	assert.Equal(t, recorder.count, 2, "b is listed, and the peer belongs to another feed")
 	sifter.Unreadable("upstreams", "a", 1, cause)
-	assert.Equal(t, len(recorder.names), 6, "it could be read in between")
+	assert.Equal(t, len(recorder.names), 6, "a was forgotten when it became readable, so it is logged again")
 }
 
-// TestUnreadableEntriesAreBounded holds that neither many entries nor many contents of
-// one fill the memory or the log.
+// TestUnreadableEntriesAreBounded checks that neither many entries nor many contents of
+// one entry fill the memory or the log.
 func TestUnreadableEntriesAreBounded(t *testing.T) {
 	recorder := &recorder{}
 	sifter := recorder.sifter()
--- a/storer/address_test.go
+++ b/storer/address_test.go
@@ -11,7 +11,8 @@
 	"limpetcleat/storer"
 )
 
-// TestAddressForms reaches the platform at the forms that settings and code use.
+// TestAddressForms checks that the platform is reached at a base URL and at a host with
+// a port, the two forms that settings and code use.
 func TestAddressForms(t *testing.T) {
 	server := httptest.NewServer(platform.New().Handler())
 	defer server.Close()
--- a/storer/call.go
+++ b/storer/call.go
@@ -12,45 +12,49 @@
 	"time"
 )
 
-// maxAnswer bounds what is read of an answer, a list of objects included.
-const maxAnswer = 64 << 20
+// maxResponseBytes is the largest part of a response body that is read, 64 MiB; it
+// applies to lists of objects too.
+const maxResponseBytes = 64 << 20
 
-// call is one call to the platform.
+// call is a request to the platform.
 type call struct {
 	operation string
 	method    string
 	path      string
 	body      []byte
-	// header and match are the condition of a write; empty for reads.
-	header string
-	match  string
+	// conditionHeader and conditionValue are the HTTP header that makes a write
+	// conditional; they are empty for reads.
+	conditionHeader string
+	conditionValue  string
 }
 
-// do makes a call at the address that worked last, and at the others when no
-// connection can be made. A call is never sent twice.
+// do sends a call to the address that was reached last, and tries the others in turn
+// only if no connection can be made, so that a call is never sent twice. The response
+// is decoded into answer.
 func (storer *Storer) do(ctx context.Context, call call, answer any) error {
 	var err error
 	for range storer.addresses {
-		current := storer.current.Load()
+		current := storer.dialFailures.Load()
 		address := storer.addresses[current%uint64(len(storer.addresses))]
 		err = storer.send(ctx, address, call, answer)
-		if err == nil || !unconnected(err) {
+		if err == nil || !isDialError(err) {
 			return err
 		}
-		storer.current.CompareAndSwap(current, current+1)
+		storer.dialFailures.CompareAndSwap(current, current+1)
 	}
 	if err == nil {
-		return fail(call.operation, Rejected, "the platform has no address")
+		return fail(call.operation, Rejected, "no address of the platform is configured")
 	}
 	return err
 }
 
-// unconnected tells whether a call failed before a connection was made.
-func unconnected(err error) bool {
+// isDialError reports whether a call failed before a connection was made.
+func isDialError(err error) bool {
 	var failure *net.OpError
 	return errors.As(err, &failure) && failure.Op == "dial"
 }
 
+// send sends a call to one address and decodes the response into answer.
 func (storer *Storer) send(ctx context.Context, address string, call call, answer any) error {
 	request, err := http.NewRequestWithContext(ctx, call.method, address+call.path, bytes.NewReader(call.body))
 	if err != nil {
@@ -59,30 +63,31 @@
 	if call.body != nil {
 		request.Header.Set("Content-Type", "application/json")
 	}
-	if call.header != "" {
-		request.Header.Set(call.header, call.match)
+	if call.conditionHeader != "" {
+		request.Header.Set(call.conditionHeader, call.conditionValue)
 	}
 	if storer.token != "" {
 		request.Header.Set("Authorization", "Bearer "+storer.token)
 	}
 	response, err := storer.client.Do(request)
-	if err != nil && unconnected(err) {
+	if err != nil && isDialError(err) {
 		return fail(call.operation, Rejected, "%w", err)
 	}
 	if err != nil {
 		return fail(call.operation, Lost, "%w", err)
 	}
-	defer response.Body.Close() //nolint:errcheck // A body that was read has nothing more to tell.
-	return receive(call, response, answer)
+	defer response.Body.Close() //nolint:errcheck // The body has been read, so an error is of no use.
+	return decodeResponse(call, response, answer)
 }
 
-// receive turns an answer into a value or a typed error.
-func receive(call call, response *http.Response, answer any) error {
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+// decodeResponse decodes a response into answer, or returns an Error whose kind follows
+// from the status.
+func decodeResponse(call call, response *http.Response, answer any) error {
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return fail(call.operation, Lost, "%w", err)
 	}
-	cause := &delayed{status: "platform: " + response.Status, retryAfter: retryAfter(response.Header)}
+	cause := &statusError{status: "platform: " + response.Status, retryAfter: retryAfter(response.Header)}
 	switch status := response.StatusCode; {
 	case status == http.StatusOK:
 		if err := json.Unmarshal(body, answer); err != nil {
@@ -90,7 +95,7 @@
 		}
 		return nil
 	case status == http.StatusPreconditionFailed:
-		return conflict(call, body, answer, cause)
+		return conflictError(call, body, answer, cause)
 	case status == http.StatusNotFound:
 		return fail(call.operation, Missing, "%w", cause)
 	case status == http.StatusGone:
@@ -104,8 +109,10 @@
 	}
 }
 
-// conflict returns the object that stands in the way, if there is one.
-func conflict(call call, body []byte, answer any, cause error) error {
+// conflictError returns the error for a failed precondition, and decodes the current
+// object into answer. Version 0 means that there is no object, so the kind is Missing;
+// without a usable object in the body it is Lost.
+func conflictError(call call, body []byte, answer any, cause error) error {
 	object, ok := answer.(*Object)
 	if !ok || json.Unmarshal(body, object) != nil {
 		return fail(call.operation, Lost, "%w", cause)
@@ -116,7 +123,8 @@
 	return fail(call.operation, Conflict, "%w", cause)
 }
 
-// retryAfter returns the wait that an answer asks for, in whole seconds.
+// retryAfter returns the wait that the Retry-After header asks for in whole seconds; 0
+// if the header is missing or has another form.
 func retryAfter(header http.Header) time.Duration {
 	seconds, err := strconv.Atoi(header.Get("Retry-After"))
 	if err != nil || seconds < 0 {
--- a/storer/error.go
+++ b/storer/error.go
@@ -11,30 +11,33 @@
 type Kind string
 
 const (
-	// Missing says that there is no such object.
+	// Missing means that the object does not exist.
 	Missing Kind = "missing"
-	// Conflict says that the object has another version than the call named.
+	// Conflict means that the object's version is not the version that the call requires,
+	// or that an object to be created exists.
 	Conflict Kind = "conflict"
-	// Gone says that the platform's history does not reach back so far.
+	// Gone means that the platform's history does not cover the revision of a watch.
 	Gone Kind = "gone"
-	// Rejected says that the call was turned away and had no effect.
+	// Rejected means that the platform could not be reached or declined the call for now
+	// (status 429 or 503); the call had no effect.
 	Rejected Kind = "rejected"
-	// Lost says that no usable answer came; a write may have taken effect.
+	// Lost means that no usable response arrived; a write may have taken effect.
 	Lost Kind = "lost"
-	// Refused says that the platform takes the call for wrong; it had no effect.
+	// Refused means that the platform considers the call invalid (another 4xx status); the
+	// call had no effect.
 	Refused Kind = "refused"
 )
 
-// Error is the one error type of this package.
+// Error is the error type of this package.
 type Error = failer.Error[Kind]
 
 func fail(operation string, kind Kind, format string, values ...any) *Error {
 	return failer.New("storer."+operation, kind, format, values...)
 }
 
-// KindOf returns the kind of a failed call, or nothing if there is no error. It
-// is Lost if the error is not of this package, since then nothing is known of
-// the call's effect.
+// KindOf returns the kind of a failed call's error, or the empty Kind if err is nil. It
+// returns Lost for an error that is not an Error of this package, since the effect of
+// the call is then unknown.
 func KindOf(err error) Kind {
 	if err == nil {
 		return ""
@@ -46,18 +49,20 @@
 	return Lost
 }
 
-// delayed is a cause that tells when to come again.
-type delayed struct {
+// statusError is the cause of an Error that stems from the status of a response. It
+// holds the wait that the platform asked for.
+type statusError struct {
 	status     string
 	retryAfter time.Duration
 }
 
-// Error returns the status line of the answer.
-func (delayed *delayed) Error() string { return delayed.status }
+// Error returns the status of the response.
+func (statusError *statusError) Error() string { return statusError.status }
 
-// RetryAfter returns how long the platform asked to wait; 0 if it did not ask.
+// RetryAfter returns how long the platform asked the caller to wait before the next
+// call; 0 if it did not ask.
 func RetryAfter(err error) time.Duration {
-	var cause *delayed
+	var cause *statusError
 	if errors.As(err, &cause) {
 		return cause.retryAfter
 	}
