--- a/sectioner/difference.go
+++ b/sectioner/difference.go
@@ -10,21 +10,22 @@
 	"limpetcleat/messenger"
 )
 
-// digestLength is the number of bytes of a digest.
-const digestLength = 16
+// digestBytes is the length of a digest in bytes, before it is encoded in hexadecimal.
+const digestBytes = 16
 
-// Digest returns a short hash of a whole version: of the names and hashes of
-// its sections in order.
+// Digest returns a hash that identifies a version of the configuration: the first
+// digestBytes bytes, in hexadecimal, of the SHA-256 hash of the names and hashes of its
+// sections in order.
 func Digest(sums []messenger.SectionSum) string {
 	hash := sha256.New()
 	for _, sum := range sums {
 		hash.Write([]byte(sum.Name + "\x00" + sum.Hash + "\n"))
 	}
-	return hex.EncodeToString(hash.Sum(nil)[:digestLength])
+	return hex.EncodeToString(hash.Sum(nil)[:digestBytes])
 }
 
-// Difference returns the sections of next that base lacks or has otherwise, and
-// the names of those that only base has.
+// Difference returns the sections of next that base lacks or holds with another hash,
+// and the names of the sections that only base has.
 func Difference(base, next []messenger.SectionSum) (changed []messenger.SectionSum, removed []string) {
 	before := make(map[string]string, len(base))
 	for _, sum := range base {
@@ -44,7 +45,8 @@
 	return changed, removed
 }
 
-// Amend undoes Difference: it returns next, given base and what differs.
+// Amend applies the result of Difference to base: it returns the sections of next, in
+// the order of Cut.
 func Amend(base, changed []messenger.SectionSum, removed []string) []messenger.SectionSum {
 	var next []messenger.SectionSum
 	for _, sum := range base {
@@ -60,7 +62,7 @@
 	return next
 }
 
-// rank orders sections as Cut does.
+// rank returns the position of a section's group in the order of Cut.
 func rank(name string) int {
 	switch {
 	case name == classesSection:
--- a/sectioner/head.go
+++ b/sectioner/head.go
@@ -8,62 +8,67 @@
 )
 
 const (
-	// HeadKind and HeadName name the platform's object that holds the head.
+	// HeadKind is the kind of the platform's object that holds the head.
 	HeadKind = "configuration"
-	// HeadName is the name of the one object of HeadKind.
+	// HeadName is the name of the only object of HeadKind.
 	HeadName = "head"
-	// SectionKind is the kind of the platform's objects that hold sections;
-	// each is named by its hash and never changes.
+	// SectionKind is the kind of the platform's objects that hold sections. Each object
+	// is named by the hash of its content and never changes.
 	SectionKind = "configurationSection"
-	// MaxHistory is the number of earlier edits that a head keeps.
+	// MaxHistory is the largest number of earlier edits that a head holds.
 	MaxHistory = 20
-	// garbageVersions is for how many edits a section is tried to be deleted.
+	// garbageVersions is the number of versions for which a section stays on the list of
+	// garbage; each edit in that time may try to delete it.
 	garbageVersions = 5
-	// maxGarbage bounds the list of sections to delete.
+	// maxGarbage is the largest number of sections on the list of garbage.
 	maxGarbage = 1000
 )
 
-// Head is the stored form of the newest version of the configuration. Its
-// fields are exported because the JSON codec needs it.
+// Head is the stored form of the newest version of the configuration: its edit, the
+// names and hashes of its sections, and the history. Its fields are exported for
+// encoding/json.
 type Head struct {
 	Edit
-	// Sections lists what the version is made of, in the order of Cut.
+	// Sections lists the sections of the version in the order of Cut.
 	Sections []Entry `json:"sections"`
-	// History holds the edits before this one, the latest first.
+	// History holds earlier edits, the latest first.
 	History []Edit `json:"history,omitempty"`
-	// Garbage lists sections that no version within History has any more.
+	// Garbage lists sections that no version within History uses any more, the oldest
+	// first.
 	Garbage []Garbage `json:"garbage,omitempty"`
 }
 
-// Garbage is a section that an edit may delete.
+// Garbage is an unused section that an edit may delete.
 type Garbage struct {
 	Hash string `json:"hash"`
-	// Since is the version that put it on the list.
+	// Since is the version that put the section on the list.
 	Since uint64 `json:"since"`
 }
 
-// Edit is one accepted change of the configuration.
+// Edit is an accepted change of the configuration.
 type Edit struct {
 	// Version grows by one with each edit.
 	Version uint64 `json:"version"`
-	// EditID is unique to the edit; it settles a write whose answer was lost.
+	// EditID is unique to the edit. It shows whether a write took effect when its
+	// response was lost.
 	EditID string `json:"editID"`
-	// Editor is who made the edit.
+	// Editor is the name of the author of the edit.
 	Editor   string    `json:"editor"`
 	EditedAt time.Time `json:"editedAt"`
 	Summary  string    `json:"summary"`
-	// Undo lists the sections that the edit replaced, as they were before it;
-	// a section that the edit added has no hash.
+	// Undo lists the sections that the edit changed, added or removed, with the hashes
+	// from before the edit; the hash of an added section is empty.
 	Undo []Entry `json:"undo,omitempty"`
 }
 
-// Entry is the stored form of a section's name and content hash.
+// Entry is the stored form of a messenger.SectionSum: a section's name and the hash of
+// its content.
 type Entry struct {
 	Name string `json:"name"`
 	Hash string `json:"hash"`
 }
 
-// Sums returns the head's sections as they cross the inner protocol.
+// Sums returns the head's sections in the form that nodes send to each other.
 func (head *Head) Sums() []messenger.SectionSum {
 	sums := make([]messenger.SectionSum, 0, len(head.Sections))
 	for _, entry := range head.Sections {
@@ -72,7 +77,7 @@
 	return sums
 }
 
-// Entries returns the stored form of the sums.
+// Entries returns sums in their stored form.
 func Entries(sums []messenger.SectionSum) []Entry {
 	entries := make([]Entry, 0, len(sums))
 	for _, sum := range sums {
@@ -81,7 +86,8 @@
 	return entries
 }
 
-// ParseHead decodes a head. The error is of kind Malformed.
+// ParseHead decodes a head from JSON. The error is of kind Malformed, also for a head
+// without a version or without sections.
 func ParseHead(data []byte) (*Head, error) {
 	head := &Head{}
 	if err := json.Unmarshal(data, head); err != nil {
@@ -93,21 +99,22 @@
 	return head, nil
 }
 
-// Next returns the head after an edit that leads to the sums. The edit's Undo
-// is worked out; history and garbage are kept within their bounds.
+// Next returns the head that follows from an edit whose sections are sums. It computes
+// the edit's Undo and keeps History and Garbage within MaxHistory and maxGarbage.
 func (head *Head) Next(edit Edit, sums []messenger.SectionSum) *Head {
 	changed, removed := Difference(head.Sums(), sums)
-	edit.Undo = undo(head, changed, removed)
+	edit.Undo = undoEntries(head, changed, removed)
 	next := &Head{Edit: edit, Sections: Entries(sums)}
 	if head.Version > 0 {
 		next.History = append([]Edit{head.Edit}, head.History...)
 	}
-	dropped := next.trim()
-	next.Garbage = next.collect(append(head.Garbage, dropped...))
+	dropped := next.trimHistory()
+	next.Garbage = next.pendingGarbage(append(head.Garbage, dropped...))
 	return next
 }
 
-func undo(head *Head, changed []messenger.SectionSum, removed []string) []Entry {
+// undoEntries returns the Undo of an edit of head, given the result of Difference.
+func undoEntries(head *Head, changed []messenger.SectionSum, removed []string) []Entry {
 	before := make(map[string]string, len(head.Sections))
 	for _, entry := range head.Sections {
 		before[entry.Name] = entry.Hash
@@ -122,9 +129,10 @@
 	return entries
 }
 
-// trim drops the edits beyond MaxHistory, and what the last one replaced, since
-// no version before it can be loaded. It returns the sections dropped.
-func (head *Head) trim() []Garbage {
+// trimHistory removes the edits beyond MaxHistory, and clears the Undo of the last one
+// kept, since no version before it can be loaded. It returns the sections of the Undos
+// removed.
+func (head *Head) trimHistory() []Garbage {
 	var dropped []Garbage
 	for index := MaxHistory - 1; index < len(head.History); index++ {
 		for _, entry := range head.History[index].Undo {
@@ -138,37 +146,38 @@
 	return dropped
 }
 
-// collect returns the garbage that is still to be deleted: what is needed again
-// or has been on the list for long is taken off.
-func (head *Head) collect(garbage []Garbage) []Garbage {
-	needed := head.needed()
+// pendingGarbage returns the garbage that is still to be deleted. It leaves out sections
+// that are in use again, duplicates, and sections that have been on the list for
+// garbageVersions; beyond maxGarbage the oldest are dropped.
+func (head *Head) pendingGarbage(garbage []Garbage) []Garbage {
+	reachable := head.reachableHashes()
 	var kept []Garbage
 	for _, item := range garbage {
-		if !needed[item.Hash] && item.Since+garbageVersions > head.Version {
-			needed[item.Hash] = true
+		if !reachable[item.Hash] && item.Since+garbageVersions > head.Version {
+			reachable[item.Hash] = true
 			kept = append(kept, item)
 		}
 	}
 	return kept[max(0, len(kept)-maxGarbage):]
 }
 
-// needed returns the hashes of the sections of every version that can still be
+// reachableHashes returns the hashes of the sections of all versions that can still be
 // loaded.
-func (head *Head) needed() map[string]bool {
-	needed := make(map[string]bool)
+func (head *Head) reachableHashes() map[string]bool {
+	reachable := make(map[string]bool)
 	for _, entry := range head.Sections {
-		needed[entry.Hash] = true
+		reachable[entry.Hash] = true
 	}
 	for _, edit := range append([]Edit{head.Edit}, head.History...) {
 		for _, entry := range edit.Undo {
-			needed[entry.Hash] = true
+			reachable[entry.Hash] = true
 		}
 	}
-	return needed
+	return reachable
 }
 
-// At returns the sections of an earlier version. The error is of kind
-// Incomplete when the history does not reach back to it.
+// At returns the sections of this version or of an earlier one, by applying the Undos of
+// the edits since. The error is of kind Incomplete if the version is not in the history.
 func (head *Head) At(version uint64) ([]messenger.SectionSum, error) {
 	sums := head.Sums()
 	edits := append([]Edit{head.Edit}, head.History...)
@@ -187,11 +196,12 @@
 		}
 		sums = Amend(sums, changed, removed)
 	}
-	return nil, fail("at", Incomplete, "version %d is not among the last %d", version, len(edits))
+	return nil, fail("at", Incomplete, "version %d is not among the last %d versions", version, len(edits))
 }
 
-// Has tells whether the edit is this head's or in its history; known is false
-// when the edit could be older than the history.
+// Has reports whether an edit is that of this head or in its history. The result known
+// is false if the edit is not found but could be older than the history; version is the
+// version that the edit made, if it was accepted.
 func (head *Head) Has(editID string, version uint64) (found, known bool) {
 	oldest := head.Version
 	for _, edit := range append([]Edit{head.Edit}, head.History...) {
--- a/sectioner/sectioner.go
+++ b/sectioner/sectioner.go
@@ -1,5 +1,6 @@
-// Package sectioner cuts a configuration into sections that are named by the
-// hash of their content, so that a change moves only the sections it touches.
+// Package sectioner splits a configuration into sections that are addressed by the hash
+// of their content, so that a change transfers only the sections that differ. It also
+// compares versions and defines the stored head, which holds their history.
 package sectioner
 
 import (
@@ -24,10 +25,11 @@
 	limitsSection       = "limits"
 	poolPrefix          = "pool/"
 	organisationsPrefix = "organisations/"
-	// organisationSections is the number of sections that share the
-	// organisations; at 1,900 of them one holds about 30.
-	organisationSections = 64
-	// MaxSection is the size, in bytes, of the largest section.
+	// organisationBuckets is the number of sections over which organisations are
+	// distributed by the hash of their names; with 1,900 organisations each section holds
+	// about 30.
+	organisationBuckets = 64
+	// MaxSection is the largest size of a section in bytes.
 	MaxSection = 1 << 20
 )
 
@@ -35,98 +37,107 @@
 type Kind string
 
 const (
-	// Malformed marks a section that cannot be encoded or decoded.
+	// Malformed means that a section or a head cannot be encoded or decoded.
 	Malformed Kind = "malformed"
-	// Incomplete marks a version with a missing or altered section.
+	// Incomplete means that a section of a version is missing or does not match its hash,
+	// or that the history does not hold the version.
 	Incomplete Kind = "incomplete"
-	// TooLarge marks a section that is larger than the platform keeps.
+	// TooLarge means that a section is larger than MaxSection, the most that the platform
+	// stores.
 	TooLarge Kind = "tooLarge"
 )
 
-// Error is the one error type of this package.
+// Error is the error type of this package.
 type Error = failer.Error[Kind]
 
 func fail(operation string, kind Kind, format string, values ...any) *Error {
 	return failer.New("sectioner."+operation, kind, format, values...)
 }
 
-// Cut returns the sections of a document in a fixed order. The same document
-// always gives the same hashes. The error joins all faults.
+// Cut splits a document into sections and returns their names with their hashes, and
+// their contents, both in the same fixed order. Equal documents have equal hashes. The
+// error joins the errors of all sections that are Malformed or TooLarge.
 func Cut(document definer.Document) ([]messenger.SectionSum, []messenger.Section, error) {
-	cutter := &cutter{}
-	cutter.add(classesSection, document.Classes)
+	builder := &builder{}
+	builder.add(classesSection, document.Classes)
 	for index, pool := range document.Pools {
-		cutter.add(fmt.Sprintf("%s%04d", poolPrefix, index), pool)
+		builder.add(fmt.Sprintf("%s%04d", poolPrefix, index), pool)
 	}
-	for index, organisations := range shareOut(document.Organisations) {
+	for index, organisations := range partitionOrganisations(document.Organisations) {
 		if len(organisations) > 0 {
-			cutter.add(fmt.Sprintf("%s%02d", organisationsPrefix, index), organisations)
+			builder.add(fmt.Sprintf("%s%02d", organisationsPrefix, index), organisations)
 		}
 	}
-	cutter.add(rulesSection, document.Rules)
-	cutter.add(limitsSection, document.Limits)
-	return cutter.sums, cutter.sections, errors.Join(cutter.faults...)
+	builder.add(rulesSection, document.Rules)
+	builder.add(limitsSection, document.Limits)
+	return builder.sums, builder.sections, errors.Join(builder.errs...)
 }
 
-// cutter gathers sections and the faults met on the way.
-type cutter struct {
+// builder collects sections and the errors found while they are encoded.
+type builder struct {
 	sums     []messenger.SectionSum
 	sections []messenger.Section
-	faults   []error
+	errs     []error
 }
 
-func (cutter *cutter) add(name string, content any) {
+// add encodes content as the section of the given name.
+func (builder *builder) add(name string, content any) {
 	data, err := json.Marshal(content)
 	if err != nil {
-		cutter.faults = append(cutter.faults, fail("cut", Malformed, "section %s: %w", name, err))
+		builder.errs = append(builder.errs, fail("cut", Malformed, "section %s: %w", name, err))
 	}
 	if len(data) > MaxSection {
-		cutter.faults = append(cutter.faults, fail("cut", TooLarge, "section %s has %d bytes; allowed are %d", name, len(data), MaxSection))
+		builder.errs = append(builder.errs, fail("cut", TooLarge, "section %s has %d bytes; at most %d are allowed", name, len(data), MaxSection))
 	}
 	hash := Hash(data)
-	cutter.sums = append(cutter.sums, messenger.SectionSum{Name: name, Hash: hash})
-	cutter.sections = append(cutter.sections, messenger.Section{Hash: hash, Data: data})
+	builder.sums = append(builder.sums, messenger.SectionSum{Name: name, Hash: hash})
+	builder.sections = append(builder.sections, messenger.Section{Hash: hash, Data: data})
 }
 
-// Hash returns the hash that names a section's content.
+// Hash returns the hash by which a section's content is addressed: SHA-256 in
+// hexadecimal.
 func Hash(data []byte) string {
 	sum := sha256.Sum256(data)
 	return hex.EncodeToString(sum[:])
 }
 
-func shareOut(organisations []definer.OrganisationDocument) [organisationSections][]definer.OrganisationDocument {
-	var shares [organisationSections][]definer.OrganisationDocument
-	for _, organisation := range byName(organisations) {
-		index := xxhash.Sum64String(organisation.Name) % organisationSections
-		shares[index] = append(shares[index], organisation)
+// partitionOrganisations distributes organisations over the buckets by the hash of their
+// names; each bucket is sorted by name.
+func partitionOrganisations(organisations []definer.OrganisationDocument) [organisationBuckets][]definer.OrganisationDocument {
+	var buckets [organisationBuckets][]definer.OrganisationDocument
+	for _, organisation := range sortedByName(organisations) {
+		index := xxhash.Sum64String(organisation.Name) % organisationBuckets
+		buckets[index] = append(buckets[index], organisation)
 	}
-	return shares
+	return buckets
 }
 
-func byName(organisations []definer.OrganisationDocument) []definer.OrganisationDocument {
+// sortedByName returns a copy of organisations sorted by name.
+func sortedByName(organisations []definer.OrganisationDocument) []definer.OrganisationDocument {
 	return slices.SortedStableFunc(slices.Values(organisations), func(a, b definer.OrganisationDocument) int {
 		return strings.Compare(a.Name, b.Name)
 	})
 }
 
-// Join checks every section against its hash and returns the document, its
-// organisations by name. The error is of kind Incomplete or Malformed.
+// Join reverses Cut: it checks each section against its hash and returns the document,
+// with its organisations sorted by name. The error is of kind Incomplete or Malformed.
 func Join(sums []messenger.SectionSum, sections []messenger.Section) (definer.Document, error) {
 	var document definer.Document
 	for _, sum := range sums {
 		index := slices.IndexFunc(sections, func(section messenger.Section) bool { return section.Hash == sum.Hash })
 		if index < 0 || Hash(sections[index].Data) != sum.Hash {
-			return definer.Document{}, fail("join", Incomplete, "section %s is missing or altered", sum.Name)
+			return definer.Document{}, fail("join", Incomplete, "section %s is missing or does not match its hash", sum.Name)
 		}
-		if err := decode(&document, sum.Name, sections[index].Data); err != nil {
+		if err := decodeSection(&document, sum.Name, sections[index].Data); err != nil {
 			return definer.Document{}, err
 		}
 	}
-	document.Organisations = byName(document.Organisations)
+	document.Organisations = sortedByName(document.Organisations)
 	return document, nil
 }
 
-func decode(document *definer.Document, name string, data []byte) error {
+// decodeSection decodes the section of the given name into document.
+func decodeSection(document *definer.Document, name string, data []byte) error {
 	var err error
 	switch {
 	case name == classesSection:
@@ -144,7 +155,7 @@
 		err = json.Unmarshal(data, &organisations)
 		document.Organisations = append(document.Organisations, organisations...)
 	default:
-		return fail("join", Malformed, "section %s is of no known kind", name)
+		return fail("join", Malformed, "section %s has an unknown name", name)
 	}
 	if err != nil {
 		return fail("join", Malformed, "section %s: %w", name, err)
--- a/sectioner/sectioner_test.go
+++ b/sectioner/sectioner_test.go
@@ -13,8 +13,8 @@
 	"limpetcleat/sectioner"
 )
 
-// draw returns a random document; two with the same numbers are the same.
-func draw(random *rand.Rand) definer.Document {
+// randomDocument returns a random document; equal seeds give equal documents.
+func randomDocument(random *rand.Rand) definer.Document {
 	document := definer.Document{Classes: []definer.ClassDocument{{Name: "desk", Tier: random.IntN(3)}}}
 	for index := range random.IntN(14) {
 		document.Pools = append(document.Pools, definer.PoolDocument{Name: fmt.Sprint(index), Kind: fmt.Sprint(random.IntN(2))})
@@ -27,11 +27,13 @@
 	return document
 }
 
+// TestCutJoinDifferenceAndAmend checks with random documents that Join reverses Cut, and
+// that Amend applies what Difference returns.
 func TestCutJoinDifferenceAndAmend(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	base := []messenger.SectionSum{}
 	for range 200 {
-		document := draw(random)
+		document := randomDocument(random)
 		sums, sections, err := sectioner.Cut(document)
 		assert.NilError(t, err)
 		joined, err := sectioner.Join(sums, sections)
@@ -43,8 +45,10 @@
 	}
 }
 
+// TestJoinRefusesWhatIsNotWhole checks the kind of error for sections that are missing,
+// altered, not JSON or of an unknown name.
 func TestJoinRefusesWhatIsNotWhole(t *testing.T) {
-	sums, sections, err := sectioner.Cut(draw(rand.New(rand.NewPCG(3, 4))))
+	sums, sections, err := sectioner.Cut(randomDocument(rand.New(rand.NewPCG(3, 4))))
 	assert.NilError(t, err)
 	cases := []struct {
 		name  string
@@ -77,6 +81,8 @@
 	}
 }
 
+// TestCutTellsAllSectionsThatAreTooLarge checks that the error names every section that
+// is too large, not only the first.
 func TestCutTellsAllSectionsThatAreTooLarge(t *testing.T) {
 	long := strings.Repeat("x", sectioner.MaxSection)
 	_, _, err := sectioner.Cut(definer.Document{
