--- a/admitter/admitter.go
+++ b/admitter/admitter.go
@@ -68,8 +68,8 @@
 // New returns an Admitter without hints, which admits everything.
 func New() *Admitter { return &Admitter{hints: make(map[hintKey]*hint)} }
 
-// Hear stores the expected wait reported by the owner.
-func (admitter *Admitter) Hear(now time.Time, shard messenger.Shard, class definer.ClassName, wait time.Duration) {
+// RecordWait stores the expected wait reported by the owner.
+func (admitter *Admitter) RecordWait(now time.Time, shard messenger.Shard, class definer.ClassName, wait time.Duration) {
 	admitter.hints[hintKey{shard: shard, class: class}] = &hint{wait: wait, receivedAt: now, probedAt: now}
 }
 
@@ -82,8 +82,8 @@
 	}
 }
 
-// Wait returns the expected wait at a shard, 0 if there is no hint within hintLifetime.
-func (admitter *Admitter) Wait(now time.Time, shard messenger.Shard, class definer.ClassName) time.Duration {
+// ExpectedWait returns the expected wait at a shard, 0 if there is no hint within hintLifetime.
+func (admitter *Admitter) ExpectedWait(now time.Time, shard messenger.Shard, class definer.ClassName) time.Duration {
 	found, ok := admitter.hints[hintKey{shard: shard, class: class}]
 	if !ok || now.Sub(found.receivedAt) > hintLifetime {
 		return 0
@@ -91,10 +91,10 @@
 	return found.wait
 }
 
-// Judge refuses a request that by the last hint cannot start before its deadline or within its
+// Decide refuses a request that by the last hint cannot start before its deadline or within its
 // class's longest wait. Requests of protected classes are always admitted, and so is one
 // request per hintFreshness once the hint is older than that, to get a new hint.
-func (admitter *Admitter) Judge(now time.Time, request Request) Verdict {
+func (admitter *Admitter) Decide(now time.Time, request Request) Verdict {
 	found, ok := admitter.hints[hintKey{shard: request.Shard, class: request.Class.Name()}]
 	if !ok || request.Class.Protected() {
 		return Verdict{}
--- a/admitter/admitter_test.go
+++ b/admitter/admitter_test.go
@@ -40,13 +40,13 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			admitter, shard := New(), messenger.Shard{Pool: "shared"}
-			admitter.Hear(heard, shard, test.class.Name(), test.wait)
+			admitter.RecordWait(heard, shard, test.class.Name(), test.wait)
 			now := heard.Add(test.after)
 			request := Request{Shard: shard, Class: test.class, Arrival: now}
 			if test.deadline > 0 {
 				request.Deadline = now.Add(test.deadline)
 			}
-			verdict := admitter.Judge(now, request)
+			verdict := admitter.Decide(now, request)
 			assert.Equal(t, verdict.Reason, test.reason)
 			assert.Equal(t, verdict.Admitted(), test.reason == "")
 			if !verdict.Admitted() {
@@ -60,19 +60,19 @@
 	ordinary, _ := testClasses(t)
 	admitter, shard, now := New(), messenger.Shard{Pool: "shared"}, time.Unix(1000, 0)
 	request := Request{Shard: shard, Class: ordinary, Arrival: now.Add(3 * time.Second)}
-	assert.Assert(t, admitter.Judge(now, request).Admitted(), "there is no hint yet")
-	admitter.Hear(now, shard, ordinary.Name(), time.Minute)
-	assert.Assert(t, admitter.Judge(now.Add(3*time.Second), request).Admitted())
-	assert.Assert(t, !admitter.Judge(now.Add(3*time.Second), request).Admitted())
+	assert.Assert(t, admitter.Decide(now, request).Admitted(), "there is no hint yet")
+	admitter.RecordWait(now, shard, ordinary.Name(), time.Minute)
+	assert.Assert(t, admitter.Decide(now.Add(3*time.Second), request).Admitted())
+	assert.Assert(t, !admitter.Decide(now.Add(3*time.Second), request).Admitted())
 	admitter.Forget(shard)
-	assert.Assert(t, admitter.Judge(now.Add(3*time.Second), request).Admitted())
+	assert.Assert(t, admitter.Decide(now.Add(3*time.Second), request).Admitted())
 }
 
 func BenchmarkJudge(b *testing.B) {
 	ordinary, _ := testClasses(b)
 	admitter, heard, shard := New(), time.Unix(1000, 0), messenger.Shard{Pool: "shared"}
-	admitter.Hear(heard, shard, ordinary.Name(), time.Second)
+	admitter.RecordWait(heard, shard, ordinary.Name(), time.Second)
 	for b.Loop() {
-		admitter.Judge(heard, Request{Shard: shard, Class: ordinary, Arrival: heard})
+		admitter.Decide(heard, Request{Shard: shard, Class: ordinary, Arrival: heard})
 	}
 }
--- a/announcer/announcer.go
+++ b/announcer/announcer.go
@@ -66,16 +66,16 @@
 	return announcer
 }
 
-// Hear records the announcement in an upstream's answer to a request that was sent at sentAt.
-func (announcer *Announcer) Hear(now time.Time, start definer.UpstreamStart, sentAt time.Time, announcement Announcement) {
+// Record records the announcement in an upstream's answer to a request that was sent at sentAt.
+func (announcer *Announcer) Record(now time.Time, start definer.UpstreamStart, sentAt time.Time, announcement Announcement) {
 	announcer.mutex.Lock()
 	defer announcer.mutex.Unlock()
 	announcer.update(start, announcement, sentAt, now, "")
 }
 
-// Of returns the latest announcement of a start of an upstream and its age, or zero values if
+// Latest returns the latest announcement of a start of an upstream and its age, or zero values if
 // there is none.
-func (announcer *Announcer) Of(now time.Time, start definer.UpstreamStart) (announcement Announcement, age time.Duration) {
+func (announcer *Announcer) Latest(now time.Time, start definer.UpstreamStart) (announcement Announcement, age time.Duration) {
 	announcer.mutex.Lock()
 	defer announcer.mutex.Unlock()
 	if record, ok := announcer.records[start]; ok {
@@ -84,10 +84,10 @@
 	return Announcement{}, 0
 }
 
-// Encoded returns the latest announcement of a start of an upstream in its wire form. If there is
-// none, the result is marked messenger.Unannounced, which peers do not read as the absence of a
-// limit.
-func (announcer *Announcer) Encoded(now time.Time, start definer.UpstreamStart) messenger.UpstreamAnnouncement {
+// LatestEncoded returns the latest announcement of a start of an upstream in its wire form. If
+// there is none, the result is marked messenger.Unannounced, which peers do not read as the absence
+// of a limit.
+func (announcer *Announcer) LatestEncoded(now time.Time, start definer.UpstreamStart) messenger.UpstreamAnnouncement {
 	announcer.mutex.Lock()
 	defer announcer.mutex.Unlock()
 	if record, ok := announcer.records[start]; ok {
@@ -96,8 +96,8 @@
 	return messenger.UpstreamAnnouncement{Upstream: start.Upstream, Incarnation: start.Incarnation, Age: messenger.Unannounced}
 }
 
-// Restarted removes the announcement of an earlier start of an upstream that has restarted.
-func (announcer *Announcer) Restarted(earlier definer.UpstreamStart) {
+// Forget removes the announcement of an earlier start of an upstream that has restarted.
+func (announcer *Announcer) Forget(earlier definer.UpstreamStart) {
 	announcer.mutex.Lock()
 	defer announcer.mutex.Unlock()
 	announcer.forget(earlier)
--- a/announcer/announcer_test.go
+++ b/announcer/announcer_test.go
@@ -53,9 +53,9 @@
 		t.Run(test.name, func(t *testing.T) {
 			known, u := announcer.New(), definer.UpstreamStart{Upstream: "u"}
 			for _, said := range test.said {
-				known.Hear(at(said.came), u, at(said.sent), said.announcement)
+				known.Record(at(said.came), u, at(said.sent), said.announcement)
 			}
-			announcement, _ := known.Of(at(10), u)
+			announcement, _ := known.Latest(at(10), u)
 			assert.Equal(t, announcement.Limit.String(), test.want)
 		})
 	}
@@ -67,14 +67,14 @@
 	var counts []announcer.Counts
 	known := announcer.New(announcer.WithCounts(func(count announcer.Counts) { counts = append(counts, count) }))
 	first, second := definer.UpstreamStart{Upstream: "u", Incarnation: 1}, definer.UpstreamStart{Upstream: "u", Incarnation: 2}
-	known.Hear(at(1), first, at(0), limit(3))
-	announcement, age := known.Of(at(7200), first)
+	known.Record(at(1), first, at(0), limit(3))
+	announcement, age := known.Latest(at(7200), first)
 	assert.Equal(t, announcement.Limit.String(), "3")
 	assert.Equal(t, age, 7199*time.Second)
-	announcement, _ = known.Of(at(7200), second)
+	announcement, _ = known.Latest(at(7200), second)
 	assert.Equal(t, announcement.Limit.String(), "none")
-	known.Restarted(first)
-	announcement, _ = known.Of(at(7200), first)
+	known.Forget(first)
+	announcement, _ = known.Latest(at(7200), first)
 	assert.Equal(t, announcement.Limit.String(), "none")
 	assert.DeepEqual(t, counts, []announcer.Counts{{Limited: 1}, {}})
 }
@@ -96,17 +96,17 @@
 	other := announcer.New(announcer.WithChanges(func(_ definer.UpstreamStart, _ announcer.Announcement, source announcer.Source) {
 		sources = append(sources, source)
 	}))
-	member.Hear(at(1), u, at(0), limit(3))
+	member.Record(at(1), u, at(0), limit(3))
 	assert.Equal(t, tell(at(1.1), member, aggregator, messenger.MemberLoad), 1)
 	assert.Equal(t, tell(at(1.2), aggregator, other, messenger.FleetLoad), 1)
-	announcement, age := other.Of(at(1.3), u)
+	announcement, age := other.Latest(at(1.3), u)
 	assert.Equal(t, announcement.Limit.String(), "3")
 	assert.Equal(t, age, 300*time.Millisecond)
 
-	member.Hear(at(3), u, at(2), announcer.Announcement{})
+	member.Record(at(3), u, at(2), announcer.Announcement{})
 	tell(at(3.1), member, aggregator, messenger.MemberLoad)
 	tell(at(3.2), aggregator, other, messenger.FleetLoad)
-	announcement, _ = other.Of(at(3.3), u)
+	announcement, _ = other.Latest(at(3.3), u)
 	assert.Equal(t, announcement.Limit.String(), "none")
 	assert.DeepEqual(t, sources, []announcer.Source{"peer", "peer"})
 
@@ -124,13 +124,13 @@
 func TestAnOlderWordOfAPeerDoesNotBringALimitBack(t *testing.T) {
 	u := definer.UpstreamStart{Upstream: "u"}
 	known := announcer.New()
-	known.Hear(at(1), u, at(0), limit(3))
-	known.Hear(at(5), u, at(4), announcer.Announcement{})
+	known.Record(at(1), u, at(0), limit(3))
+	known.Record(at(5), u, at(4), announcer.Announcement{})
 	known.Learn(at(6), "peer", []messenger.UpstreamAnnouncement{{Upstream: "u", PerSecond: 3, Limited: true, Age: 3 * time.Second}})
-	announcement, _ := known.Of(at(6), u)
+	announcement, _ := known.Latest(at(6), u)
 	assert.Equal(t, announcement.Limit.String(), "none")
 	known.Learn(at(7), "peer", []messenger.UpstreamAnnouncement{{Upstream: "u", PerSecond: 4, Limited: true, Age: time.Second}})
-	announcement, _ = known.Of(at(7), u)
+	announcement, _ = known.Latest(at(7), u)
 	assert.Equal(t, announcement.Limit.String(), "4")
 }
 
@@ -140,21 +140,21 @@
 	u := definer.UpstreamStart{Upstream: "u"}
 	var latest announcer.Counts
 	known := announcer.New(announcer.WithCounts(func(counts announcer.Counts) { latest = counts }))
-	known.Hear(at(1), u, at(0), limit(3))
-	known.Hear(at(3), u, at(0.5), announcer.Announcement{Leaving: true})
+	known.Record(at(1), u, at(0), limit(3))
+	known.Record(at(3), u, at(0.5), announcer.Announcement{Leaving: true})
 	assert.Equal(t, latest, announcer.Counts{Limited: 1, Leaving: 1})
-	announcement, _ := known.Of(at(3), u)
+	announcement, _ := known.Latest(at(3), u)
 	assert.Assert(t, announcement.Leaving)
 	assert.Equal(t, announcement.Limit.String(), "3", "the answer without a limit may be older than the limit")
-	known.Hear(at(5), u, at(4), announcer.Announcement{})
+	known.Record(at(5), u, at(4), announcer.Announcement{})
 	known.Learn(at(6), "peer", []messenger.UpstreamAnnouncement{{Upstream: "u"}})
-	announcement, _ = known.Of(at(6), u)
+	announcement, _ = known.Latest(at(6), u)
 	assert.Assert(t, announcement.Leaving)
 	assert.Equal(t, announcement.Limit.String(), "none")
 
 	other := announcer.New()
 	tell(at(6), known, other, messenger.MemberLoad)
-	announcement, _ = other.Of(at(6), u)
+	announcement, _ = other.Latest(at(6), u)
 	assert.Assert(t, announcement.Leaving, "the report to a peer includes Leaving")
 }
 
@@ -163,9 +163,9 @@
 func TestAPeerThatKnowsNothingLiftsNoLimit(t *testing.T) {
 	u := definer.UpstreamStart{Upstream: "u"}
 	known := announcer.New()
-	known.Hear(at(1), u, at(0), limit(3))
-	known.Learn(at(2), "peer", []messenger.UpstreamAnnouncement{announcer.New().Encoded(at(2), u)})
-	announcement, _ := known.Of(at(2), u)
+	known.Record(at(1), u, at(0), limit(3))
+	known.Learn(at(2), "peer", []messenger.UpstreamAnnouncement{announcer.New().LatestEncoded(at(2), u)})
+	announcement, _ := known.Latest(at(2), u)
 	assert.Equal(t, announcement.Limit.String(), "3")
 }
 
@@ -190,13 +190,13 @@
 	const upstreams = 2800
 	from, to := announcer.New(), announcer.New()
 	for number := range upstreams {
-		from.Hear(at(1), definer.UpstreamStart{Upstream: definer.UpstreamName(fmt.Sprint("u", number))}, at(0), limit(2))
+		from.Record(at(1), definer.UpstreamStart{Upstream: definer.UpstreamName(fmt.Sprint("u", number))}, at(0), limit(2))
 	}
 	for step := range 100 {
 		assert.Assert(t, tell(at(1+float64(step)/10), from, to, messenger.MemberLoad) <= 64)
 	}
 	for number := range upstreams {
-		announcement, _ := to.Of(at(20), definer.UpstreamStart{Upstream: definer.UpstreamName(fmt.Sprint("u", number))})
+		announcement, _ := to.Latest(at(20), definer.UpstreamStart{Upstream: definer.UpstreamName(fmt.Sprint("u", number))})
 		assert.Equal(t, announcement.Limit.String(), "2", "%d", number)
 	}
 }
@@ -205,7 +205,7 @@
 func BenchmarkTell(bench *testing.B) {
 	known := announcer.New()
 	for number := range 2800 {
-		known.Hear(at(1), definer.UpstreamStart{Upstream: definer.UpstreamName(fmt.Sprint("u", number))}, at(0), limit(2))
+		known.Record(at(1), definer.UpstreamStart{Upstream: definer.UpstreamName(fmt.Sprint("u", number))}, at(0), limit(2))
 	}
 	step := 0
 	for bench.Loop() {
--- a/budgeter/budgeter.go
+++ b/budgeter/budgeter.go
@@ -43,15 +43,15 @@
 	return &Budgeter{policy: policy, start: start, windows: make(map[definer.PoolName]*window)}
 }
 
-// First counts the first send of a request.
-func (budgeter *Budgeter) First(service definer.PoolName, now time.Time) {
+// RecordFirstSend counts the first send of a request.
+func (budgeter *Budgeter) RecordFirstSend(service definer.PoolName, now time.Time) {
 	budgeter.mutex.Lock()
 	defer budgeter.mutex.Unlock()
 	budgeter.bucket(service, now).firstSends++
 }
 
-// Take reports whether a retry is allowed, and counts it if so.
-func (budgeter *Budgeter) Take(service definer.PoolName, now time.Time) bool {
+// AllowRetry reports whether a retry is allowed, and counts it if so.
+func (budgeter *Budgeter) AllowRetry(service definer.PoolName, now time.Time) bool {
 	budgeter.mutex.Lock()
 	defer budgeter.mutex.Unlock()
 	bucket := budgeter.bucket(service, now)
--- a/budgeter/budgeter_test.go
+++ b/budgeter/budgeter_test.go
@@ -17,7 +17,7 @@
 	taken := func(tries int) int {
 		count := 0
 		for range tries {
-			if budget.Take("s", now) {
+			if budget.AllowRetry("s", now) {
 				count++
 			}
 		}
@@ -25,7 +25,7 @@
 	}
 	assert.Equal(t, taken(5), 2)
 	for range 20 {
-		budget.First("s", now)
+		budget.RecordFirstSend("s", now)
 	}
 	assert.Equal(t, taken(10), 4)
 	// Spent retries become available again once the window has passed, and the retries earned
@@ -48,7 +48,7 @@
 		retries := 0
 		for range count {
 			budget := budgeter.New(budgeter.Policy{Slack: slack, Nodes: fixedNodes(count), Window: 10 * time.Second}, now)
-			for budget.Take("s", now) {
+			for budget.AllowRetry("s", now) {
 				retries++
 			}
 		}
--- a/commander/explain.go
+++ b/commander/explain.go
@@ -108,7 +108,7 @@
 	case verdict.Failure() != nil:
 		return "does not match, its condition failed: " + verdict.Failure().Error()
 	case !verdict.Holds():
-		return "does not match: " + matcher.FirstFalse(verdict.Rule().When(), properties) + " is false"
+		return "does not match: " + matcher.FirstFalseOperand(verdict.Rule().When(), properties) + " is false"
 	case verdict.Rule().Refusal() != "":
 		return "matches; the request is refused: " + verdict.Rule().Refusal()
 	default:
--- a/decider/action.go
+++ b/decider/action.go
@@ -13,8 +13,8 @@
 // RequestAction is an action for one request of this node's callers.
 type RequestAction interface {
 	Action
-	// For returns the id of the request.
-	For() definer.RequestID
+	// RequestID returns the id of the request.
+	RequestID() definer.RequestID
 }
 
 // StartAttempt sends a request to an upstream.
@@ -35,7 +35,7 @@
 	// keeps its answer continues when the caller disconnects.
 	KeepAnswer bool
 	// StartBy, unless zero, is the time after which no first byte may be sent
-	// to the upstream; the attempt then ends as Unsent.
+	// to the upstream; the attempt then ends as AttemptUnsent.
 	StartBy time.Time
 }
 
@@ -94,7 +94,7 @@
 	Remaining time.Duration
 }
 
-// KeyIssued answers KeyWanted with a key bound to this process. The key is
+// KeyIssued answers KeyRequested with a key bound to this process. The key is
 // empty while the node stops, because the key would end with it.
 type KeyIssued struct {
 	Request definer.RequestID
@@ -155,7 +155,7 @@
 // WatchPlatform says whether this node is to watch the platform's list of VMs
 // and its configuration.
 type WatchPlatform struct {
-	Hold bool
+	Watch bool
 }
 
 // Record counts one ended request in the metrics.
@@ -164,8 +164,8 @@
 	Class        definer.ClassName
 	Pool         definer.PoolName
 	Organisation definer.OrganisationName
-	// Met reports that the whole answer came within the class's targets.
-	Met bool
+	// MetTargets reports that the whole answer came within the class's targets.
+	MetTargets bool
 	// Complete reports that the caller got the whole answer.
 	Complete bool
 	// Reason is empty for a complete request.
@@ -216,23 +216,23 @@
 func (ConfigurationApplied) isAction() {}
 func (Stopped) isAction()              {}
 
-// For returns the id of the request.
-func (action StartAttempt) For() definer.RequestID { return action.Request }
+// RequestID returns the id of the request.
+func (action StartAttempt) RequestID() definer.RequestID { return action.Request }
 
-// For returns the id of the request.
-func (action CancelAttempt) For() definer.RequestID { return action.Request }
+// RequestID returns the id of the request.
+func (action CancelAttempt) RequestID() definer.RequestID { return action.Request }
 
-// For returns the id of the request.
-func (action RefuseRequest) For() definer.RequestID { return action.Request }
+// RequestID returns the id of the request.
+func (action RefuseRequest) RequestID() definer.RequestID { return action.Request }
 
-// For returns the id of the request.
-func (action FinishRequest) For() definer.RequestID { return action.Request }
+// RequestID returns the id of the request.
+func (action FinishRequest) RequestID() definer.RequestID { return action.Request }
 
-// For returns the id of the request.
-func (action ReplayAnswer) For() definer.RequestID { return action.Request }
+// RequestID returns the id of the request.
+func (action ReplayAnswer) RequestID() definer.RequestID { return action.Request }
 
-// For returns the id of the request.
-func (action ForwardCall) For() definer.RequestID { return action.Request }
+// RequestID returns the id of the request.
+func (action ForwardCall) RequestID() definer.RequestID { return action.Request }
 
-// For returns the id of the request.
-func (action KeyIssued) For() definer.RequestID { return action.Request }
+// RequestID returns the id of the request.
+func (action KeyIssued) RequestID() definer.RequestID { return action.Request }
--- a/decider/admission.go
+++ b/decider/admission.go
@@ -23,7 +23,7 @@
 // earlyRejection judges a request by the expected wait that its shard's owner
 // reported last. It returns true with the verdict when an ask would be refused.
 func (requester *requester) earlyRejection(request *request) (admitter.Verdict, bool) {
-	verdict := requester.admitter.Judge(requester.now, admitter.Request{
+	verdict := requester.admitter.Decide(requester.now, admitter.Request{
 		Shard:    request.shard,
 		Class:    request.class,
 		Arrival:  request.arrived,
@@ -45,7 +45,7 @@
 		requester.admitter.Forget(answer.Shard)
 		requester.hintTenures[answer.Shard] = present
 	}
-	requester.admitter.Hear(requester.now, answer.Shard, request.class.Name(), answer.ExpectedWait)
+	requester.admitter.RecordWait(requester.now, answer.Shard, request.class.Name(), answer.ExpectedWait)
 }
 
 // forgetHints drops the expected waits of shards whose owner has changed.
--- a/decider/candidates.go
+++ b/decider/candidates.go
@@ -18,7 +18,7 @@
 func (requester *requester) candidateShards(request *request) []messenger.Shard {
 	dataCentres := slices.Clone(request.pool.DataCentres())
 	wait := func(shard messenger.Shard) time.Duration {
-		return requester.admitter.Wait(requester.now, shard, request.class.Name())
+		return requester.admitter.ExpectedWait(requester.now, shard, request.class.Name())
 	}
 	groups := make(map[definer.DataCentre][]messenger.Shard)
 	for _, dataCentre := range dataCentres {
--- a/decider/capacity_test.go
+++ b/decider/capacity_test.go
@@ -84,7 +84,7 @@
 		document.Rules[7].Then.DeadlineMs = int(version)
 		sums, sections, err := sectioner.Cut(document)
 		assert.NilError(b, err)
-		return decider.ConfigurationFound{Head: decider.Head{Version: version, Sections: sums}, Contents: sections}
+		return decider.ConfigurationFound{Head: decider.ConfigurationHead{Version: version, Sections: sums}, Contents: sections}
 	}
 	now := time.Unix(1_800_000_000, 0)
 	first := change()
--- a/decider/claims.go
+++ b/decider/claims.go
@@ -107,7 +107,7 @@
 	switch event := event.(type) {
 	case started:
 		claims.local = claimer.NewLocal(claims.self, claims.now, claims.seed)
-	case KeyWanted:
+	case KeyRequested:
 		claims.emit(KeyIssued{Request: event.Request, Key: claims.issueLocalKey()})
 	case claimRequested:
 		claims.begin(event)
--- a/decider/claims_property_test.go
+++ b/decider/claims_property_test.go
@@ -61,7 +61,7 @@
 	world.lossRate, world.treatsLostAsDone = 0.05, credulous
 	world.onCall = world.unreliable
 	world.fate = func(StartAttempt) attemptFate {
-		results := []attemptFate{{true, Complete, 0}, {true, Complete, 0}, {true, Complete, 0}, {true, Cut, 0}, {false, Cut, 0}, {false, RefusedUnrun, 0}, {false, Unsent, 0}}
+		results := []attemptFate{{true, AttemptComplete, 0}, {true, AttemptComplete, 0}, {true, AttemptComplete, 0}, {true, AttemptCut, 0}, {false, AttemptCut, 0}, {false, AttemptRefused, 0}, {false, AttemptUnsent, 0}}
 		fate := results[world.random.IntN(len(results))]
 		fate.delay = time.Duration(world.random.IntN(300)) * time.Millisecond
 		return fate
--- a/decider/claims_test.go
+++ b/decider/claims_test.go
@@ -33,7 +33,7 @@
 func TestKeyedCalls(t *testing.T) {
 	t.Parallel()
 	slowly := func(StartAttempt) attemptFate {
-		return attemptFate{runs: true, result: Complete, delay: 50 * time.Millisecond}
+		return attemptFate{runs: true, result: AttemptComplete, delay: 50 * time.Millisecond}
 	}
 	const key = "org/k1/b"
 	lostWrite := func(effect bool) func(definer.VM, CallPlatform) callFate {
@@ -54,7 +54,7 @@
 				first = false
 				return attemptFate{runs: runs, result: result, delay: 5 * time.Millisecond}
 			}
-			return attemptFate{runs: true, result: Complete, delay: 5 * time.Millisecond}
+			return attemptFate{runs: true, result: AttemptComplete, delay: 5 * time.Millisecond}
 		}
 	}
 	inTurn := func(world *world) {
@@ -88,11 +88,11 @@
 		{name: "repeat after the end", drive: func(_ *testing.T, w *world) { inTurn(w) }, runs: 1, first: "answer", second: "replay"},
 		{name: "lost write that took effect", onCall: lostWrite(true), drive: func(_ *testing.T, w *world) { inTurn(w) }, runs: 1, first: "answer", second: "replay"},
 		{name: "lost write without effect", onCall: lostWrite(false), drive: func(_ *testing.T, w *world) { inTurn(w) }, runs: 1, first: "answer", second: "replay"},
-		{name: "not run frees the key", fate: ends(false, RefusedUnrun), drive: func(_ *testing.T, w *world) {
+		{name: "not run frees the key", fate: ends(false, AttemptRefused), drive: func(_ *testing.T, w *world) {
 			inTurn(w)
 		}, runs: 1, first: "noUpstream notRun", second: "answer"},
-		{name: "cut after it ran", fate: ends(true, Cut), drive: func(_ *testing.T, w *world) { inTurn(w) }, runs: 1, first: "upstreamFailed unknown", second: "keyUnknown unknown"},
-		{name: "cut before it ran", fate: ends(false, Cut), drive: func(_ *testing.T, w *world) { inTurn(w) }, runs: 0, first: "upstreamFailed unknown", second: "keyUnknown unknown"},
+		{name: "cut after it ran", fate: ends(true, AttemptCut), drive: func(_ *testing.T, w *world) { inTurn(w) }, runs: 1, first: "upstreamFailed unknown", second: "keyUnknown unknown"},
+		{name: "cut before it ran", fate: ends(false, AttemptCut), drive: func(_ *testing.T, w *world) { inTurn(w) }, runs: 0, first: "upstreamFailed unknown", second: "keyUnknown unknown"},
 		{name: "another body", drive: func(_ *testing.T, w *world) {
 			w.send("a", "r1", key)
 			w.Run(3 * time.Second)
@@ -133,7 +133,7 @@
 			w.send("b", "r2", key)
 			w.Run(5 * time.Second)
 		}, runs: 1, first: "answer", second: "replay"},
-		{name: "caller left and the answer came", fate: ends(true, Abandoned), drive: func(_ *testing.T, w *world) { inTurn(w) }, runs: 1, first: "callerGone ran", second: "replay"},
+		{name: "caller left and the answer came", fate: ends(true, AttemptAbandoned), drive: func(_ *testing.T, w *world) { inTurn(w) }, runs: 1, first: "callerGone ran", second: "replay"},
 		{name: "frozen past the start bound before the claim is known", drive: freezeAt(claiming), runs: 1, first: "waitExceeded notRun", second: "answer"},
 		{name: "frozen past the start bound before the first byte", drive: freezeAt(running), runs: 1, first: "noUpstream notRun", second: "answer"},
 		{name: "draining with a key", drive: func(_ *testing.T, w *world) {
@@ -248,7 +248,7 @@
 func TestLocalKeys(t *testing.T) {
 	world := newWorld(t, 1, "a", "b")
 	world.platform.away = true
-	world.handle(world.nodes["a"], KeyWanted{Request: "wanted"})
+	world.handle(world.nodes["a"], KeyRequested{Request: "wanted"})
 	key := "org/" + world.issued["wanted"] + "/b"
 	steps := []struct {
 		request definer.RequestID
--- a/decider/claims_world_test.go
+++ b/decider/claims_world_test.go
@@ -117,12 +117,12 @@
 		listed = append(listed, ListedVM{Name: string(name), DataCentre: "dc", Address: string(name)})
 	}
 	self := definer.Member{VM: vm, Incarnation: incarnation}
-	node := &node{decider: New(self, "dc", string(vm), WithVMs(listed), WithSeed(uint64(len(vm))+uint64(incarnation))), timers: make(clock.Timers[TimerKey])}
+	node := &node{decider: New(self, "dc", string(vm), WithBootstrapVMs(listed), WithSeed(uint64(len(vm))+uint64(incarnation))), timers: make(clock.Timers[TimerKey])}
 	world.nodes[vm] = node
 	world.carryOut(node, node.decider.Start(world.Now()))
 	sums, sections, err := sectioner.Cut(claimDocument())
 	assert.NilError(t, err)
-	world.handle(node, ConfigurationFound{Head: Head{Version: 1, Sections: sums}, Contents: sections})
+	world.handle(node, ConfigurationFound{Head: ConfigurationHead{Version: 1, Sections: sums}, Contents: sections})
 	world.handle(node, VMsListed{VMs: listed})
 }
 
@@ -224,8 +224,8 @@
 		world.After(wait, func() { world.attempt(node, action) })
 		return
 	}
-	ended := AttemptEnded{Request: action.Request, Attempt: action.Attempt, Result: Unsent}
-	fate := attemptFate{runs: true, result: Complete, delay: 5 * time.Millisecond}
+	ended := AttemptEnded{Request: action.Request, Attempt: action.Attempt, Result: AttemptUnsent}
+	fate := attemptFate{runs: true, result: AttemptComplete, delay: 5 * time.Millisecond}
 	if world.fate != nil {
 		fate = world.fate(action)
 	}
@@ -234,7 +234,7 @@
 		if fate.runs {
 			answer := world.serve(action.Request)
 			world.answers[action.Request] = answer
-			if fate.result == Complete || fate.result == Abandoned {
+			if fate.result == AttemptComplete || fate.result == AttemptAbandoned {
 				ended.Answer = &StoredAnswer{Status: 200, Body: []byte(answer)}
 			}
 		}
@@ -257,15 +257,15 @@
 		fate = callFate{lost: true, delay: 10 * time.Millisecond}
 	}
 	world.After(fate.delay/2, func() {
-		answer := PlatformAnswered{Result: Lost}
+		answer := PlatformAnswered{Result: CallLost}
 		if fate.effect {
 			answer = world.platform.do(call)
 		}
 		if fate.lost {
-			answer = PlatformAnswered{Result: Lost}
+			answer = PlatformAnswered{Result: CallLost}
 		}
 		if fate.lost && world.treatsLostAsDone && call.Verb != ReadObject {
-			answer = PlatformAnswered{Result: Done, Version: call.Version + 1}
+			answer = PlatformAnswered{Result: CallDone, Version: call.Version + 1}
 		}
 		answer.Call = call.Call
 		world.After(fate.delay/2, func() { world.handle(node, answer) })
@@ -278,21 +278,21 @@
 	name := call.Kind + "/" + call.Name
 	object, ok := platform.objects[name]
 	if !ok {
-		object.Result = Missing
+		object.Result = CallMissing
 	}
 	switch {
 	case call.Verb == ReadObject:
 		return object
 	case call.Version != object.Version:
 		if ok {
-			object.Result = Conflict
+			object.Result = CallConflict
 		}
 		return object
 	case call.Verb == DeleteObject:
 		delete(platform.objects, name)
-		return PlatformAnswered{Result: Done}
+		return PlatformAnswered{Result: CallDone}
 	}
-	platform.objects[name] = PlatformAnswered{Result: Done, Version: object.Version + 1, Value: call.Value}
+	platform.objects[name] = PlatformAnswered{Result: CallDone, Version: object.Version + 1, Value: call.Value}
 	return platform.objects[name]
 }
 
--- a/decider/cluster_test.go
+++ b/decider/cluster_test.go
@@ -30,7 +30,7 @@
 	nodes      map[definer.VM]*clusterNode
 	deliveries []delivery
 	listed     []ListedVM
-	head       Head
+	head       ConfigurationHead
 	data       []messenger.Section
 	loss       float64
 	cut        func(from, to definer.VM) bool
@@ -115,7 +115,7 @@
 	}
 	sums, sections, err := sectioner.Cut(clusterDocument(dataCentres))
 	assert.NilError(t, err)
-	cluster.head, cluster.data = Head{Version: 1, Sections: sums}, sections
+	cluster.head, cluster.data = ConfigurationHead{Version: 1, Sections: sums}, sections
 	for d := range dataCentres {
 		for v := range perDataCentre {
 			cluster.listed = append(cluster.listed, listedVM(fmt.Sprintf("dc%d-vm%d", d, v), d))
@@ -134,7 +134,7 @@
 
 func (cluster *cluster) start(vm ListedVM, incarnation definer.Incarnation) *clusterNode {
 	node := &clusterNode{dataCentre: vm.DataCentre, timers: make(map[TimerKey]time.Time)}
-	node.decider = New(definer.Member{VM: definer.VM(vm.Name), Incarnation: incarnation}, vm.DataCentre, vm.Address, WithVMs(cluster.listed))
+	node.decider = New(definer.Member{VM: definer.VM(vm.Name), Incarnation: incarnation}, vm.DataCentre, vm.Address, WithBootstrapVMs(cluster.listed))
 	cluster.nodes[definer.VM(vm.Name)] = node
 	cluster.carryOut(node, node.decider.Start(cluster.now))
 	cluster.handle(node, ConfigurationFound{Head: cluster.head, Contents: cluster.data})
@@ -217,7 +217,7 @@
 	dataCentre := action.Upstream.DataCentre()
 	cluster.peak[dataCentre] = max(cluster.peak[dataCentre], sum)
 	cluster.deliveries = append(cluster.deliveries, delivery{at: cluster.now.Add(cluster.service), to: entry.VM, run: entry, event: AttemptEnded{
-		Request: action.Request, Attempt: action.Attempt, Result: Complete, Delivered: tokens, Begun: true,
+		Request: action.Request, Attempt: action.Attempt, Result: AttemptComplete, Delivered: tokens, AnswerBegun: true,
 		Observation: messenger.Observation{FirstToken: time.Second, BetweenTokens: 20 * time.Millisecond, Tokens: tokens, Total: cluster.service},
 	}, then: func() { delete(cluster.running[name], action.Attempt) }})
 }
@@ -226,7 +226,7 @@
 // start.
 func (cluster *cluster) endUpstream(entry definer.Member, action StartAttempt) {
 	cluster.deliveries = append(cluster.deliveries, delivery{at: cluster.now.Add(40 * time.Millisecond), to: entry.VM, run: entry, event: AttemptEnded{
-		Request: action.Request, Attempt: action.Attempt, Result: Cut, UpstreamEnded: true,
+		Request: action.Request, Attempt: action.Attempt, Result: AttemptCut, UpstreamEnded: true,
 	}, then: func() {
 		delete(cluster.running[action.Upstream.Name()], action.Attempt)
 		cluster.endedUpstreams++
@@ -263,7 +263,7 @@
 	}
 	event := delivery.event
 	if ended, ok := event.(AttemptEnded); ok && slices.Contains(cluster.canceled, ended.Attempt) {
-		ended.Result, ended.Resumable = Cut, true
+		ended.Result, ended.Resumable = AttemptCut, true
 		event = ended
 	}
 	cluster.handle(node, event)
--- a/decider/configurer.go
+++ b/decider/configurer.go
@@ -53,7 +53,7 @@
 	*core
 	// head lists the sections of the configuration in force; digest is the
 	// digest of that list.
-	head   Head
+	head   ConfigurationHead
 	digest string
 	// appliedAt is when head came into force.
 	appliedAt time.Time
@@ -173,7 +173,7 @@
 		return
 	}
 	configurer.core.watching = hold
-	configurer.emit(WatchPlatform{Hold: hold})
+	configurer.emit(WatchPlatform{Watch: hold})
 }
 
 // handleFound handles a configuration that was read from the platform.
@@ -205,7 +205,7 @@
 
 // apply applies a newer configuration if it is complete and passes its checks.
 // One that fails its checks is remembered as rejected.
-func (configurer *configurer) apply(head Head, digest string, contents map[string][]byte) {
+func (configurer *configurer) apply(head ConfigurationHead, digest string, contents map[string][]byte) {
 	configuration, compiled, err := check(head, contents)
 	if err != nil {
 		configurer.log(EventConfigurationRejected, "version", head.Version, "cause", err)
@@ -266,7 +266,7 @@
 
 // check joins the sections of a version and returns the checked configuration
 // with its compiled rules.
-func check(head Head, contents map[string][]byte) (*definer.Configuration, *matcher.Matcher, error) {
+func check(head ConfigurationHead, contents map[string][]byte) (*definer.Configuration, *matcher.Matcher, error) {
 	sections := make([]messenger.Section, 0, len(head.Sections))
 	for _, sum := range head.Sections {
 		sections = append(sections, messenger.Section{Hash: sum.Hash, Data: contents[sum.Hash]})
--- a/decider/deadline_test.go
+++ b/decider/deadline_test.go
@@ -32,7 +32,7 @@
 	}
 	decider := New(self, "dc", "here")
 	actions := decider.Start(now)
-	actions = append(actions, decider.Handle(now, ConfigurationFound{Head: Head{Version: 1, Sections: sums}, Contents: sections})...)
+	actions = append(actions, decider.Handle(now, ConfigurationFound{Head: ConfigurationHead{Version: 1, Sections: sums}, Contents: sections})...)
 	actions = append(actions, decider.Handle(now, MessageReceived{From: members[0].Member, DataCentre: "dc", Message: &messenger.HeartbeatAnswer{Changes: members}})...)
 	assert.Equal(t, len(decider.core.roster.members), len(members)+1)
 	actions = append(actions, decider.Handle(now, RequestArrived{
--- a/decider/decider.go
+++ b/decider/decider.go
@@ -43,9 +43,9 @@
 // Option sets one option of a Decider.
 type Option func(*core)
 
-// WithVMs sets the VMs that the node knows before it can read the platform's
+// WithBootstrapVMs sets the VMs that the node knows before it can read the platform's
 // list.
-func WithVMs(vms []ListedVM) Option {
+func WithBootstrapVMs(vms []ListedVM) Option {
 	return func(core *core) { core.bootstrapVMs = vms }
 }
 
--- a/decider/ending.go
+++ b/decider/ending.go
@@ -21,18 +21,18 @@
 	requester.suspicions.handleAttemptEnd(request, event)
 	requester.release(request, event.Observation)
 	request.delivered = max(request.delivered, event.Delivered)
-	request.answerBegun = request.answerBegun || event.Begun
+	request.answerBegun = request.answerBegun || event.AnswerBegun
 	if request.firstToken == 0 && event.Observation.FirstToken > 0 {
 		request.firstToken = request.attemptStarted.Sub(request.arrived) + event.Observation.FirstToken
 	}
-	if event.Result != Unsent && event.Result != RefusedUnrun {
+	if event.Result != AttemptUnsent && event.Result != AttemptRefused {
 		request.mayHaveRun = true
 	}
 	request.answer = event.Answer
 	switch event.Result {
-	case Complete:
+	case AttemptComplete:
 		requester.finish(request, event)
-	case Abandoned:
+	case AttemptAbandoned:
 		requester.refuse(request, messenger.CallerGone, 0)
 	default:
 		requester.retryOrRefuse(request, event)
@@ -43,7 +43,7 @@
 func (requester *requester) finish(request *request, event AttemptEnded) {
 	requester.budget.earn(requester.configuration.RetryShare())
 	requester.emit(FinishRequest{Request: request.id})
-	requester.close(request, Record{Complete: true, Met: requester.metTargets(request, event), Outcome: definer.Ran, BetweenTokens: event.Observation.BetweenTokens})
+	requester.close(request, Record{Complete: true, MetTargets: requester.metTargets(request, event), Outcome: definer.Ran, BetweenTokens: event.Observation.BetweenTokens})
 }
 
 // metTargets reports whether a whole answer came within its class's targets.
@@ -104,7 +104,7 @@
 		return false
 	}
 	// An attempt that never reached its upstream costs nothing to repeat.
-	return event.Result == Unsent || requester.budget.spend()
+	return event.Result == AttemptUnsent || requester.budget.spend()
 }
 
 // refuse ends a request with an error.
--- a/decider/event.go
+++ b/decider/event.go
@@ -32,8 +32,8 @@
 	Forwarded bool
 }
 
-// KeyWanted reports that a caller asks for a key bound to this process.
-type KeyWanted struct {
+// KeyRequested reports that a caller asks for a key bound to this process.
+type KeyRequested struct {
 	Request definer.RequestID
 }
 
@@ -53,21 +53,21 @@
 type AttemptResult string
 
 const (
-	// Complete attempts delivered the whole answer to the caller.
-	Complete AttemptResult = "complete"
-	// Unsent attempts wrote no byte to the upstream.
-	Unsent AttemptResult = "unsent"
-	// RefusedUnrun attempts were refused by the upstream in a way that proves
+	// AttemptComplete attempts delivered the whole answer to the caller.
+	AttemptComplete AttemptResult = "complete"
+	// AttemptUnsent attempts wrote no byte to the upstream.
+	AttemptUnsent AttemptResult = "unsent"
+	// AttemptRefused attempts were refused by the upstream in a way that proves
 	// that they did not run.
-	RefusedUnrun AttemptResult = "refusedUnrun"
-	// Cut attempts ended before the end mark of the answer.
-	Cut AttemptResult = "cut"
-	// Broken attempts got an invalid answer.
-	Broken AttemptResult = "broken"
-	// TimedOut attempts received no byte for too long.
-	TimedOut AttemptResult = "timedOut"
-	// Abandoned attempts ended because the caller disconnected.
-	Abandoned AttemptResult = "abandoned"
+	AttemptRefused AttemptResult = "refusedUnrun"
+	// AttemptCut attempts ended before the end mark of the answer.
+	AttemptCut AttemptResult = "cut"
+	// AttemptBroken attempts got an invalid answer.
+	AttemptBroken AttemptResult = "broken"
+	// AttemptTimedOut attempts received no byte for too long.
+	AttemptTimedOut AttemptResult = "timedOut"
+	// AttemptAbandoned attempts ended because the caller disconnected.
+	AttemptAbandoned AttemptResult = "abandoned"
 )
 
 // StoredAnswer is a whole answer, stored to be replayed to a repeat of its
@@ -85,8 +85,8 @@
 	Result  AttemptResult
 	// Delivered counts the tokens of the whole request that the caller got.
 	Delivered int
-	// Begun reports that the caller has got a part of the answer.
-	Begun bool
+	// AnswerBegun reports that the caller has got a part of the answer.
+	AnswerBegun bool
 	// Resumable reports that a next attempt can continue after the token
 	// Delivered.
 	Resumable   bool
@@ -138,12 +138,12 @@
 
 // ConfigurationFound reports a configuration read from the platform.
 type ConfigurationFound struct {
-	Head     Head
+	Head     ConfigurationHead
 	Contents []messenger.Section
 }
 
-// Head lists the sections of one version of the configuration.
-type Head struct {
+// ConfigurationHead lists the sections of one version of the configuration.
+type ConfigurationHead struct {
 	Version  uint64
 	Sections []messenger.SectionSum
 }
@@ -163,16 +163,16 @@
 type PlatformResult string
 
 const (
-	// Done calls took effect; for a read, the object was found.
-	Done PlatformResult = "done"
-	// Conflict calls named another version than the object has.
-	Conflict PlatformResult = "conflict"
-	// Missing calls found no object.
-	Missing PlatformResult = "missing"
-	// Lost calls got no answer; they may have taken effect.
-	Lost PlatformResult = "lost"
-	// Rejected calls were refused and had no effect.
-	Rejected PlatformResult = "rejected"
+	// CallDone calls took effect; for a read, the object was found.
+	CallDone PlatformResult = "done"
+	// CallConflict calls named another version than the object has.
+	CallConflict PlatformResult = "conflict"
+	// CallMissing calls found no object.
+	CallMissing PlatformResult = "missing"
+	// CallLost calls got no answer; they may have taken effect.
+	CallLost PlatformResult = "lost"
+	// CallRejected calls were refused and had no effect.
+	CallRejected PlatformResult = "rejected"
 )
 
 // UpstreamLeaving reports that an upstream announced that it is leaving, in its
@@ -204,7 +204,7 @@
 type DrainRequested struct{}
 
 func (RequestArrived) isEvent()     {}
-func (KeyWanted) isEvent()          {}
+func (KeyRequested) isEvent()       {}
 func (CallForwarded) isEvent()      {}
 func (CallerLeft) isEvent()         {}
 func (AttemptEnded) isEvent()       {}
--- a/decider/fetcher.go
+++ b/decider/fetcher.go
@@ -166,7 +166,7 @@
 		return
 	}
 	configurer.endFetch()
-	head := Head{Version: answer.Version, Sections: fetch.sums}
+	head := ConfigurationHead{Version: answer.Version, Sections: fetch.sums}
 	configurer.apply(head, fetch.digest, configurer.collectSections(fetch.sums, fetch.contents))
 }
 
--- a/decider/fleet_test.go
+++ b/decider/fleet_test.go
@@ -31,7 +31,7 @@
 	platformAway func(definer.DataCentre) bool
 	// head and contents are the platform's configuration; accepted holds the
 	// digest of each version that passes its checks.
-	head     decider.Head
+	head     decider.ConfigurationHead
 	contents []messenger.Section
 	accepted map[uint64]string
 	// onMessage is called with every message that is sent.
@@ -73,7 +73,7 @@
 	vm := fleet.listed[index]
 	node := &fleetNode{vm: vm, timers: make(clock.Timers[decider.TimerKey])}
 	self := definer.Member{VM: definer.VM(vm.Name), Incarnation: definer.Incarnation(fleet.Now().UnixNano())}
-	node.decider = decider.New(self, vm.DataCentre, vm.Address, decider.WithVMs(seeds))
+	node.decider = decider.New(self, vm.DataCentre, vm.Address, decider.WithBootstrapVMs(seeds))
 	fleet.nodes[self.VM] = node
 	fleet.carryOut(node, node.decider.Start(fleet.Now()))
 }
@@ -104,14 +104,14 @@
 		case decider.ClearTimer:
 			node.timers.Clear(action.Key)
 		case decider.WatchPlatform:
-			node.watching = action.Hold
+			node.watching = action.Watch
 			fleet.notifyWatcher(node)
 		case decider.ConfigurationApplied:
 			fleet.applied(node, action.Configuration)
 		case decider.StartAttempt:
 			fleet.served[action.Upstream.Name()]++
 			fleet.After(10*time.Millisecond, func() {
-				fleet.handle(node, decider.AttemptEnded{Request: action.Request, Attempt: action.Attempt, Result: decider.Complete, Begun: true, Delivered: 1})
+				fleet.handle(node, decider.AttemptEnded{Request: action.Request, Attempt: action.Attempt, Result: decider.AttemptComplete, AnswerBegun: true, Delivered: 1})
 			})
 		case decider.LogEvent:
 			fleet.logged[action.Number]++
@@ -152,7 +152,7 @@
 func (fleet *fleet) store(version uint64, document definer.Document, accepted bool) {
 	sums, sections, err := sectioner.Cut(document)
 	assert.NilError(fleet.t, err)
-	fleet.head, fleet.contents = decider.Head{Version: version, Sections: sums}, sections
+	fleet.head, fleet.contents = decider.ConfigurationHead{Version: version, Sections: sums}, sections
 	if accepted {
 		fleet.accepted[version] = sectioner.Digest(sums)
 	}
--- a/decider/keyed.go
+++ b/decider/keyed.go
@@ -89,7 +89,7 @@
 		requester.askNextShard(request, messenger.NoUpstream, defaultRetryAfter)
 	case messenger.ClaimReplay:
 		requester.emit(ReplayAnswer{Request: request.id, Answer: StoredAnswer(*event.answer)})
-		requester.close(request, Record{Complete: true, Met: requester.metTargets(request, AttemptEnded{}), Outcome: definer.Ran})
+		requester.close(request, Record{Complete: true, MetTargets: requester.metTargets(request, AttemptEnded{}), Outcome: definer.Ran})
 	case claimElsewhere:
 		requester.forward(request, event.holder)
 	default:
--- a/decider/limits.go
+++ b/decider/limits.go
@@ -59,7 +59,7 @@
 
 // learnFromUpstream records the limit that an answer of an upstream announced.
 func (limits *limits) learnFromUpstream(event UpstreamAnnounced) {
-	limits.announcer.Hear(limits.now, definer.UpstreamStart{Upstream: event.Upstream}, event.SentAt, announcer.Announcement{Limit: event.Limit})
+	limits.announcer.Record(limits.now, definer.UpstreamStart{Upstream: event.Upstream}, event.SentAt, announcer.Announcement{Limit: event.Limit})
 }
 
 // learnFromPeer records the limit that a peer reported.
@@ -120,7 +120,7 @@
 
 func (limits *limits) sendNotice(to definer.VM, shard messenger.Shard, name definer.UpstreamName) {
 	limits.send(to, &messenger.LimitNotice{
-		Shard: shard, Announcement: limits.announcer.Encoded(limits.now, definer.UpstreamStart{Upstream: name}),
+		Shard: shard, Announcement: limits.announcer.LatestEncoded(limits.now, definer.UpstreamStart{Upstream: name}),
 	})
 }
 
--- a/decider/memory_test.go
+++ b/decider/memory_test.go
@@ -54,14 +54,14 @@
 		requester.requests["r"] = &request{id: "r", class: class}
 		defer delete(requester.requests, "r")
 		requester.recordExpectedWait(requester.roster.members[from].Member, &messenger.GrantAnswer{Shard: shard, Request: "r", ExpectedWait: wait})
-		return requester.admitter.Wait(heard, shard, class.Name())
+		return requester.admitter.ExpectedWait(heard, shard, class.Name())
 	}
 	assert.Equal(t, hear(owner, time.Minute), time.Minute)
 	assert.Equal(t, hear(others[1], 0), time.Minute, "only the owner knows the queue")
 	delete(cluster.nodes, owner)
 	cluster.run(10 * time.Second)
 	assert.Assert(t, cluster.owner(others[0], "dc0") != owner)
-	assert.Equal(t, requester.admitter.Wait(heard, shard, class.Name()), time.Duration(0))
+	assert.Equal(t, requester.admitter.ExpectedWait(heard, shard, class.Name()), time.Duration(0))
 	assert.Equal(t, len(requester.hintTenures), 0)
 }
 
--- a/decider/owner.go
+++ b/decider/owner.go
@@ -152,7 +152,7 @@
 func (owner *owner) applyLimit(name definer.UpstreamName) {
 	for _, shard := range sortedShards(owner.shards) {
 		owned := owner.shards[shard]
-		owner.sendDecisions(owned, owned.scheduler.SetLimit(owner.now, name, owner.limits.limited[name]))
+		owner.sendDecisions(owned, owned.scheduler.SetRateLimit(owner.now, name, owner.limits.limited[name]))
 	}
 	owner.limits.tellOwners(owner.leavers.shardsWith)
 }
@@ -197,10 +197,10 @@
 	}
 	upstreams := upstreamsOf(pool, shard)
 	owned.retain(upstreams)
-	owned.scheduler.Adjust(pool)
+	owned.scheduler.SetPool(pool)
 	owner.sendDecisions(owned, owned.scheduler.Configure(owner.now, owner.leavers.serving(upstreams), owner.configuration.Classes()))
 	for _, name := range owner.limits.names() {
-		owner.sendDecisions(owned, owned.scheduler.SetLimit(owner.now, name, owner.limits.limited[name]))
+		owner.sendDecisions(owned, owned.scheduler.SetRateLimit(owner.now, name, owner.limits.limited[name]))
 	}
 	for _, vm := range sortedKeys(owner.earlyReports[shard]) {
 		early := owner.earlyReports[shard][vm]
@@ -247,7 +247,7 @@
 				owner.log(EventGrantReclaimed, "grant", grant, "vm", member.VM)
 			}
 			owned.forget(member)
-			owner.sendDecisions(owned, owned.scheduler.Forget(owner.now, member))
+			owner.sendDecisions(owned, owned.scheduler.RemoveMember(owner.now, member))
 		}
 	}
 }
--- a/decider/suspicions.go
+++ b/decider/suspicions.go
@@ -34,11 +34,11 @@
 	suspicions.quarantiner = quarantiner.New(
 		quarantiner.WithVerdicts(
 			func(held quarantiner.Suspicion) { core.log(EventHeldOff, held.Pairs()...) },
-			func(released quarantiner.Suspicion, why quarantiner.Release) {
+			func(released quarantiner.Suspicion, why quarantiner.ReleaseReason) {
 				core.log(EventReleased, append(released.Pairs(), "why", why)...)
 			},
 		),
-		quarantiner.WithoutRefreshUp(),
+		quarantiner.WithoutRefreshToAggregator(),
 	)
 	return suspicions
 }
@@ -48,7 +48,7 @@
 	switch {
 	case event.UpstreamEnded && request.upstream != nil && !request.upstream.Leaving():
 		suspicions.quarantiner.Fell(suspicions.now, definer.UpstreamStart{Upstream: request.upstream.Name()}, request.identity)
-	case event.Result == Complete:
+	case event.Result == AttemptComplete:
 		suspicions.quarantiner.Served(suspicions.now, request.identity)
 	}
 	suspicions.armNextTimer()
@@ -76,7 +76,7 @@
 func (suspicions *suspicions) armTimer(wait time.Duration) {
 	due := suspicions.now.Add(wait)
 	sooner := suspicions.timerDue.IsZero() || due.Before(suspicions.timerDue)
-	if !sooner || suspicions.quarantiner.Count() == 0 {
+	if !sooner || suspicions.quarantiner.SuspectCount() == 0 {
 		return
 	}
 	suspicions.timerDue = due
@@ -86,7 +86,7 @@
 // armNextTimer sets the timer for facts still to be sent, or else for the next
 // check.
 func (suspicions *suspicions) armNextTimer() {
-	if suspicions.quarantiner.IsTelling() {
+	if suspicions.quarantiner.HasPendingFacts() {
 		suspicions.armTimer(noticeBatchDelay)
 		return
 	}
--- a/dispatcher/attempt.go
+++ b/dispatcher/attempt.go
@@ -69,7 +69,7 @@
 func (attempt *attempt) endedEvent(result decider.AttemptResult) decider.AttemptEnded {
 	observation := attempt.observation
 	observation.Backoff = attempt.backoff
-	observation.Failed = result != decider.Complete && result != decider.Abandoned
+	observation.Failed = result != decider.AttemptComplete && result != decider.AttemptAbandoned
 	observation.Total = time.Since(attempt.began)
 	if observation.Tokens > 1 && !attempt.lastToken.IsZero() {
 		span := attempt.lastToken.Sub(attempt.began) - observation.FirstToken - observation.Paused
@@ -80,7 +80,7 @@
 		Attempt:       attempt.start.Attempt,
 		Result:        result,
 		Delivered:     attempt.delivered,
-		Begun:         attempt.sink.Begun(),
+		AnswerBegun:   attempt.sink.Begun(),
 		Resumable:     attempt.resumable,
 		Observation:   observation,
 		RetryAfter:    attempt.retryAfter,
@@ -97,15 +97,15 @@
 	result := attempt.send(ctx)
 	for range maxReconnects {
 		// An upstream with a rate limit needs a grant for each request.
-		if result != decider.Cut || !attempt.resumable || !attempt.start.Repeatable || attempt.limited || ctx.Err() != nil {
+		if result != decider.AttemptCut || !attempt.resumable || !attempt.start.Repeatable || attempt.limited || ctx.Err() != nil {
 			break
 		}
 		if resumed := attempt.send(ctx); mayHaveRun(resumed) {
 			result = resumed
 		}
 	}
-	if result == decider.Cut && ctx.Err() != nil {
-		return decider.TimedOut
+	if result == decider.AttemptCut && ctx.Err() != nil {
+		return decider.AttemptTimedOut
 	}
 	return result
 }
@@ -114,7 +114,7 @@
 func (attempt *attempt) send(ctx context.Context) decider.AttemptResult {
 	request, err := attempt.request(ctx)
 	if err != nil {
-		return decider.Unsent
+		return decider.AttemptUnsent
 	}
 	// The timer bounds the time to the response headers; the function that reads the body
 	// has its own timeouts.
@@ -129,11 +129,11 @@
 }
 
 // hasEndedUpstream reports, for an attempt whose answer was cut, whether the process of the
-// upstream has ended within quarantiner.FreshRun of the first token, or before it.
+// upstream has ended within quarantiner.SuspicionPeriod of the first token, or before it.
 func (attempt *attempt) hasEndedUpstream() bool {
 	now := time.Now()
 	first := attempt.observation.FirstToken
-	if first > 0 && now.Sub(attempt.began.Add(first)) > quarantiner.FreshRun {
+	if first > 0 && now.Sub(attempt.began.Add(first)) > quarantiner.SuspicionPeriod {
 		return false
 	}
 	start := definer.UpstreamStart{Upstream: attempt.start.Upstream.Name()}
@@ -157,9 +157,9 @@
 	attempt.closed = true
 	attempt.mutex.Unlock()
 	if connection == nil || !connection.stop() {
-		return decider.Unsent
+		return decider.AttemptUnsent
 	}
-	return decider.Cut
+	return decider.AttemptCut
 }
 
 // gotConnection records the connection on which the request is sent. It stops any further
@@ -226,11 +226,11 @@
 		return attempt.receiveWhole(response, refused)
 	case refused:
 		attempt.leaving = refusedAsLeaving(response)
-		return decider.RefusedUnrun
+		return decider.AttemptRefused
 	case attempt.start.Kind != definer.Engine:
 		return attempt.receiveWhole(response, false)
 	case response.StatusCode != http.StatusOK:
-		return decider.Broken
+		return decider.AttemptBroken
 	case attempt.exchange.Streamed:
 		return attempt.receiveStream(response)
 	default:
@@ -242,7 +242,7 @@
 // announces a changed limit or that the upstream is leaving. A refusal without a limit does not
 // lift one: the upstream may have sent the refusal before it had the limit.
 func (attempt *attempt) readStatement(response *http.Response, refused bool) {
-	said := interpreter.Interpret(response.StatusCode, response.Header)
+	said := interpreter.ParseAnnouncement(response.StatusCode, response.Header)
 	if said.Unreadable != "" {
 		attempt.dispatcher.log(logger.EventStatementUnreadable, "upstream", attempt.start.Upstream.Name(), "headers", said.Unreadable)
 	}
@@ -261,7 +261,7 @@
 	if echoed != "" {
 		attempt.dispatcher.log(logger.EventUpstreamMismatch, "request", attempt.start.Request, "attempt", attempt.start.Attempt, "upstream", attempt.start.Upstream.Name())
 	}
-	return decider.Broken
+	return decider.AttemptBroken
 }
 
 // isCallerError reports whether an engine's status means that every engine would reject
--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -114,9 +114,9 @@
 	}
 }
 
-// WithWholeTimeout sets the timeout for an engine's answer that is not streamed, of which
+// WithUnstreamedTimeout sets the timeout for an engine's answer that is not streamed, of which
 // no byte is sent before it is computed.
-func WithWholeTimeout(timeout time.Duration) Option {
+func WithUnstreamedTimeout(timeout time.Duration) Option {
 	return func(dispatcher *Dispatcher) { dispatcher.wholeTimeout = timeout }
 }
 
@@ -173,7 +173,7 @@
 }
 
 // Run executes one attempt and returns its result. If ctx ends before the answer is
-// complete, because the caller left, the result is Abandoned. An engine that may still run
+// complete, because the caller left, the result is AttemptAbandoned. An engine that may still run
 // the attempt is told to cancel it.
 func (dispatcher *Dispatcher) Run(ctx context.Context, start decider.StartAttempt, exchange Exchange, sink Sink, progress Progress) decider.AttemptEnded {
 	attemptContext, cancel := attemptContext(ctx, start.Deadline)
@@ -189,11 +189,11 @@
 		delivered:  start.Offset,
 	}
 	result := attempt.run(attemptContext)
-	attempt.upstreamEnded = result == decider.Cut && attemptContext.Err() == nil && attempt.hasEndedUpstream()
-	if ctx.Err() != nil && mayHaveRun(result) && result != decider.Complete {
-		result = decider.Abandoned
+	attempt.upstreamEnded = result == decider.AttemptCut && attemptContext.Err() == nil && attempt.hasEndedUpstream()
+	if ctx.Err() != nil && mayHaveRun(result) && result != decider.AttemptComplete {
+		result = decider.AttemptAbandoned
 	}
-	if start.Kind == definer.Engine && mayHaveRun(result) && result != decider.Complete {
+	if start.Kind == definer.Engine && mayHaveRun(result) && result != decider.AttemptComplete {
 		dispatcher.Cancel(start.Upstream, start.Attempt)
 	}
 	return attempt.endedEvent(result)
@@ -210,7 +210,7 @@
 
 // mayHaveRun reports whether the upstream may have run an attempt with the result.
 func mayHaveRun(result decider.AttemptResult) bool {
-	return result != decider.Unsent && result != decider.RefusedUnrun
+	return result != decider.AttemptUnsent && result != decider.AttemptRefused
 }
 
 func attemptContext(ctx context.Context, deadline time.Time) (context.Context, context.CancelFunc) {
--- a/dispatcher/dispatcher_test.go
+++ b/dispatcher/dispatcher_test.go
@@ -155,9 +155,9 @@
 			start := decider.StartAttempt{Kind: definer.Service, Repeatable: test.repeatable}
 			exchange := dispatcher.Exchange{Method: test.method, Body: []byte(test.body), Header: test.header}
 			first, _ := upstream.run(t, client, start, exchange)
-			assert.Equal(t, first.Result, decider.Complete)
+			assert.Equal(t, first.Result, decider.AttemptComplete)
 			second, _ := upstream.run(t, client, start, exchange)
-			assert.Equal(t, second.Result, decider.Cut)
+			assert.Equal(t, second.Result, decider.AttemptCut)
 			assert.Equal(t, upstream.requests.Load(), int64(2))
 		})
 	}
@@ -173,12 +173,12 @@
 	for _, repeatable := range []bool{false, true, true} {
 		start := decider.StartAttempt{Kind: definer.Service, Repeatable: repeatable, StartBy: time.Now()}
 		ended, _ := upstream.run(t, client, start, dispatcher.Exchange{Method: http.MethodPost, Body: []byte("{}")})
-		assert.Equal(t, ended.Result, decider.Unsent)
+		assert.Equal(t, ended.Result, decider.AttemptUnsent)
 		assert.Equal(t, upstream.bytes.Load(), int64(0), "bytes were sent although StartBy had passed")
 	}
 	start := decider.StartAttempt{Kind: definer.Service, StartBy: time.Now().Add(time.Hour)}
 	ended, _ := upstream.run(t, client, start, dispatcher.Exchange{Method: http.MethodPost})
-	assert.Equal(t, ended.Result, decider.Complete)
+	assert.Equal(t, ended.Result, decider.AttemptComplete)
 }
 
 // TestHead checks the results of answers that are not streamed, by their status, headers
@@ -190,23 +190,23 @@
 		result       decider.AttemptResult
 		outcome      string
 	}{
-		{"closed without a word", "", definer.Service, decider.Cut, ""},
-		{"no attempt id", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", definer.Service, decider.Broken, ""},
-		{"crossed", "HTTP/1.1 200 OK\r\nX-Attempt-Id: r.2\r\nContent-Length: 0\r\n\r\n", definer.Service, decider.Broken, ""},
-		{"whole", responseHead + "Content-Length: 2\r\n\r\nok", definer.Service, decider.Complete, "ran"},
-		{"service's own error", "HTTP/1.1 500 E\r\nX-Attempt-Id: r.1\r\nContent-Length: 0\r\n\r\n", definer.Service, decider.Complete, "ran"},
-		{"short", responseHead + "Content-Length: 3\r\n\r\nok", definer.Service, decider.Cut, ""},
-		{"chunks without an end", responseHead + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", definer.Service, decider.Cut, ""},
-		{"no length at all", responseHead + "\r\nok", definer.Service, decider.Broken, ""},
-		{"refused", "HTTP/1.1 503 S\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", definer.Service, decider.RefusedUnrun, ""},
-		{"refused for another", "HTTP/1.1 503 S\r\nX-Not-Run: 1\r\nX-Attempt-Id: r.2\r\nContent-Length: 0\r\n\r\n", definer.Service, decider.Broken, ""},
-		{"answered and not run", "HTTP/1.1 200 OK\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", definer.Service, decider.Broken, ""},
-		{"engine's error", "HTTP/1.1 500 E\r\nX-Attempt-Id: r.1\r\nContent-Length: 0\r\n\r\n", definer.Engine, decider.Broken, ""},
-		{"engine knows the attempt", "HTTP/1.1 409 C\r\nX-Attempt-Id: r.1\r\nContent-Length: 0\r\n\r\n", definer.Engine, decider.Broken, ""},
-		{"caller's fault", "HTTP/1.1 400 B\r\nX-Attempt-Id: r.1\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", definer.Engine, decider.Complete, "notRun"},
-		{"caller's fault, it seems", "HTTP/1.1 400 B\r\nX-Attempt-Id: r.1\r\nContent-Length: 0\r\n\r\n", definer.Engine, decider.Complete, "unknown"},
-		{"engine's answer without a reason", responseHead + "Content-Length: 19\r\n\r\n{\"attemptId\":\"r.1\"}", definer.Engine, decider.Broken, ""},
-		{"engine's answer is no JSON", responseHead + "Content-Length: 3\r\n\r\n{\"a", definer.Engine, decider.Broken, ""},
+		{"closed without a word", "", definer.Service, decider.AttemptCut, ""},
+		{"no attempt id", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", definer.Service, decider.AttemptBroken, ""},
+		{"crossed", "HTTP/1.1 200 OK\r\nX-Attempt-Id: r.2\r\nContent-Length: 0\r\n\r\n", definer.Service, decider.AttemptBroken, ""},
+		{"whole", responseHead + "Content-Length: 2\r\n\r\nok", definer.Service, decider.AttemptComplete, "ran"},
+		{"service's own error", "HTTP/1.1 500 E\r\nX-Attempt-Id: r.1\r\nContent-Length: 0\r\n\r\n", definer.Service, decider.AttemptComplete, "ran"},
+		{"short", responseHead + "Content-Length: 3\r\n\r\nok", definer.Service, decider.AttemptCut, ""},
+		{"chunks without an end", responseHead + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", definer.Service, decider.AttemptCut, ""},
+		{"no length at all", responseHead + "\r\nok", definer.Service, decider.AttemptBroken, ""},
+		{"refused", "HTTP/1.1 503 S\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", definer.Service, decider.AttemptRefused, ""},
+		{"refused for another", "HTTP/1.1 503 S\r\nX-Not-Run: 1\r\nX-Attempt-Id: r.2\r\nContent-Length: 0\r\n\r\n", definer.Service, decider.AttemptBroken, ""},
+		{"answered and not run", "HTTP/1.1 200 OK\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", definer.Service, decider.AttemptBroken, ""},
+		{"engine's error", "HTTP/1.1 500 E\r\nX-Attempt-Id: r.1\r\nContent-Length: 0\r\n\r\n", definer.Engine, decider.AttemptBroken, ""},
+		{"engine knows the attempt", "HTTP/1.1 409 C\r\nX-Attempt-Id: r.1\r\nContent-Length: 0\r\n\r\n", definer.Engine, decider.AttemptBroken, ""},
+		{"caller's fault", "HTTP/1.1 400 B\r\nX-Attempt-Id: r.1\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", definer.Engine, decider.AttemptComplete, "notRun"},
+		{"caller's fault, it seems", "HTTP/1.1 400 B\r\nX-Attempt-Id: r.1\r\nContent-Length: 0\r\n\r\n", definer.Engine, decider.AttemptComplete, "unknown"},
+		{"engine's answer without a reason", responseHead + "Content-Length: 19\r\n\r\n{\"attemptId\":\"r.1\"}", definer.Engine, decider.AttemptBroken, ""},
+		{"engine's answer is no JSON", responseHead + "Content-Length: 3\r\n\r\n{\"a", definer.Engine, decider.AttemptBroken, ""},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -218,7 +218,7 @@
 			defer client.Close()
 			ended, sink := upstream.run(t, client, decider.StartAttempt{Kind: test.kind}, dispatcher.Exchange{Method: http.MethodPost, Body: []byte("{}")})
 			assert.Equal(t, ended.Result, test.result)
-			assert.Equal(t, sink.Begun(), test.result == decider.Complete)
+			assert.Equal(t, sink.Begun(), test.result == decider.AttemptComplete)
 			assert.Equal(t, sink.header.Get("X-Outcome"), test.outcome)
 		})
 	}
@@ -240,18 +240,18 @@
 		result       decider.AttemptResult
 		text         string
 	}{
-		{"whole", firstChunk + lastChunk + endChunk, 0, decider.Complete, "ab"},
-		{"doubled", firstChunk + firstChunk + lastChunk + lastChunk + endChunk, 0, decider.Complete, "ab"},
-		{"paused", pauseEvents + firstChunk + pauseEvents + lastChunk + endChunk, 0, decider.Complete, "ab"},
-		{"from an offset", lastChunk + endChunk, 1, decider.Complete, "b"},
-		{"from before the offset", firstChunk + lastChunk + endChunk, 1, decider.Complete, "b"},
-		{"no end mark", firstChunk + lastChunk, 0, decider.Cut, "ab"},
-		{"no reason", firstChunk + endChunk, 0, decider.Cut, "a"},
-		{"a token is missing", lastChunk + endChunk, 0, decider.Cut, ""},
-		{"another's token", firstChunk + other + lastChunk + endChunk, 0, decider.Broken, "a"},
-		{"error event", firstChunk + "data: {\"error\":{}}\n\n" + endChunk, 0, decider.Broken, "a"},
-		{"no JSON", firstChunk + "data: {\n\n", 0, decider.Broken, "a"},
-		{"nothing", "", 0, decider.Cut, ""},
+		{"whole", firstChunk + lastChunk + endChunk, 0, decider.AttemptComplete, "ab"},
+		{"doubled", firstChunk + firstChunk + lastChunk + lastChunk + endChunk, 0, decider.AttemptComplete, "ab"},
+		{"paused", pauseEvents + firstChunk + pauseEvents + lastChunk + endChunk, 0, decider.AttemptComplete, "ab"},
+		{"from an offset", lastChunk + endChunk, 1, decider.AttemptComplete, "b"},
+		{"from before the offset", firstChunk + lastChunk + endChunk, 1, decider.AttemptComplete, "b"},
+		{"no end mark", firstChunk + lastChunk, 0, decider.AttemptCut, "ab"},
+		{"no reason", firstChunk + endChunk, 0, decider.AttemptCut, "a"},
+		{"a token is missing", lastChunk + endChunk, 0, decider.AttemptCut, ""},
+		{"another's token", firstChunk + other + lastChunk + endChunk, 0, decider.AttemptBroken, "a"},
+		{"error event", firstChunk + "data: {\"error\":{}}\n\n" + endChunk, 0, decider.AttemptBroken, "a"},
+		{"no JSON", firstChunk + "data: {\n\n", 0, decider.AttemptBroken, "a"},
+		{"nothing", "", 0, decider.AttemptCut, ""},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -286,9 +286,9 @@
 	start := decider.StartAttempt{Request: "r", Attempt: "r.1", Kind: definer.Engine, KeepAnswer: true, Upstream: upstream.definition(t, definer.Engine)}
 	gone := &sink{err: io.ErrClosedPipe}
 	ended := client.Run(context.Background(), start, dispatcher.Exchange{Method: http.MethodPost, Path: "/x", Streamed: true}, gone, func(int) {})
-	assert.Equal(t, ended.Result, decider.Complete)
+	assert.Equal(t, ended.Result, decider.AttemptComplete)
 	assert.Equal(t, string(ended.Answer.Body), gone.body.String())
 	start.KeepAnswer = false
 	ended = client.Run(context.Background(), start, dispatcher.Exchange{Method: http.MethodPost, Path: "/x", Streamed: true}, &sink{err: io.ErrClosedPipe}, func(int) {})
-	assert.Equal(t, ended.Result, decider.Abandoned)
+	assert.Equal(t, ended.Result, decider.AttemptAbandoned)
 }
--- a/dispatcher/fuzz_test.go
+++ b/dispatcher/fuzz_test.go
@@ -48,8 +48,8 @@
 		}
 		result := attempt.receiveStream(&http.Response{Header: http.Header{}, Body: io.NopCloser(strings.NewReader(events))})
 		passed := sink.text.String()
-		assert.Equal(t, result == decider.Complete, strings.HasSuffix(passed, "data: [DONE]\n\n") && attempt.finished)
-		assert.Assert(t, result != decider.Complete || strings.Contains(events, endMark) && strings.Contains(events, "finish_reason"))
+		assert.Equal(t, result == decider.AttemptComplete, strings.HasSuffix(passed, "data: [DONE]\n\n") && attempt.finished)
+		assert.Assert(t, result != decider.AttemptComplete || strings.Contains(events, endMark) && strings.Contains(events, "finish_reason"))
 		assert.Assert(t, passed == "" || strings.Contains(events, "r.1"))
 		assert.Assert(t, attempt.delivered >= offset)
 		assert.Equal(t, attempt.delivered-offset, attempt.observation.Tokens)
--- a/dispatcher/stream.go
+++ b/dispatcher/stream.go
@@ -32,7 +32,7 @@
 	defer stall.Stop()
 	for event, err := range sse.Read(response.Body, &sse.ReadConfig{MaxEventSize: maxEventSize}) {
 		if err != nil {
-			return decider.Cut
+			return decider.AttemptCut
 		}
 		stall.Reset(attempt.dispatcher.stallTimeout)
 		if event.Type == eventPaused || event.Type == eventResumed {
@@ -52,33 +52,33 @@
 			return result
 		}
 	}
-	return decider.Cut
+	return decider.AttemptCut
 }
 
 // closeStream completes a stream whose end mark has arrived. Without a finish reason the
 // stream counts as cut.
 func (attempt *attempt) closeStream(header http.Header) decider.AttemptResult {
 	if !attempt.finished {
-		return decider.Cut
+		return decider.AttemptCut
 	}
 	if err := attempt.writeAndKeep([]byte("data: " + endMark + "\n\n")); err != nil {
-		return decider.Abandoned
+		return decider.AttemptAbandoned
 	}
 	if attempt.start.KeepAnswer && attempt.keptStream.Len() <= maxKeptStream {
 		attempt.answer = &decider.StoredAnswer{Status: http.StatusOK, Header: forwardedHeader(header), Body: attempt.keptStream.Bytes()}
 	}
-	return decider.Complete
+	return decider.AttemptComplete
 }
 
 // receiveChunk checks one chunk of a stream and forwards it. It returns an empty result
 // while the stream goes on.
 func (attempt *attempt) receiveChunk(data []byte, header http.Header) decider.AttemptResult {
 	if !gjson.ValidBytes(data) {
-		return decider.Broken
+		return decider.AttemptBroken
 	}
 	parsed := gjson.ParseBytes(data)
 	if parsed.Get("error").Exists() {
-		return decider.Broken
+		return decider.AttemptBroken
 	}
 	if echoed := parsed.Get(fieldAttempt).String(); echoed != string(attempt.start.Attempt) {
 		return attempt.mismatch(echoed)
@@ -86,7 +86,7 @@
 	finish := parsed.Get("choices.0.finish_reason").String() != ""
 	token, fresh, inOrder := attempt.countToken(parsed)
 	if !inOrder {
-		return decider.Cut
+		return decider.AttemptCut
 	}
 	doubled := finish && !token && attempt.finished
 	attempt.finished = attempt.finished || finish
@@ -94,7 +94,7 @@
 		return ""
 	}
 	if err := attempt.forwardChunk(data, header); err != nil {
-		return decider.Abandoned
+		return decider.AttemptAbandoned
 	}
 	return ""
 }
--- a/dispatcher/whole.go
+++ b/dispatcher/whole.go
@@ -15,21 +15,21 @@
 // reports whether the upstream refused to run the request.
 func (attempt *attempt) receiveWhole(response *http.Response, unrun bool) decider.AttemptResult {
 	if lacksFraming(response) {
-		return decider.Broken
+		return decider.AttemptBroken
 	}
 	timer := time.AfterFunc(attempt.dispatcher.firstByteTimeout, attempt.cancel)
 	defer timer.Stop()
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxWholeAnswer+1))
 	if err != nil {
-		return decider.Cut
+		return decider.AttemptCut
 	}
 	if len(body) > maxWholeAnswer {
-		return decider.Broken
+		return decider.AttemptBroken
 	}
 	if attempt.start.Kind == definer.Engine && response.StatusCode == http.StatusOK {
 		checked, ok := attempt.checkWhole(body)
 		if !ok {
-			return decider.Broken
+			return decider.AttemptBroken
 		}
 		body = checked
 	}
@@ -41,9 +41,9 @@
 	}
 	attempt.sink.Begin(response.StatusCode, header)
 	if err := attempt.write(body); err != nil {
-		return decider.Abandoned
+		return decider.AttemptAbandoned
 	}
-	return decider.Complete
+	return decider.AttemptComplete
 }
 
 // outcomeOf returns the outcome that is reported to the caller with a forwarded answer.
--- a/entry.go
+++ b/entry.go
@@ -165,11 +165,11 @@
 	entry.forwarder = forwarder.New(protocol, entry.informer, entry.informer.Upstreams(), choice, budget, entry.connector,
 		forwarder.WithLog(entry.journal.event),
 		forwarder.WithRecord(record),
-		forwarder.WithConfirmation(max(settings.Revocation-confirmationMargin, 0)),
-		forwarder.WithHeldBytes(int64(float64(settings.Memory)*heldShare)),
-		forwarder.WithDraw(rand.Float64),
+		forwarder.WithConfirmationLifetime(max(settings.Revocation-confirmationMargin, 0)),
+		forwarder.WithMaxHeldBytes(int64(float64(settings.Memory)*heldShare)),
+		forwarder.WithRandom(rand.Float64),
 		forwarder.WithQuarantine(entry.quarantine),
-		forwarder.WithBegun(entry.begun),
+		forwarder.WithRequestBegun(entry.begun),
 		forwarder.WithLimits(entry.announcer, entry.throttler),
 		forwarder.WithBackoffs(entry.backedOff),
 		forwarder.WithLongestBackoff(cmp.Or(settings.LongestBackoff, interpreter.MaxRetryAfter)),
@@ -243,7 +243,7 @@
 // announced has the choice of upstreams go by what one has announced. The announcer is locked.
 func (entry *Entry) announced(start definer.UpstreamStart, announcement announcer.Announcement, source announcer.Source) {
 	_, limited := announcement.Limit.PerSecond()
-	entry.selector.Limit(time.Now(), start, limited)
+	entry.selector.SetLimited(time.Now(), start, limited)
 	if source != "" {
 		entry.journal.event(logger.EventUpstreamStated, "upstream", start.Upstream, "incarnation", start.Incarnation,
 			"limit", announcement.Limit, "leaving", announcement.Leaving, "source", source)
@@ -261,11 +261,11 @@
 // upstreamChanged ends what was under way at an upstream that has started again.
 func (entry *Entry) upstreamChanged(change registrar.Change) {
 	if !change.Removed && change.Upstream.Incarnation > 0 {
-		entry.forwarder.Started(change.Upstream.Start())
+		entry.forwarder.UpstreamStarted(change.Upstream.Start())
 	}
 	if change.Earlier != nil {
 		entry.connector.Drop(change.Earlier.Address)
-		entry.announcer.Restarted(change.Earlier.Start())
+		entry.announcer.Forget(change.Earlier.Start())
 	}
 }
 
--- a/forwarder/attempt.go
+++ b/forwarder/attempt.go
@@ -67,7 +67,7 @@
 	}
 	exchange.countSend()
 	defer answer.Close()
-	statement := exchange.forwarder.protocol.Judge(answer.Status, answer.Header)
+	statement := exchange.forwarder.protocol.DecodeAnswer(answer.Status, answer.Header)
 	if answer.Status != http.StatusMisdirectedRequest {
 		// A Misdirected Request comes from another upstream that has taken over the address.
 		attempt.applyStatement(statement)
@@ -76,7 +76,7 @@
 		return attempt.relayStream(ctx, answer, statement)
 	}
 	if !statement.NotRun {
-		assignment.Begun(time.Now())
+		assignment.RecordFirstEvent(time.Now())
 	}
 	return attempt.relayWhole(ctx, answer, statement)
 }
@@ -105,7 +105,7 @@
 func (attempt *attempt) checkSilence() {
 	latest := time.Duration(attempt.latestEvent.Load())
 	if latest == 0 {
-		if attempt.assignment.Silent() {
+		if attempt.assignment.UpstreamSilent() {
 			attempt.cancel(errUpstreamSilent)
 			return
 		}
@@ -137,7 +137,7 @@
 // countSend counts a send that may have reached an upstream.
 func (exchange *exchange) countSend() {
 	if exchange.result.Sends == 0 {
-		exchange.forwarder.retryBudget.First(exchange.service.Name, time.Now())
+		exchange.forwarder.retryBudget.RecordFirstSend(exchange.service.Name, time.Now())
 	}
 	exchange.result.Sends++
 }
@@ -164,7 +164,7 @@
 		Header: header,
 		Body:   exchange.body,
 		Belongs: func(status int, header http.Header) bool {
-			return exchange.forwarder.protocol.Belongs(status, header, &exchange.call)
+			return exchange.forwarder.protocol.IsAnswerTo(status, header, &exchange.call)
 		},
 	}
 }
@@ -186,7 +186,7 @@
 
 // judgeBroken ends an attempt that was sent and then cancelled or disconnected.
 func (attempt *attempt) judgeBroken(ctx context.Context, err error) sendResult {
-	silent := attempt.assignment.Silent()
+	silent := attempt.assignment.UpstreamSilent()
 	switch {
 	case errors.Is(context.Cause(ctx), errUpstreamSilent) || errors.Is(context.Cause(ctx), errRestarted):
 		return attempt.endFailed(selector.Unreachable, sendResult{reason: Broken}, context.Cause(ctx))
--- a/forwarder/call.go
+++ b/forwarder/call.go
@@ -72,8 +72,8 @@
 	// Encode sets the headers of a send to an upstream. It removes those that only this
 	// product may set.
 	Encode(header http.Header, call *Call, send Send)
-	// Belongs reports whether an answer is the one to the call.
-	Belongs(status int, header http.Header, call *Call) bool
-	// Judge returns what the head of an answer says.
-	Judge(status int, header http.Header) Statement
+	// IsAnswerTo reports whether an answer is the one to the call.
+	IsAnswerTo(status int, header http.Header, call *Call) bool
+	// DecodeAnswer returns what the head of an answer says.
+	DecodeAnswer(status int, header http.Header) Statement
 }
--- a/forwarder/fall.go
+++ b/forwarder/fall.go
@@ -27,7 +27,7 @@
 // beganRecently reports whether the upstream had only just begun with the request, as far as
 // its answer shows.
 func (attempt *attempt) beganRecently(now time.Time) bool {
-	return attempt.firstEventAt.IsZero() || now.Sub(attempt.firstEventAt) <= quarantiner.FreshRun
+	return attempt.firstEventAt.IsZero() || now.Sub(attempt.firstEventAt) <= quarantiner.SuspicionPeriod
 }
 
 // isListed reports whether this incarnation of an upstream is listed as one that may be sent
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -23,11 +23,11 @@
 )
 
 const (
-	// defaultBodyBytes bounds a request's body if the configuration does not.
+	// defaultMaxBodyBytes bounds a request's body if the configuration does not.
 	defaultMaxBodyBytes = 4 << 20
-	// defaultHeldBytes bounds the total size of the request bodies in memory.
+	// defaultMaxHeldBytes bounds the total size of the request bodies in memory.
 	defaultMaxHeldBytes = 32 << 20
-	// defaultTimeLeft is the time limit of a request if neither its caller nor its rule sets
+	// defaultTimeLimit is the time limit of a request if neither its caller nor its rule sets
 	// one.
 	defaultTimeLimit = time.Minute
 	// bodyTimeout bounds how long a caller may take to send a body.
@@ -106,26 +106,26 @@
 	return func(forwarder *Forwarder) { forwarder.record = record }
 }
 
-// WithBegun sets the function that is called once for each request with which an upstream has
-// begun; the default does nothing.
-func WithBegun(begun func(organisation definer.OrganisationName)) Option {
+// WithRequestBegun sets the function that is called once for each request with which an upstream
+// has begun; the default does nothing.
+func WithRequestBegun(begun func(organisation definer.OrganisationName)) Option {
 	return func(forwarder *Forwarder) { forwarder.begun = begun }
 }
 
-// WithConfirmation sets how long keys are accepted after the configuration was confirmed; the
-// default is without limit.
-func WithConfirmation(span time.Duration) Option {
+// WithConfirmationLifetime sets how long keys are accepted after the configuration was confirmed;
+// the default is without limit.
+func WithConfirmationLifetime(span time.Duration) Option {
 	return func(forwarder *Forwarder) { forwarder.confirmedFor = span }
 }
 
-// WithHeldBytes bounds the total size of the request bodies in memory, in bytes.
-func WithHeldBytes(bytes int64) Option {
+// WithMaxHeldBytes bounds the total size of the request bodies in memory, in bytes.
+func WithMaxHeldBytes(bytes int64) Option {
 	return func(forwarder *Forwarder) { forwarder.maxHeldBytes = bytes }
 }
 
-// WithDraw sets the source of random numbers between 0 and 1, by which targets are picked by
+// WithRandom sets the source of random numbers between 0 and 1, by which targets are picked by
 // weight and retry delays are randomised; the default always returns 0.
-func WithDraw(draw func() float64) Option {
+func WithRandom(draw func() float64) Option {
 	return func(forwarder *Forwarder) { forwarder.random = draw }
 }
 
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -257,7 +257,7 @@
 		{forwarder.Record{Reason: forwarder.Broken, First: 90, Objective: 100}, false},
 	}
 	for _, test := range cases {
-		assert.Equal(t, test.record.Met(), test.met)
+		assert.Equal(t, test.record.MetObjectives(), test.met)
 	}
 }
 
@@ -299,7 +299,7 @@
 			harness.upstreams[0].Incarnation = 10
 			go func() {
 				<-arrived
-				harness.forwarder.Started(definer.UpstreamStart{Upstream: "u0", Incarnation: test.started})
+				harness.forwarder.UpstreamStarted(definer.UpstreamStart{Upstream: "u0", Incarnation: test.started})
 				if test.status == 200 && test.sends == 1 {
 					close(goOn)
 				}
--- a/forwarder/limit_test.go
+++ b/forwarder/limit_test.go
@@ -58,12 +58,12 @@
 }
 
 // newLimitedHarness returns a harness whose upstreams are known to have rate limits.
-func newLimitedHarness(t *testing.T, take func(need throttler.Need) throttler.Permit, handlers ...http.HandlerFunc) *harness {
+func newLimitedHarness(t *testing.T, take func(need throttler.PermitRequest) throttler.Permit, handlers ...http.HandlerFunc) *harness {
 	t.Helper()
 	harness := newHarness(t, handlers...)
 	harness.take = take
 	for _, upstream := range harness.upstreams {
-		harness.selector.Limit(time.Now(), upstream.Start(), true)
+		harness.selector.SetLimited(time.Now(), upstream.Start(), true)
 	}
 	return harness
 }
@@ -72,10 +72,10 @@
 // to the next, and that no permit for the first is asked for again before the time given.
 func TestRequestsGoWhereAPermitIs(t *testing.T) {
 	asked := make(map[definer.UpstreamName]int)
-	take := func(need throttler.Need) throttler.Permit {
+	take := func(need throttler.PermitRequest) throttler.Permit {
 		asked[need.Start.Upstream]++
 		if need.Start.Upstream == "u0" {
-			return throttler.Permit{After: time.Hour}
+			return throttler.Permit{RetryAfter: time.Hour}
 		}
 		return throttler.Permit{Granted: true}
 	}
@@ -95,9 +95,9 @@
 // for twice.
 func TestUsedUpLimitsAreRefusedAtOnce(t *testing.T) {
 	asks := 0
-	take := func(throttler.Need) throttler.Permit {
+	take := func(throttler.PermitRequest) throttler.Permit {
 		asks++
-		return throttler.Permit{After: 900 * time.Millisecond}
+		return throttler.Permit{RetryAfter: 900 * time.Millisecond}
 	}
 	harness := newLimitedHarness(t, take, answer(200, "first"), answer(200, "second"))
 	for range 3 {
@@ -156,10 +156,10 @@
 // still be served in time, and for how long.
 func TestRequestsWaitForAPermitThatIsNear(t *testing.T) {
 	var patience []time.Duration
-	take := func(need throttler.Need) throttler.Permit {
+	take := func(need throttler.PermitRequest) throttler.Permit {
 		patience = append(patience, need.Patience)
 		if need.Patience == 0 {
-			return throttler.Permit{After: 20 * time.Millisecond}
+			return throttler.Permit{RetryAfter: 20 * time.Millisecond}
 		}
 		return throttler.Permit{Granted: true}
 	}
@@ -176,7 +176,7 @@
 func TestEachSendNeedsAPermit(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/resume/x"} {
 		asks := 0
-		take := func(throttler.Need) throttler.Permit {
+		take := func(throttler.PermitRequest) throttler.Permit {
 			asks++
 			return throttler.Permit{Granted: true}
 		}
--- a/forwarder/passage.go
+++ b/forwarder/passage.go
@@ -246,7 +246,7 @@
 	if exchange.result.Sends == 0 || exchange.budgeted {
 		return true
 	}
-	exchange.budgeted = exchange.forwarder.retryBudget.Take(exchange.service.Name, time.Now())
+	exchange.budgeted = exchange.forwarder.retryBudget.AllowRetry(exchange.service.Name, time.Now())
 	return exchange.budgeted
 }
 
@@ -265,10 +265,10 @@
 	var limitation *selector.Limitation
 	switch {
 	case errors.As(err, &saturation):
-		exchange.retryDelay = saturation.Pause
+		exchange.retryDelay = saturation.RetryAfter
 		return Saturated
 	case errors.As(err, &limitation):
-		exchange.retryDelay = limitation.Pause
+		exchange.retryDelay = limitation.RetryAfter
 		return limitReason(err)
 	}
 	return NoUpstream
@@ -307,19 +307,19 @@
 // sent the request.
 func (exchange *exchange) choose() (*selector.Assignment, error) {
 	demand := &selector.Demand{
-		Service:      exchange.service.Name,
-		Kind:         exchange.rule.Name,
-		Tier:         exchange.rule.Tier,
-		Candidates:   exchange.forwarder.directory.Of(exchange.service.Name),
-		Tried:        exchange.tried,
-		Engine:       exchange.service.Engine,
-		CacheTokens:  exchange.service.CacheTokens,
-		OutputTokens: exchange.call.OutputTokens,
-		PromptTokens: exchange.call.PromptTokens,
-		Idempotent:   exchange.rule.Idempotent(),
-		Patience:     exchange.permitWait(),
-		Deferrable:   exchange.deferrable && exchange.result.Sends == 0,
-		TimeLeft:     exchange.timeLimit - time.Since(exchange.arrivedAt),
+		Service:       exchange.service.Name,
+		Kind:          exchange.rule.Name,
+		Tier:          exchange.rule.Tier,
+		Candidates:    exchange.forwarder.directory.Of(exchange.service.Name),
+		Tried:         exchange.tried,
+		Engine:        exchange.service.Engine,
+		CacheTokens:   exchange.service.CacheTokens,
+		OutputTokens:  exchange.call.OutputTokens,
+		PromptTokens:  exchange.call.PromptTokens,
+		Idempotent:    exchange.rule.Idempotent(),
+		MaxPermitWait: exchange.permitWait(),
+		Deferrable:    exchange.deferrable && exchange.result.Sends == 0,
+		TimeLeft:      exchange.timeLimit - time.Since(exchange.arrivedAt),
 	}
 	if exchange.rule.Objective > 0 {
 		demand.Objective = max(exchange.rule.Objective-time.Since(exchange.arrivedAt), time.Nanosecond)
--- a/forwarder/permit.go
+++ b/forwarder/permit.go
@@ -20,24 +20,24 @@
 
 // Permits grants permits for requests to upstreams with a rate limit.
 type Permits interface {
-	Take(ctx context.Context, need throttler.Need) throttler.Permit
+	Acquire(ctx context.Context, need throttler.PermitRequest) throttler.Permit
 }
 
 // Announcements receives the rate limits that upstreams announce, and which are leaving.
 type Announcements interface {
-	Hear(now time.Time, start definer.UpstreamStart, sentAt time.Time, announcement announcer.Announcement)
+	Record(now time.Time, start definer.UpstreamStart, sentAt time.Time, announcement announcer.Announcement)
 }
 
 // unlimited implements Permits and Announcements for upstreams without rate limits.
 type unlimited struct{}
 
-// Take grants a permit at once.
-func (unlimited) Take(context.Context, throttler.Need) throttler.Permit {
+// Acquire grants a permit at once.
+func (unlimited) Acquire(context.Context, throttler.PermitRequest) throttler.Permit {
 	return throttler.Permit{Granted: true}
 }
 
-// Hear ignores the announcement.
-func (unlimited) Hear(time.Time, definer.UpstreamStart, time.Time, announcer.Announcement) {}
+// Record ignores the announcement.
+func (unlimited) Record(time.Time, definer.UpstreamStart, time.Time, announcer.Announcement) {}
 
 // takePermit asks for a permit if the assigned upstream needs one, and reports whether the
 // request may be sent. If not, the assignment has ended, and the upstream is not chosen again
@@ -47,18 +47,18 @@
 		return true
 	}
 	upstream := assignment.Upstream()
-	need := throttler.Need{Start: upstream.Start(), DataCentre: upstream.DataCentre, Tier: exchange.rule.Tier}
-	if assignment.Waits() {
+	need := throttler.PermitRequest{Start: upstream.Start(), DataCentre: upstream.DataCentre, Tier: exchange.rule.Tier}
+	if assignment.MayWaitForPermit() {
 		need.Patience = exchange.permitWait()
 	}
 	exchange.permitAsks++
-	permit := exchange.forwarder.permits.Take(ctx, need)
+	permit := exchange.forwarder.permits.Acquire(ctx, need)
 	now := time.Now()
 	if !permit.Granted {
-		assignment.Withheld(now.Add(permit.After))
+		assignment.RecordDenial(now.Add(permit.RetryAfter))
 		return false
 	}
-	return assignment.Granted(now)
+	return assignment.RecordPermit(now)
 }
 
 // permitWait returns how long the request may wait for a permit and still be served in time.
--- a/forwarder/record.go
+++ b/forwarder/record.go
@@ -43,8 +43,8 @@
 	Bytes int
 }
 
-// Met reports whether the answer was delivered completely and within its objectives.
-func (record *Record) Met() bool {
+// MetObjectives reports whether the answer was delivered completely and within its objectives.
+func (record *Record) MetObjectives() bool {
 	inTime := record.Objective == 0 || record.First <= record.Objective
 	steady := record.GapObjective == 0 || record.Gap <= record.GapObjective
 	return record.Reason == Served && inTime && steady
--- a/forwarder/roster.go
+++ b/forwarder/roster.go
@@ -64,10 +64,10 @@
 	return earlier
 }
 
-// Started ends the attempts at earlier incarnations of an upstream, which has started anew.
+// UpstreamStarted ends the attempts at earlier incarnations of an upstream, which has started anew.
 // Requests that may be repeated are sent to another upstream; the callers of the others are
 // answered that the request may have run.
-func (forwarder *Forwarder) Started(start definer.UpstreamStart) {
+func (forwarder *Forwarder) UpstreamStarted(start definer.UpstreamStart) {
 	for _, attempt := range forwarder.attempts.atEarlierStarts(start) {
 		attempt.cancel(errRestarted)
 	}
--- a/forwarder/statement.go
+++ b/forwarder/statement.go
@@ -55,11 +55,11 @@
 	now, announced := time.Now(), statement.Announcement
 	if _, limited := announced.Limit.PerSecond(); limited || announced.Leaving || statement.Signed {
 		// A refusal without a limit may have been sent before its upstream had one.
-		forwarder.announcements.Hear(now, upstream.Start(), attempt.sentAt, announcer.Announcement{Limit: announced.Limit, Leaving: announced.Leaving})
+		forwarder.announcements.Record(now, upstream.Start(), attempt.sentAt, announcer.Announcement{Limit: announced.Limit, Leaving: announced.Leaving})
 	}
 	if announced.RetryAfter > 0 {
 		forwarder.backedOff()
-		attempt.assignment.BackOff(now, min(announced.RetryAfter, forwarder.longestBackoff))
+		attempt.assignment.RecordBackoff(now, min(announced.RetryAfter, forwarder.longestBackoff))
 	}
 	current := loggedStatement{limit: announced.Limit, leaving: announced.Leaving, unreadable: announced.Unreadable}
 	previous := forwarder.loggedStatements.replace(upstream.Start(), current)
--- a/forwarder/world_test.go
+++ b/forwarder/world_test.go
@@ -44,7 +44,7 @@
 	draw      func() float64
 	selector  *selector.Selector
 	// take decides on permits; nil grants all of them.
-	take func(need throttler.Need) throttler.Permit
+	take func(need throttler.PermitRequest) throttler.Permit
 
 	mutex sync.Mutex
 	// heard holds the announcements of upstreams in order.
@@ -67,19 +67,19 @@
 	return harness.upstreams
 }
 
-// Take decides on a permit.
-func (harness *harness) Take(_ context.Context, need throttler.Need) throttler.Permit {
+// Acquire decides on a permit.
+func (harness *harness) Acquire(_ context.Context, need throttler.PermitRequest) throttler.Permit {
 	if harness.take == nil {
 		return throttler.Permit{Granted: true}
 	}
 	return harness.take(need)
 }
 
-// Hear records an announcement and makes requests to the upstream need permits if it has a
+// Record records an announcement and makes requests to the upstream need permits if it has a
 // limit.
-func (harness *harness) Hear(now time.Time, start definer.UpstreamStart, _ time.Time, announcement announcer.Announcement) {
+func (harness *harness) Record(now time.Time, start definer.UpstreamStart, _ time.Time, announcement announcer.Announcement) {
 	_, limited := announcement.Limit.PerSecond()
-	harness.selector.Limit(now, start, limited)
+	harness.selector.SetLimited(now, start, limited)
 	harness.mutex.Lock()
 	defer harness.mutex.Unlock()
 	harness.heard = append(harness.heard, string(start.Upstream)+" "+announcement.Limit.String())
@@ -131,9 +131,9 @@
 	harness.selector = selector.New("west")
 	front := forwarder.New(platform.Protocol{}, harness, harness, harness.selector, budget, links,
 		forwarder.WithLimits(harness, harness),
-		forwarder.WithConfirmation(time.Minute),
-		forwarder.WithDraw(func() float64 { return harness.draw() }),
-		forwarder.WithBegun(func(organisation definer.OrganisationName) {
+		forwarder.WithConfirmationLifetime(time.Minute),
+		forwarder.WithRandom(func() float64 { return harness.draw() }),
+		forwarder.WithRequestBegun(func(organisation definer.OrganisationName) {
 			harness.mutex.Lock()
 			defer harness.mutex.Unlock()
 			harness.begun = append(harness.begun, organisation)
--- a/interpreter/interpreter.go
+++ b/interpreter/interpreter.go
@@ -40,9 +40,9 @@
 	Unreadable string
 }
 
-// Interpret parses the headers of an answer with the given status. A backoff counts only with
-// the statuses Service Unavailable and Too Many Requests.
-func Interpret(status int, header http.Header) Announcement {
+// ParseAnnouncement parses the headers of an answer with the given status. A backoff counts only
+// with the statuses Service Unavailable and Too Many Requests.
+func ParseAnnouncement(status int, header http.Header) Announcement {
 	var announcement Announcement
 	announcement.Limit = decodeLimit(header, &announcement)
 	announcement.Leaving = decodeLeaving(header, &announcement)
--- a/interpreter/interpreter_test.go
+++ b/interpreter/interpreter_test.go
@@ -47,14 +47,14 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			announcement := interpreter.Interpret(test.status, test.header)
+			announcement := interpreter.ParseAnnouncement(test.status, test.header)
 			assert.Equal(t, announcement.Limit.String(), test.limit)
 			assert.Equal(t, announcement.Leaving, test.leaving)
 			assert.Equal(t, announcement.RetryAfter, test.backoff)
 			assert.Equal(t, announcement.Unreadable, test.unreadable)
 		})
 	}
-	long := interpreter.Interpret(200, http.Header{"Server-Limit": {strings.Repeat("x", 1<<16)}})
+	long := interpreter.ParseAnnouncement(200, http.Header{"Server-Limit": {strings.Repeat("x", 1<<16)}})
 	assert.Assert(t, len(long.Unreadable) <= 200)
 }
 
@@ -65,7 +65,7 @@
 	}
 	f.Fuzz(func(t *testing.T, limit, leaving, backoff string) {
 		header := http.Header{"Server-Limit": {limit}, "Server-Leaving": {leaving}, "Retry-After": {backoff}, "Date": {backoff}}
-		announcement := interpreter.Interpret(http.StatusServiceUnavailable, header)
+		announcement := interpreter.ParseAnnouncement(http.StatusServiceUnavailable, header)
 		perSecond, _ := announcement.Limit.PerSecond()
 		assert.Assert(t, perSecond >= 0 && perSecond <= 1e308)
 		assert.Assert(t, announcement.RetryAfter >= 0 && announcement.RetryAfter <= time.Hour)
--- a/journal.go
+++ b/journal.go
@@ -94,7 +94,7 @@
 		"class", record.Class,
 		"organisation", record.Organisation,
 		"complete", record.Complete,
-		"met", record.Met,
+		"met", record.MetTargets,
 		"outcome", record.Outcome,
 		"reason", record.Reason,
 		"tokens", record.Tokens,
@@ -111,6 +111,6 @@
 }
 
 // released logs that a request is no longer held off, and why.
-func (journal *journal) released(released quarantiner.Suspicion, why quarantiner.Release) {
+func (journal *journal) released(released quarantiner.Suspicion, why quarantiner.ReleaseReason) {
 	journal.event(logger.EventRequestReleased, append(released.Pairs(), "why", why)...)
 }
--- a/matcher/matcher_test.go
+++ b/matcher/matcher_test.go
@@ -119,7 +119,7 @@
 		properties := matcher.Properties{Model: model, Path: path, PromptTokens: tokens, Headers: map[string]string{header: value}}
 		_, err = compiled.Match(properties)
 		assert.Equal(t, err == nil, compiled.Explain(properties)[0].Holds())
-		matcher.FirstFalse(condition, properties)
+		matcher.FirstFalseOperand(condition, properties)
 	})
 }
 
--- a/matcher/part.go
+++ b/matcher/part.go
@@ -6,9 +6,9 @@
 	"github.com/expr-lang/expr/vm"
 )
 
-// FirstFalse returns the first operand of a condition's top-level conjunction that does not
+// FirstFalseOperand returns the first operand of a condition's top-level conjunction that does not
 // hold, for display. It returns the whole condition if all operands hold or it does not parse.
-func FirstFalse(condition string, properties Properties) string {
+func FirstFalseOperand(condition string, properties Properties) string {
 	tree, err := parser.Parse(condition)
 	if err != nil {
 		return condition
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -80,7 +80,7 @@
 // Record counts one ended request.
 func (meter *Meter) Record(record forwarder.Record) {
 	met := lateLabel
-	if record.Met() {
+	if record.MetObjectives() {
 		met = metLabel
 	}
 	scope := meter.of(labels{record.Service, record.Tier, record.Reason, record.Status, met})
--- a/node.go
+++ b/node.go
@@ -174,7 +174,7 @@
 func (node *Node) carry(action decider.Action) {
 	switch action := action.(type) {
 	case decider.RequestAction:
-		node.server.Hand(action.For(), action)
+		node.server.Hand(action.RequestID(), action)
 	case decider.CancelUpstreamWork:
 		node.dispatcher.Cancel(action.Upstream, action.Attempt)
 	case decider.SendMessage:
@@ -207,6 +207,6 @@
 		node.recorder.Control(recorder.PlatformCall, 1, len(action.Value))
 		node.platform.Call(action)
 	case decider.WatchPlatform:
-		node.platform.Hold(action.Hold)
+		node.platform.Hold(action.Watch)
 	}
 }
--- a/operator/announced_test.go
+++ b/operator/announced_test.go
@@ -28,9 +28,9 @@
 func TestAnnouncementsAreShown(t *testing.T) {
 	known, now := announcer.New(), time.Now()
 	first := definer.UpstreamStart{Upstream: "u1", Incarnation: 7}
-	known.Hear(now.Add(-time.Hour), first, now.Add(-time.Hour), announcer.Announcement{Limit: definer.LimitTo(2.2)})
+	known.Record(now.Add(-time.Hour), first, now.Add(-time.Hour), announcer.Announcement{Limit: definer.LimitTo(2.2)})
 	known.Learn(now, "entry-2", []messenger.UpstreamAnnouncement{{Upstream: "u2", Leaving: true, Age: time.Minute}})
-	known.Hear(now, definer.UpstreamStart{Upstream: "u3"}, now, announcer.Announcement{})
+	known.Record(now, definer.UpstreamStart{Upstream: "u3"}, now, announcer.Announcement{})
 	entry := operator.NewEntry(quarantiner.New(), (&journal{}).log)
 	entry.ServeAnnounced(known, issuances{{Start: first, PerSecond: 0.7, Position: 1, Waiting: 3}})
 	server := httptest.NewServer(entry.Handler())
--- a/operator/entry.go
+++ b/operator/entry.go
@@ -86,12 +86,12 @@
 func heldOff(suspicion *quarantiner.Suspicion) HeldOff {
 	row := HeldOff{
 		Identity: suspicion.Identity.String(), Held: suspicion.Held, Refused: suspicion.Refused,
-		SinceMs: suspicion.Since.Milliseconds(), LeftMs: suspicion.Left.Milliseconds(), FirstAgoMs: suspicion.FirstAgo.Milliseconds(),
+		SinceMs: suspicion.Since.Milliseconds(), LeftMs: suspicion.TimeLeft.Milliseconds(), FirstAgoMs: suspicion.FirstCrashAgo.Milliseconds(),
 	}
 	for _, start := range suspicion.Upstreams {
 		row.Upstreams = append(row.Upstreams, start.String())
 	}
-	for _, vm := range suspicion.ToldBy {
+	for _, vm := range suspicion.ReportedBy {
 		row.ToldBy = append(row.ToldBy, string(vm))
 	}
 	return row
--- a/option.go
+++ b/option.go
@@ -78,7 +78,7 @@
 
 // WithSeeds sets the VMs known before the platform's list can be read.
 func WithSeeds(vms ...decider.ListedVM) Option {
-	return func(node *Node) { node.coreOptions = append(node.coreOptions, decider.WithVMs(vms)) }
+	return func(node *Node) { node.coreOptions = append(node.coreOptions, decider.WithBootstrapVMs(vms)) }
 }
 
 // WithCore passes options on to the core.
--- a/quarantiner/list.go
+++ b/quarantiner/list.go
@@ -11,17 +11,17 @@
 // Suspicion describes a suspected request to operators.
 type Suspicion struct {
 	Identity definer.RequestIdentity
-	// Held reports whether the request is held off, Since is for how long it has been, and Left
+	// Held reports whether the request is held off, Since is for how long it has been, and TimeLeft
 	// is how much longer it will be at most.
-	Held  bool
-	Since time.Duration
-	Left  time.Duration
+	Held     bool
+	Since    time.Duration
+	TimeLeft time.Duration
 	// Upstreams are the upstream processes that crashed under the request, without the crashes
-	// that it is cleared of. ToldBy are the peers that reported them, without this node.
-	Upstreams []definer.UpstreamStart
-	ToldBy    []definer.VM
-	// FirstAgo is how long ago the first of these crashes happened.
-	FirstAgo time.Duration
+	// that it is cleared of. ReportedBy are the peers that reported them, without this node.
+	Upstreams  []definer.UpstreamStart
+	ReportedBy []definer.VM
+	// FirstCrashAgo is how long ago the first of these crashes happened.
+	FirstCrashAgo time.Duration
 	// Refused is the number of attempts that this node refused.
 	Refused int
 }
@@ -29,8 +29,8 @@
 // Pairs returns the suspicion as alternating keys and values for a log event.
 func (suspicion Suspicion) Pairs() []any {
 	return []any{
-		"identity", suspicion.Identity, "ends", len(suspicion.Upstreams), "upstreams", suspicion.Upstreams, "toldBy", suspicion.ToldBy,
-		"firstAgoMs", suspicion.FirstAgo.Milliseconds(), "leftMs", suspicion.Left.Milliseconds(), "refused", suspicion.Refused,
+		"identity", suspicion.Identity, "ends", len(suspicion.Upstreams), "upstreams", suspicion.Upstreams, "toldBy", suspicion.ReportedBy,
+		"firstAgoMs", suspicion.FirstCrashAgo.Milliseconds(), "leftMs", suspicion.TimeLeft.Milliseconds(), "refused", suspicion.Refused,
 	}
 }
 
@@ -46,7 +46,7 @@
 		}
 	}
 	slices.SortFunc(list, func(left, right Suspicion) int {
-		return cmp.Or(cmp.Compare(right.Left, left.Left), cmp.Compare(len(right.Upstreams), len(left.Upstreams)), cmp.Compare(left.Identity, right.Identity))
+		return cmp.Or(cmp.Compare(right.TimeLeft, left.TimeLeft), cmp.Compare(len(right.Upstreams), len(left.Upstreams)), cmp.Compare(left.Identity, right.Identity))
 	})
 	return list
 }
@@ -56,16 +56,16 @@
 	listed := Suspicion{Identity: suspect.identity, Held: suspect.isHeld, Refused: suspect.refused}
 	if suspect.isHeld {
 		listed.Since = now.Sub(suspect.heldSince)
-		listed.Left = max(HoldFor-now.Sub(suspect.latestUnclearedCrash()), 0)
+		listed.TimeLeft = max(MaxHold-now.Sub(suspect.latestUnclearedCrash()), 0)
 	}
 	for _, crash := range suspect.crashes {
 		if crash.cleared {
 			continue
 		}
 		listed.Upstreams = append(listed.Upstreams, crash.start)
-		listed.FirstAgo = max(listed.FirstAgo, now.Sub(crash.at))
-		if crash.reportedBy != "" && !slices.Contains(listed.ToldBy, crash.reportedBy) {
-			listed.ToldBy = append(listed.ToldBy, crash.reportedBy)
+		listed.FirstCrashAgo = max(listed.FirstCrashAgo, now.Sub(crash.at))
+		if crash.reportedBy != "" && !slices.Contains(listed.ReportedBy, crash.reportedBy) {
+			listed.ReportedBy = append(listed.ReportedBy, crash.reportedBy)
 		}
 	}
 	return listed
--- a/quarantiner/quarantiner.go
+++ b/quarantiner/quarantiner.go
@@ -28,17 +28,17 @@
 // table is full.
 const evictionDivisor = 8
 
-// Release is the reason why a request is no longer held off.
-type Release string
+// ReleaseReason is the reason why a request is no longer held off.
+type ReleaseReason string
 
 const (
 	// Cleared means that the request was served, by this or another node, or that an operator has
 	// lifted the hold.
-	Cleared Release = "cleared"
+	Cleared ReleaseReason = "cleared"
 	// Explained means that the crashes are attributed to another request.
-	Explained Release = "explained"
-	// Expired means that HoldFor has passed, or that the suspect was evicted.
-	Expired Release = "over"
+	Explained ReleaseReason = "explained"
+	// Expired means that MaxHold has passed, or that the suspect was evicted.
+	Expired ReleaseReason = "over"
 )
 
 // Quarantiner decides which requests are held off. It is safe for concurrent use. It reads no
@@ -46,7 +46,7 @@
 type Quarantiner struct {
 	// heldOff is called when a request is held off, and released when it no longer is.
 	heldOff  func(Suspicion)
-	released func(Suspicion, Release)
+	released func(Suspicion, ReleaseReason)
 	// refreshRepeats is the number of reports of each scope in which a refresh repeats a fact.
 	refreshRepeats [scopeCount]int
 	// count is called with the numbers of held-off and suspected requests.
@@ -74,13 +74,13 @@
 
 // WithVerdicts sets the functions that are called when a request is held off and when it no
 // longer is. Neither may block or call the Quarantiner. The default does nothing.
-func WithVerdicts(heldOff func(Suspicion), released func(Suspicion, Release)) Option {
+func WithVerdicts(heldOff func(Suspicion), released func(Suspicion, ReleaseReason)) Option {
 	return func(quarantiner *Quarantiner) { quarantiner.heldOff, quarantiner.released = heldOff, released }
 }
 
-// WithoutRefreshUp excludes reports from members to their aggregator from the periodic refresh of
-// facts. It is for deployments in which many members report to one node.
-func WithoutRefreshUp() Option {
+// WithoutRefreshToAggregator excludes reports from members to their aggregator from the periodic
+// refresh of facts. It is for deployments in which many members report to one node.
+func WithoutRefreshToAggregator() Option {
 	return func(quarantiner *Quarantiner) { quarantiner.refreshRepeats[toAggregator] = 0 }
 }
 
@@ -98,7 +98,7 @@
 func New(options ...Option) *Quarantiner {
 	quarantiner := &Quarantiner{
 		heldOff:        func(Suspicion) {},
-		released:       func(Suspicion, Release) {},
+		released:       func(Suspicion, ReleaseReason) {},
 		refreshRepeats: [scopeCount]int{1, 1, 1},
 		count:          func(int, int) {},
 		suspects:       make(map[definer.RequestIdentity]*suspect),
@@ -129,7 +129,7 @@
 		return Verdict{}
 	}
 	clearance := max(clearanceWait-now.Sub(suspect.heldSince), 0)
-	verdict := Verdict{Left: HoldFor - now.Sub(suspect.latestUnclearedCrash()), Wait: min(clearance, verdictPollInterval)}
+	verdict := Verdict{Left: MaxHold - now.Sub(suspect.latestUnclearedCrash()), Wait: min(clearance, verdictPollInterval)}
 	if verdict.Left <= 0 {
 		quarantiner.release(now, suspect, Expired)
 		return Verdict{}
@@ -158,15 +158,15 @@
 	return quarantiner.Doubts(identity) < holdThreshold-1
 }
 
-// Count returns the number of suspects: requests under which an upstream has crashed.
-func (quarantiner *Quarantiner) Count() int {
+// SuspectCount returns the number of suspects: requests under which an upstream has crashed.
+func (quarantiner *Quarantiner) SuspectCount() int {
 	quarantiner.mutex.Lock()
 	defer quarantiner.mutex.Unlock()
 	return len(quarantiner.suspects)
 }
 
-// IsTelling reports whether facts are still to be reported to peers.
-func (quarantiner *Quarantiner) IsTelling() bool {
+// HasPendingFacts reports whether facts are still to be reported to peers.
+func (quarantiner *Quarantiner) HasPendingFacts() bool {
 	quarantiner.mutex.Lock()
 	defer quarantiner.mutex.Unlock()
 	return len(quarantiner.pending) > 0
@@ -289,7 +289,7 @@
 	for _, identity := range slices.Sorted(maps.Keys(quarantiner.candidates)) {
 		suspect := quarantiner.candidates[identity]
 		switch {
-		case culprits[identity] && !suspect.isHeld && now.Sub(suspect.latestUnclearedCrash()) < HoldFor:
+		case culprits[identity] && !suspect.isHeld && now.Sub(suspect.latestUnclearedCrash()) < MaxHold:
 			quarantiner.hold(now, suspect)
 		case suspect.isHeld && suspect.unclearedCrashes() == 0:
 			quarantiner.release(now, suspect, Cleared)
@@ -308,7 +308,7 @@
 }
 
 // release stops holding a request off, for the reason. The mutex is held.
-func (quarantiner *Quarantiner) release(now time.Time, suspect *suspect, reason Release) {
+func (quarantiner *Quarantiner) release(now time.Time, suspect *suspect, reason ReleaseReason) {
 	quarantiner.released(suspect.suspicion(now), reason)
 	suspect.isHeld = false
 	quarantiner.heldCount--
@@ -321,11 +321,11 @@
 }
 
 // expire removes crashes older than crashRetention and suspects without crashes, and releases
-// requests that were held off for HoldFor. The mutex is held.
+// requests that were held off for MaxHold. The mutex is held.
 func (quarantiner *Quarantiner) expire(now time.Time) {
 	for _, suspect := range quarantiner.suspects {
 		suspect.crashes = slices.DeleteFunc(suspect.crashes, func(crash *crash) bool { return now.Sub(crash.at) > crashRetention })
-		if suspect.isHeld && now.Sub(suspect.latestUnclearedCrash()) >= HoldFor {
+		if suspect.isHeld && now.Sub(suspect.latestUnclearedCrash()) >= MaxHold {
 			quarantiner.release(now, suspect, Expired)
 		}
 		if len(suspect.crashes) == 0 {
--- a/quarantiner/quarantiner_test.go
+++ b/quarantiner/quarantiner_test.go
@@ -77,8 +77,8 @@
 		{"an operator releases a request", []step{{0, 1, "g", "", ""}, {0, 2, "g", "", ""}, {0, 3, "g", "", ""}, {second, 0, "", "", "g"}}, ""},
 		{"two culprits on different upstreams are both held off", []step{{0, 1, "g", "", ""}, {0, 2, "h", "", ""}, {0, 3, "g", "", ""}, {0, 4, "h", "", ""}, {0, 5, "g", "", ""}, {0, 6, "h", "", ""}}, "gh"},
 		{"two culprits on the same upstreams do not clear each other", []step{{0, 1, "gh", "", ""}, {0, 2, "gh", "", ""}, {0, 3, "gh", "", ""}, {second, 4, "h", "", ""}, {second, 5, "g", "", ""}}, "gh"},
-		{"a hold ends after HoldFor", []step{{0, 1, "g", "", ""}, {0, 2, "g", "", ""}, {0, 3, "g", "", ""}, {quarantiner.HoldFor, 0, "", "", ""}}, ""},
-		{"one crash after the end of a hold is enough", []step{{0, 1, "g", "", ""}, {0, 2, "g", "", ""}, {0, 3, "g", "", ""}, {2 * quarantiner.HoldFor, 4, "g", "", ""}}, "g"},
+		{"a hold ends after MaxHold", []step{{0, 1, "g", "", ""}, {0, 2, "g", "", ""}, {0, 3, "g", "", ""}, {quarantiner.MaxHold, 0, "", "", ""}}, ""},
+		{"one crash after the end of a hold is enough", []step{{0, 1, "g", "", ""}, {0, 2, "g", "", ""}, {0, 3, "g", "", ""}, {2 * quarantiner.MaxHold, 4, "g", "", ""}}, "g"},
 		{"one crash after the earlier crashes are forgotten is not enough", []step{{0, 1, "g", "", ""}, {0, 2, "g", "", ""}, {0, 3, "g", "", ""}, {2 * time.Hour, 4, "g", "", ""}}, ""},
 	}
 	for _, test := range cases {
@@ -89,7 +89,7 @@
 			held := ""
 			for _, request := range "ghij" {
 				if left := node.Check(now, identity(string(request))).Left; left > 0 {
-					assert.Assert(t, left <= quarantiner.HoldFor)
+					assert.Assert(t, left <= quarantiner.MaxHold)
 					held += string(request)
 				}
 			}
@@ -123,9 +123,9 @@
 	list := node.List(now.Add(4 * time.Second))
 	assert.Equal(t, len(list), 2)
 	assert.DeepEqual(t, list[0], quarantiner.Suspicion{
-		Identity: identity("g"), Held: true, Since: 2 * time.Second, Left: quarantiner.HoldFor - 2*time.Second,
-		Upstreams: []definer.UpstreamStart{start(1), start(2), start(3)}, ToldBy: []definer.VM{"peer"},
-		FirstAgo: 4 * time.Second, Refused: 1,
+		Identity: identity("g"), Held: true, Since: 2 * time.Second, TimeLeft: quarantiner.MaxHold - 2*time.Second,
+		Upstreams: []definer.UpstreamStart{start(1), start(2), start(3)}, ReportedBy: []definer.VM{"peer"},
+		FirstCrashAgo: 4 * time.Second, Refused: 1,
 	})
 	assert.Equal(t, list[1].Held, false)
 }
--- a/quarantiner/verdict.go
+++ b/quarantiner/verdict.go
@@ -18,13 +18,13 @@
 	// if at least one of them is attributed to no other request. Without it, two culprits that
 	// always run side by side would exonerate each other.
 	sharedHoldThreshold = 4
-	// HoldFor is how long after the latest crash a request is held off at most. After that it is
+	// MaxHold is how long after the latest crash a request is held off at most. After that it is
 	// tried again, and held off at the first crash.
-	HoldFor = 10 * time.Minute
-	// FreshRun is how long after the first part of its answer a request may still be suspected of
-	// crashing its upstream: a culprit does so soon after it begins. This spares the requests
-	// that had run for longer, which are most of those that break off with a busy engine.
-	FreshRun = time.Second
+	MaxHold = 10 * time.Minute
+	// SuspicionPeriod is how long after the first part of its answer a request may still be
+	// suspected of crashing its upstream: a culprit does so soon after it begins. This spares the
+	// requests that had run for longer, which are most of those that break off with a busy engine.
+	SuspicionPeriod = time.Second
 	// crashRetention is how long a crash is remembered.
 	crashRetention = time.Hour
 )
--- a/recorder/recorder.go
+++ b/recorder/recorder.go
@@ -155,7 +155,7 @@
 	if class.counted(record) {
 		counts.Counted = 1
 	}
-	if record.Met {
+	if record.MetTargets {
 		counts.Met = 1
 	}
 	if record.Complete {
--- a/recorder/recorder_test.go
+++ b/recorder/recorder_test.go
@@ -34,7 +34,7 @@
 }
 
 func answered(tokens int, met bool, total time.Duration) decider.Record {
-	return decider.Record{Class: "desk", Pool: "runners", Organisation: "acme", Complete: true, Met: met, Tokens: tokens, FirstToken: total / 2, BetweenTokens: 20 * time.Millisecond, Total: total}
+	return decider.Record{Class: "desk", Pool: "runners", Organisation: "acme", Complete: true, MetTargets: met, Tokens: tokens, FirstToken: total / 2, BetweenTokens: 20 * time.Millisecond, Total: total}
 }
 
 func refused(reason messenger.RefusalReason, total time.Duration) decider.Record {
--- a/recorder/tally.go
+++ b/recorder/tally.go
@@ -86,7 +86,7 @@
 // result returns the label that tells how a request ended.
 func result(record decider.Record) string {
 	switch {
-	case record.Met:
+	case record.MetTargets:
 		return metResult
 	case record.Complete:
 		return lateResult
--- a/scheduler/driver_test.go
+++ b/scheduler/driver_test.go
@@ -51,7 +51,7 @@
 	pool, classes := driver.poolSetting.build(driver.t)
 	driver.classes = classes
 	driver.check(driver.now, driver.scheduler.Expire(driver.now))
-	driver.scheduler.Adjust(pool)
+	driver.scheduler.SetPool(pool)
 	driver.check(driver.now, driver.scheduler.Configure(driver.now, pool.Upstreams(), classes))
 }
 
@@ -188,7 +188,7 @@
 			delete(driver.running, id)
 		}
 	}
-	driver.check(driver.now, driver.scheduler.Forget(driver.now, member))
+	driver.check(driver.now, driver.scheduler.RemoveMember(driver.now, member))
 }
 
 func seeded(seed uint64) func(int) int {
--- a/scheduler/limit.go
+++ b/scheduler/limit.go
@@ -21,10 +21,10 @@
 	maxPerSecond = 1e6
 )
 
-// SetLimit sets the rate limit of an upstream, in requests per second, and returns the
+// SetRateLimit sets the rate limit of an upstream, in requests per second, and returns the
 // decisions that are now possible. It ignores an unknown upstream. A new limit starts with no
 // accumulated requests: another scheduler may have granted all of them already.
-func (scheduler *Scheduler) SetLimit(now time.Time, name definer.UpstreamName, limit definer.RateLimit) []Decision {
+func (scheduler *Scheduler) SetRateLimit(now time.Time, name definer.UpstreamName, limit definer.RateLimit) []Decision {
 	upstream, known := scheduler.byName[name]
 	if !known {
 		return nil
--- a/scheduler/limit_test.go
+++ b/scheduler/limit_test.go
@@ -21,7 +21,7 @@
 		t.Run(fmt.Sprint(perSecond), func(t *testing.T) {
 			harness := newHarness(t, poolSetting{upstreams: 1, slots: 50})
 			name := harness.upstreams[0].name
-			harness.SetLimit(harness.now, name, definer.LimitTo(perSecond))
+			harness.SetRateLimit(harness.now, name, definer.LimitTo(perSecond))
 			var granted []time.Time
 			take := func(decisions []Decision) {
 				for _, decision := range decisions {
@@ -48,17 +48,17 @@
 func TestALimitIsLiftedAndLowered(t *testing.T) {
 	harness := newHarness(t, poolSetting{upstreams: 2, slots: 3})
 	limited := harness.upstreams[0].name
-	harness.SetLimit(harness.now, limited, definer.LimitTo(0))
+	harness.SetRateLimit(harness.now, limited, definer.LimitTo(0))
 	for range 3 {
 		decisions := harness.ask("draft", nil)
 		assert.Equal(t, len(decisions), 1)
 		assert.Assert(t, decisions[0].Upstream != limited, "granted a slot of an upstream whose rate limit is 0")
 	}
 	assert.Equal(t, len(harness.ask("draft", nil)), 0)
-	decisions := harness.SetLimit(harness.now, limited, definer.RateLimit{})
+	decisions := harness.SetRateLimit(harness.now, limited, definer.RateLimit{})
 	assert.Equal(t, len(decisions), 1, "the waiting ask is granted when the limit is removed")
 	assert.Equal(t, decisions[0].Upstream, limited)
-	assert.Equal(t, len(harness.SetLimit(harness.now, "unknown", definer.LimitTo(1))), 0)
+	assert.Equal(t, len(harness.SetRateLimit(harness.now, "unknown", definer.LimitTo(1))), 0)
 }
 
 // TestRetryAfterIsKeptByAllWork checks that no ask is granted a slot of an upstream that asked
--- a/scheduler/option.go
+++ b/scheduler/option.go
@@ -26,9 +26,9 @@
 	return func(scheduler *Scheduler) { scheduler.features = policy.features() }
 }
 
-// WithPool sets the pool whose shares and kind apply; see Adjust.
+// WithPool sets the pool whose shares and kind apply; see SetPool.
 func WithPool(pool *definer.Pool) Option {
-	return func(scheduler *Scheduler) { scheduler.Adjust(pool) }
+	return func(scheduler *Scheduler) { scheduler.SetPool(pool) }
 }
 
 // WithPrefixAffinity overrides the prefix affinity of the pool. An upstream gets
@@ -46,9 +46,9 @@
 	return func(scheduler *Scheduler) { scheduler.maxQueue = count }
 }
 
-// Adjust sets the pool that determines the protected share, the kind of upstreams and
+// SetPool sets the pool that determines the protected share, the kind of upstreams and
 // the prefix affinity. Call Configure afterwards to apply the protected share.
-func (scheduler *Scheduler) Adjust(pool *definer.Pool) {
+func (scheduler *Scheduler) SetPool(pool *definer.Pool) {
 	scheduler.pool = pool
 	if scheduler.affinityForced {
 		return
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -192,9 +192,9 @@
 	scheduler.pending = scheduler.decide(now)
 }
 
-// Forget removes all asks and grants of a member that has left or failed, and returns
+// RemoveMember removes all asks and grants of a member that has left or failed, and returns
 // the decisions that are now possible.
-func (scheduler *Scheduler) Forget(now time.Time, member definer.Member) []Decision {
+func (scheduler *Scheduler) RemoveMember(now time.Time, member definer.Member) []Decision {
 	for _, queuedAsk := range scheduler.queuedInOrder() {
 		if queuedAsk.ask.Entry == member {
 			scheduler.dequeue(queuedAsk)
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -224,7 +224,7 @@
 	configuration, err := definer.Build(1, definer.Document{Classes: classDocuments(), Pools: []definer.PoolDocument{document}})
 	assert.NilError(t, err)
 	harness := newHarness(t, poolSetting{upstreams: 1, slots: 1})
-	harness.Adjust(configuration.Pools()[0])
+	harness.SetPool(configuration.Pools()[0])
 	harness.Configure(harness.now, configuration.Pools()[0].Upstreams(), configuration.Classes())
 	assert.Assert(t, !harness.ask("digest", nil)[0].Preemptible)
 	assert.Equal(t, len(harness.ask("confirm", nil)), 0)
--- a/selector/assignment.go
+++ b/selector/assignment.go
@@ -90,18 +90,18 @@
 func (assignment *Assignment) Upstream() *registrar.Upstream { return assignment.upstream }
 
 // NeedsPermit reports whether the upstream has a limit, so that the request may be sent only
-// with a permit. If so, Granted or Withheld must be called before any other method that changes
-// the assignment, or End if the request is given up.
+// with a permit. If so, RecordPermit or RecordDenial must be called before any other method that
+// changes the assignment, or End if the request is given up.
 func (assignment *Assignment) NeedsPermit() bool { return assignment.awaitsPermit }
 
-// Waits reports whether the request may wait for the permit, because no upstream would accept
-// it sooner.
-func (assignment *Assignment) Waits() bool { return assignment.waits }
+// MayWaitForPermit reports whether the request may wait for the permit, because no upstream would
+// accept it sooner.
+func (assignment *Assignment) MayWaitForPermit() bool { return assignment.waits }
 
-// Granted records that the permit was granted and reports whether the request may be sent. If
-// the upstream has asked for a backoff in the meantime, Granted ends the assignment and returns
-// false.
-func (assignment *Assignment) Granted(now time.Time) bool {
+// RecordPermit records that the permit was granted and reports whether the request may be sent. If
+// the upstream has asked for a backoff in the meantime, RecordPermit ends the assignment and
+// returns false.
+func (assignment *Assignment) RecordPermit(now time.Time) bool {
 	assignment.selector.mutex.Lock()
 	defer assignment.selector.mutex.Unlock()
 	if assignment.state.backsOff(now) {
@@ -114,25 +114,25 @@
 	return true
 }
 
-// BackOff records that the upstream accepts no requests from this node for the span.
-func (assignment *Assignment) BackOff(now time.Time, span time.Duration) {
+// RecordBackoff records that the upstream accepts no requests from this node for the span.
+func (assignment *Assignment) RecordBackoff(now time.Time, span time.Duration) {
 	assignment.selector.mutex.Lock()
 	defer assignment.selector.mutex.Unlock()
 	assignment.state.backOff(now.Add(span))
 }
 
-// Withheld records that the permit was denied, and that no permit is expected for the request's
+// RecordDenial records that the permit was denied, and that no permit is expected for the request's
 // tier or a lower one before the time until. It ends the assignment.
-func (assignment *Assignment) Withheld(until time.Time) {
+func (assignment *Assignment) RecordDenial(until time.Time) {
 	assignment.selector.mutex.Lock()
 	defer assignment.selector.mutex.Unlock()
 	assignment.ended = true
 	assignment.state.withhold(assignment.tier, until)
 }
 
-// Begun records the first byte of the answer. Further calls record only that the upstream
-// responds.
-func (assignment *Assignment) Begun(now time.Time) {
+// RecordFirstEvent records the first byte of the answer. Further calls record only that the
+// upstream responds.
+func (assignment *Assignment) RecordFirstEvent(now time.Time) {
 	assignment.selector.mutex.Lock()
 	defer assignment.selector.mutex.Unlock()
 	assignment.state.recordResponse(now)
@@ -151,9 +151,9 @@
 	}
 }
 
-// Silent reports whether nothing has come from the upstream, for any request, since this one
-// was sent.
-func (assignment *Assignment) Silent() bool {
+// UpstreamSilent reports whether nothing has come from the upstream, for any request, since this
+// one was sent.
+func (assignment *Assignment) UpstreamSilent() bool {
 	assignment.selector.mutex.Lock()
 	defer assignment.selector.mutex.Unlock()
 	return assignment.state.lastByte.Before(assignment.sentAt)
--- a/selector/backoff_test.go
+++ b/selector/backoff_test.go
@@ -15,7 +15,7 @@
 // asks for none.
 func refuse(assignment *selector.Assignment, now time.Time, span time.Duration) {
 	if span > 0 {
-		assignment.BackOff(now, span)
+		assignment.RecordBackoff(now, span)
 	}
 	assignment.End(now, selector.Full)
 }
@@ -48,7 +48,7 @@
 	var failure *selector.Error
 	assert.Assert(t, errors.As(err, &failure) && failure.Kind() == selector.BackingOff, "%v", err)
 	var limitation *selector.Limitation
-	assert.Assert(t, errors.As(err, &limitation) && limitation.Pause == 200*time.Millisecond, "%v", err)
+	assert.Assert(t, errors.As(err, &limitation) && limitation.RetryAfter == 200*time.Millisecond, "%v", err)
 }
 
 // TestOneRequestTriesAnUpstreamThatBackedOff checks that only one request is sent to an
@@ -67,7 +67,7 @@
 	assert.Assert(t, err != nil, "it is in backoff again")
 	now = now.Add(2 * time.Second)
 	probe = choose(t, chooser, now, serviceDemand(list))
-	probe.Begun(now)
+	probe.RecordFirstEvent(now)
 	for range 5 {
 		choose(t, chooser, now, serviceDemand(list))
 	}
@@ -87,11 +87,11 @@
 // to an upstream that has asked for a backoff in the meantime.
 func TestRetryAfterComesBeforeAPermit(t *testing.T) {
 	chooser, list, now := selector.New("west"), pool(1), start()
-	chooser.Limit(now, list[0].Start(), true)
+	chooser.SetLimited(now, list[0].Start(), true)
 	waiting, other := choose(t, chooser, now, serviceDemand(list)), choose(t, chooser, now, serviceDemand(list))
-	assert.Assert(t, waiting.NeedsPermit() && other.Granted(now))
+	assert.Assert(t, waiting.NeedsPermit() && other.RecordPermit(now))
 	refuse(other, now, time.Second)
-	assert.Assert(t, !waiting.Granted(now.Add(time.Millisecond)))
+	assert.Assert(t, !waiting.RecordPermit(now.Add(time.Millisecond)))
 	waiting.End(now, selector.Abandoned)
 	_, err := chooser.Choose(now.Add(time.Millisecond), serviceDemand(list))
 	assert.Assert(t, err != nil)
@@ -111,20 +111,20 @@
 // neither that tier nor lower ones ask for another one until then, and that higher ones do.
 func TestWithheldUpstreamsAreLeftToHigherTiers(t *testing.T) {
 	chooser, list, now := selector.New("west"), pool(1), start()
-	chooser.Limit(now, list[0].Start(), true)
+	chooser.SetLimited(now, list[0].Start(), true)
 	of := func(tier int, patience time.Duration) *selector.Demand {
 		demand := serviceDemand(list)
-		demand.Tier, demand.Patience = tier, patience
+		demand.Tier, demand.MaxPermitWait = tier, patience
 		return demand
 	}
-	choose(t, chooser, now, of(1, 0)).Withheld(now.Add(time.Second))
+	choose(t, chooser, now, of(1, 0)).RecordDenial(now.Add(time.Second))
 	for _, tier := range []int{1, 2} {
 		_, err := chooser.Choose(now, of(tier, 500*time.Millisecond))
 		var failure *selector.Error
 		assert.Assert(t, errors.As(err, &failure) && failure.Kind() == selector.Limited, "%v", err)
-		assert.Assert(t, choose(t, chooser, now, of(tier, 2*time.Second)).Waits())
+		assert.Assert(t, choose(t, chooser, now, of(tier, 2*time.Second)).MayWaitForPermit())
 	}
-	assert.Assert(t, !choose(t, chooser, now, of(0, 0)).Waits())
-	chooser.Limit(now, list[0].Start(), false)
+	assert.Assert(t, !choose(t, chooser, now, of(0, 0)).MayWaitForPermit())
+	chooser.SetLimited(now, list[0].Start(), false)
 	assert.Assert(t, !choose(t, chooser, now, of(2, 0)).NeedsPermit())
 }
--- a/selector/demand.go
+++ b/selector/demand.go
@@ -38,8 +38,8 @@
 	Objective time.Duration
 	// TimeLeft is how long the caller will still wait for the whole answer.
 	TimeLeft time.Duration
-	// Patience is the longest time that the request may wait for a permit.
-	Patience time.Duration
+	// MaxPermitWait is the longest time that the request may wait for a permit.
+	MaxPermitWait time.Duration
 	// Deferrable requests may be queued behind all others at an engine when they would miss
 	// their objective anyway.
 	Deferrable bool
--- a/selector/limit.go
+++ b/selector/limit.go
@@ -8,13 +8,13 @@
 // Limitation is the error for a request whose upstreams have limits without a permit left, or
 // have asked for a backoff.
 type Limitation struct {
-	// Pause is the time after which one of the upstreams may accept the request.
-	Pause time.Duration
+	// RetryAfter is the time after which one of the upstreams may accept the request.
+	RetryAfter time.Duration
 }
 
 // Error returns the message with the pause.
 func (limitation *Limitation) Error() string {
-	return fmt.Sprintf("no upstream accepts the request; retry after %v", limitation.Pause)
+	return fmt.Sprintf("no upstream accepts the request; retry after %v", limitation.RetryAfter)
 }
 
 // withhold records that there are no permits before the time until for requests of a tier, and
--- a/selector/load_test.go
+++ b/selector/load_test.go
@@ -25,7 +25,7 @@
 
 // answer makes an assignment begin and end at the time.
 func answer(assignment *selector.Assignment, now time.Time) {
-	assignment.Begun(now)
+	assignment.RecordFirstEvent(now)
 	assignment.End(now, selector.Answered)
 }
 
--- a/selector/restart_test.go
+++ b/selector/restart_test.go
@@ -34,7 +34,7 @@
 	later := restartedPool(pool(1), 0, 20)
 	chooser := selector.New("west")
 	read := choose(t, chooser, start(), engineDemand(first, "k", "s", 50))
-	read.Begun(start())
+	read.RecordFirstEvent(start())
 	held := choose(t, chooser, start(), engineDemand(first, "k", "s", 50))
 	assert.Assert(t, strings.HasSuffix(held.Basis(), "known=true"), held.Basis())
 	held.End(start(), selector.Unreachable)
@@ -43,7 +43,7 @@
 	assert.Assert(t, strings.HasSuffix(anew.Basis(), "known=false"), anew.Basis())
 	assert.Assert(t, strings.HasPrefix(anew.Basis(), "inFlight=0 "), anew.Basis())
 	assert.Assert(t, strings.Contains(anew.Basis(), "failures=0%"), anew.Basis())
-	assert.Assert(t, anew.Silent(), "nothing has come from this start")
+	assert.Assert(t, anew.UpstreamSilent(), "nothing has come from this start")
 
 	// Requests of the earlier start that end later do not affect the later one.
 	read.End(start(), selector.Failed)
@@ -62,7 +62,7 @@
 	first := restartedPool(pool(1), 0, 10)
 	later := restartedPool(pool(1), 0, 20)
 	chooser := selector.New("west")
-	choose(t, chooser, start(), engineDemand(later, "k", "s", 50)).Begun(start())
+	choose(t, chooser, start(), engineDemand(later, "k", "s", 50)).RecordFirstEvent(start())
 	behind := choose(t, chooser, start(), engineDemand(first, "k", "s", 50))
 	assert.Assert(t, strings.HasSuffix(behind.Basis(), "known=true"), behind.Basis())
 	assert.Assert(t, strings.HasPrefix(behind.Basis(), "inFlight=1 "), behind.Basis())
--- a/selector/saturation.go
+++ b/selector/saturation.go
@@ -31,13 +31,13 @@
 // Saturation is the error for a request that would be late at every upstream and would wait so
 // long that the caller should rather retry later.
 type Saturation struct {
-	// Pause is the time after which the request can be expected to be served.
-	Pause time.Duration
+	// RetryAfter is the time after which the request can be expected to be served.
+	RetryAfter time.Duration
 }
 
 // Error returns the message with the pause.
 func (saturation *Saturation) Error() string {
-	return fmt.Sprintf("all upstreams are saturated; retry after %v", saturation.Pause)
+	return fmt.Sprintf("all upstreams are saturated; retry after %v", saturation.RetryAfter)
 }
 
 // saturated reports whether the request should be refused at a candidate: it would be deferred,
--- a/selector/saturation_test.go
+++ b/selector/saturation_test.go
@@ -62,7 +62,7 @@
 			var saturation *selector.Saturation
 			assert.Equal(t, errors.As(err, &saturation), test.refused, "%v", err)
 			if test.refused {
-				assert.Assert(t, saturation.Pause >= time.Second && saturation.Pause <= test.left/3, "%v", saturation.Pause)
+				assert.Assert(t, saturation.RetryAfter >= time.Second && saturation.RetryAfter <= test.left/3, "%v", saturation.RetryAfter)
 			}
 		})
 	}
@@ -105,12 +105,12 @@
 		short := &selector.Demand{Service: "pool", Kind: "other", Candidates: list, Engine: true, PromptTokens: 10}
 		for range 100 {
 			assignment := choose(t, chooser, now, short)
-			assignment.Begun(now)
+			assignment.RecordFirstEvent(now)
 			now = now.Add(lasts)
 			assignment.End(now, selector.Answered)
 		}
 		for range list[0].Slots {
-			choose(t, chooser, now, short).Begun(now)
+			choose(t, chooser, now, short).RecordFirstEvent(now)
 		}
 		assert.Equal(t, choose(t, chooser, now, deferrableDemand(list, "s", time.Minute)).Deferred(), lasts > time.Second, "%v", lasts)
 	}
--- a/selector/selector.go
+++ b/selector/selector.go
@@ -46,7 +46,7 @@
 }
 
 // Choose returns an assignment of the request to the upstream that is expected to serve it at
-// the lowest cost. The caller must end the assignment with End or Withheld. The error is an
+// the lowest cost. The caller must end the assignment with End or RecordDenial. The error is an
 // *Error of kind NoUpstream, Saturated, Limited or BackingOff.
 func (selector *Selector) Choose(now time.Time, demand *Demand) (*Assignment, error) {
 	selector.mutex.Lock()
@@ -62,34 +62,34 @@
 		return choice.assignWaiting()
 	}
 	if choice.saturated(best) {
-		return nil, fail("choose", Saturated, "%w", &Saturation{Pause: choice.saturationPause()})
+		return nil, fail("choose", Saturated, "%w", &Saturation{RetryAfter: choice.saturationPause()})
 	}
 	return choice.assign(best, cost), nil
 }
 
 // assignWaiting returns an assignment that waits for a permit, if one is expected within the
-// demand's patience. The error is of kind NoUpstream, Limited or BackingOff.
+// demand's MaxPermitWait. The error is of kind NoUpstream, Limited or BackingOff.
 func (choice *choice) assignWaiting() (*Assignment, error) {
 	demand := choice.demand
 	candidate, until := choice.earliestPermit()
 	if candidate == nil {
 		if after, backsOff := choice.shortestBackoff(); backsOff {
-			return nil, fail("choose", BackingOff, "%w", &Limitation{Pause: choice.retryAfter(after)})
+			return nil, fail("choose", BackingOff, "%w", &Limitation{RetryAfter: choice.retryAfter(after)})
 		}
 		return nil, fail("choose", NoUpstream, "no upstream may be tried: %d are listed, %d were tried", len(demand.Candidates), len(demand.Tried))
 	}
 	after := until.Sub(choice.now)
-	if after > demand.Patience {
-		return nil, fail("choose", Limited, "%w", &Limitation{Pause: choice.retryAfter(after)})
+	if after > demand.MaxPermitWait {
+		return nil, fail("choose", Limited, "%w", &Limitation{RetryAfter: choice.retryAfter(after)})
 	}
 	assignment := choice.assign(candidate, after)
 	assignment.waits = true
 	return assignment, nil
 }
 
-// Limit records whether a start of an upstream has a rate limit, in which case each request to
+// SetLimited records whether a start of an upstream has a rate limit, in which case each request to
 // it needs a permit.
-func (selector *Selector) Limit(now time.Time, start definer.UpstreamStart, limited bool) {
+func (selector *Selector) SetLimited(now time.Time, start definer.UpstreamStart, limited bool) {
 	selector.mutex.Lock()
 	defer selector.mutex.Unlock()
 	if state := selector.stateOf(start, now); state.incarnation == start.Incarnation {
--- a/selector/selector_test.go
+++ b/selector/selector_test.go
@@ -88,7 +88,7 @@
 	}
 	// The preferred upstream was not listed when a peer had the subject prefilled elsewhere.
 	assignment := choose(t, elsewhere, start(), engineDemand(rest, "k", "s", 50))
-	assignment.Begun(start())
+	assignment.RecordFirstEvent(start())
 	chooser := selector.New("west")
 	chooser.Learn(start(), "peer", elsewhere.Report(start()), 1)
 	assert.Equal(t, choose(t, chooser, start(), engineDemand(list, "k", "s", 50)).Upstream().ID, assignment.Upstream().ID)
@@ -109,7 +109,7 @@
 		}
 		demand := engineDemand(list, kind, fmt.Sprintf("%s%d", kind, step%8), own)
 		assignment := choose(t, chooser, now, demand)
-		assignment.Begun(now)
+		assignment.RecordFirstEvent(now)
 		assignment.End(now.Add(40*time.Millisecond), selector.Answered)
 		if step > 40 {
 			sides[kind][assignment.Upstream().ID]++
@@ -152,7 +152,7 @@
 	probe := choose(t, chooser, now, risky)
 	assert.Equal(t, probe.Upstream().ID, gone)
 	assert.Assert(t, choose(t, chooser, now, risky).Upstream().ID != gone)
-	probe.Begun(now)
+	probe.RecordFirstEvent(now)
 	probe.End(now, selector.Answered)
 	assert.Equal(t, choose(t, chooser, now.Add(10*time.Second), risky).Upstream().ID, gone)
 }
@@ -162,7 +162,7 @@
 func TestGoneUpstreamsAreLeftAlone(t *testing.T) {
 	chooser, list, now := selector.New("west"), pool(3), start()
 	gone := choose(t, chooser, now, serviceDemand(list))
-	gone.Begun(now)
+	gone.RecordFirstEvent(now)
 	gone.End(now, selector.Gone)
 	for range 10 {
 		now = now.Add(time.Second)
@@ -273,9 +273,9 @@
 	chooser, list := selector.New("west"), pool(1)
 	first := choose(t, chooser, start(), serviceDemand(list))
 	second := choose(t, chooser, start().Add(time.Second), serviceDemand(list))
-	assert.Assert(t, first.Silent() && second.Silent())
-	first.Begun(start().Add(500 * time.Millisecond))
-	assert.Assert(t, !first.Silent() && second.Silent())
-	second.Begun(start().Add(2 * time.Second))
-	assert.Assert(t, !second.Silent())
+	assert.Assert(t, first.UpstreamSilent() && second.UpstreamSilent())
+	first.RecordFirstEvent(start().Add(500 * time.Millisecond))
+	assert.Assert(t, !first.UpstreamSilent() && second.UpstreamSilent())
+	second.RecordFirstEvent(start().Add(2 * time.Second))
+	assert.Assert(t, !second.UpstreamSilent())
 }
--- a/server/crash_test.go
+++ b/server/crash_test.go
@@ -45,7 +45,7 @@
 	case decider.AttemptEnded:
 		crasher.crash("end")
 		refusal := decider.Refusal{Status: http.StatusBadGateway, Reason: "upstreamFailed", Outcome: definer.Unknown}
-		if event.Result != decider.Broken {
+		if event.Result != decider.AttemptBroken {
 			refusal.Outcome = definer.NotRun
 		}
 		crasher.served.Hand(event.Request, decider.RefuseRequest{Request: event.Request, Refusal: refusal})
@@ -58,7 +58,7 @@
 	}
 	crasher.crash("run")
 	crasher.crash("stream")
-	return decider.AttemptEnded{Request: start.Request, Attempt: start.Attempt, Result: decider.Unsent}
+	return decider.AttemptEnded{Request: start.Request, Attempt: start.Attempt, Result: decider.AttemptUnsent}
 }
 
 func TestCrashesAreAnswered(t *testing.T) {
--- a/server/keys.go
+++ b/server/keys.go
@@ -19,7 +19,7 @@
 func (server *Server) issue(writer http.ResponseWriter, request *http.Request, _ httprouter.Params, caller caller) {
 	call := server.calls.begin(caller.request)
 	defer server.calls.end(caller.request)
-	server.core.Submit(decider.KeyWanted{Request: caller.request})
+	server.core.Submit(decider.KeyRequested{Request: caller.request})
 	select {
 	case <-request.Context().Done():
 	case action := <-call.actions:
--- a/server/outcome_test.go
+++ b/server/outcome_test.go
@@ -87,7 +87,7 @@
 	}
 	if point.short {
 		short := 300 * time.Millisecond
-		plan.dispatcher = []dispatcher.Option{dispatcher.WithTimeouts(short, short), dispatcher.WithWholeTimeout(short)}
+		plan.dispatcher = []dispatcher.Option{dispatcher.WithTimeouts(short, short), dispatcher.WithUnstreamedTimeout(short)}
 	}
 	return plan
 }
--- a/server/passage.go
+++ b/server/passage.go
@@ -146,7 +146,7 @@
 	defer func() {
 		if recovered := recover(); recovered != nil {
 			passage.server.crashed(start.Request, recovered, debug.Stack())
-			ended = decider.AttemptEnded{Request: start.Request, Attempt: start.Attempt, Result: decider.Broken, Delivered: start.Offset, Begun: passage.sink.Begun()}
+			ended = decider.AttemptEnded{Request: start.Request, Attempt: start.Attempt, Result: decider.AttemptBroken, Delivered: start.Offset, AnswerBegun: passage.sink.Begun()}
 		}
 	}()
 	progress := func(delivered int) {
--- a/simulator/request.go
+++ b/simulator/request.go
@@ -59,7 +59,7 @@
 		return
 	}
 	request.first = now
-	request.assignment.Begun(now)
+	request.assignment.RecordFirstEvent(now)
 }
 
 // end notes the end of the answer.
--- a/simulator/simulator.go
+++ b/simulator/simulator.go
@@ -264,7 +264,7 @@
 		return
 	}
 	request.retried = true
-	pause := max(saturation.Pause.Round(tick), tick)
+	pause := max(saturation.RetryAfter.Round(tick), tick)
 	world.waiting[world.now.Add(pause)] = append(world.waiting[world.now.Add(pause)], request)
 }
 
--- a/throttler/ask.go
+++ b/throttler/ask.go
@@ -11,11 +11,11 @@
 	"limpetcleat/messenger"
 )
 
-// Take asks for a permit to send a request to an upstream. Without a known limit the permit is
-// granted at once. Take returns when the issuer has decided, when no decision has arrived in time,
-// or when the context ends.
-func (throttler *Throttler) Take(ctx context.Context, need Need) Permit {
-	announcement, _ := throttler.announcer.Of(time.Now(), need.Start)
+// Acquire asks for a permit to send a request to an upstream. Without a known limit the permit is
+// granted at once. Acquire returns when the issuer has decided, when no decision has arrived in
+// time, or when the context ends.
+func (throttler *Throttler) Acquire(ctx context.Context, need PermitRequest) Permit {
+	announcement, _ := throttler.announcer.Latest(time.Now(), need.Start)
 	if _, limited := announcement.Limit.PerSecond(); !limited {
 		return Permit{Granted: true}
 	}
@@ -28,7 +28,7 @@
 
 // ask is a request for a permit that this node has sent and that is not decided on yet.
 type ask struct {
-	need    Need
+	need    PermitRequest
 	number  uint64
 	issuer  exchanger.Peer
 	sentAt  time.Time
@@ -36,7 +36,7 @@
 }
 
 // sendAsk asks the node that issues the permits.
-func (throttler *Throttler) sendAsk(now time.Time, need Need) *ask {
+func (throttler *Throttler) sendAsk(now time.Time, need PermitRequest) *ask {
 	list := throttler.listNodes()
 	throttler.mutex.Lock()
 	defer throttler.mutex.Unlock()
@@ -60,7 +60,7 @@
 // message returns the wire message of an ask.
 func (throttler *Throttler) message(now time.Time, ask *ask) *messenger.PermitAsk {
 	return &messenger.PermitAsk{
-		Number: ask.number, Announcement: throttler.announcer.Encoded(now, ask.need.Start), DataCentre: ask.need.DataCentre,
+		Number: ask.number, Announcement: throttler.announcer.LatestEncoded(now, ask.need.Start), DataCentre: ask.need.DataCentre,
 		Tier: ask.need.Tier, Patience: ask.need.Patience, ReplyTo: throttler.self.Address,
 	}
 }
@@ -77,17 +77,17 @@
 			case messenger.PermitGranted, messenger.PermitNeedless:
 				return Permit{Granted: true}, Granted
 			case messenger.PermitDenied:
-				return Permit{After: max(answer.After, time.Millisecond)}, Denied
+				return Permit{RetryAfter: max(answer.After, time.Millisecond)}, Denied
 			case messenger.PermitQueued:
 				queued = true
 				patience.Reset(ask.need.Patience + answerTimeout)
 			}
 		case <-ctx.Done():
 			throttler.withdraw(time.Now(), ask)
-			return Permit{After: answerTimeout}, Withdrawn
+			return Permit{RetryAfter: answerTimeout}, Withdrawn
 		case <-patience.C:
 			throttler.unanswered(time.Now(), ask, queued)
-			return Permit{After: answerTimeout}, Unanswered
+			return Permit{RetryAfter: answerTimeout}, Unanswered
 		}
 	}
 }
--- a/throttler/benchmark_test.go
+++ b/throttler/benchmark_test.go
@@ -34,7 +34,7 @@
 	known := announcer.New()
 	now := time.Now()
 	for number := range upstreams {
-		known.Hear(now, benchStart(number), now, announcer.Announcement{Limit: definer.LimitTo(2)})
+		known.Record(now, benchStart(number), now, announcer.Announcement{Limit: definer.LimitTo(2)})
 	}
 	throttler := New(fleet.nodes[0], fleet, fleet, known)
 	throttler.schedule = func(definer.UpstreamStart, time.Time) {}
@@ -50,7 +50,7 @@
 	throttler := newBenchThrottler()
 	b.ReportAllocs()
 	for count := 0; b.Loop(); count++ {
-		throttler.forgetAsk(throttler.sendAsk(time.Now(), Need{Start: benchStart(count % 2800), DataCentre: "d1"}))
+		throttler.forgetAsk(throttler.sendAsk(time.Now(), PermitRequest{Start: benchStart(count % 2800), DataCentre: "d1"}))
 	}
 }
 
--- a/throttler/issuance.go
+++ b/throttler/issuance.go
@@ -87,7 +87,7 @@
 // decide decides on an ask or queues it. An empty replyTo means that the ask is this node's own.
 // The mutex is held.
 func (throttler *Throttler) decide(now time.Time, list nodeList, start definer.UpstreamStart, dataCentre definer.DataCentre, ask issuer.Ask, replyTo string) {
-	announcement, _ := throttler.announcer.Of(now, start)
+	announcement, _ := throttler.announcer.Latest(now, start)
 	perSecond, limited := announcement.Limit.PerSecond()
 	if !limited {
 		throttler.reply(now, start, replyTo, &messenger.PermitAnswer{Number: ask.ID.Number, Verdict: messenger.PermitNeedless})
@@ -182,7 +182,7 @@
 	if now.Sub(contact.probedAt) >= probeInterval {
 		contact.probedAt = now
 		throttler.sender.Send(context.Background(), node.Address, &messenger.PermitAsk{
-			Announcement: throttler.announcer.Encoded(now, start), DataCentre: dataCentre, Probe: true, ReplyTo: throttler.self.Address,
+			Announcement: throttler.announcer.LatestEncoded(now, start), DataCentre: dataCentre, Probe: true, ReplyTo: throttler.self.Address,
 		})
 	}
 }
@@ -230,6 +230,6 @@
 		throttler.deliver(answer)
 		return
 	}
-	answer.Announcement = throttler.announcer.Encoded(now, start)
+	answer.Announcement = throttler.announcer.LatestEncoded(now, start)
 	throttler.sender.Send(context.Background(), replyTo, answer)
 }
--- a/throttler/throttler.go
+++ b/throttler/throttler.go
@@ -38,8 +38,8 @@
 	Withdrawn Outcome = "withdrawn"
 )
 
-// Need describes a request that needs a permit.
-type Need struct {
+// PermitRequest describes a request that needs a permit.
+type PermitRequest struct {
 	Start definer.UpstreamStart
 	// DataCentre is the data centre of the upstream.
 	DataCentre definer.DataCentre
@@ -49,12 +49,12 @@
 	Patience time.Duration
 }
 
-// Permit is the result of Take.
+// Permit is the result of Acquire.
 type Permit struct {
 	// Granted reports whether the request may be sent, at once and only once.
 	Granted bool
-	// After is the time after which to ask again for this upstream, if not granted.
-	After time.Duration
+	// RetryAfter is the time after which to ask again for this upstream, if not granted.
+	RetryAfter time.Duration
 }
 
 // Throttler asks the issuing nodes for permits, and issues the permits of the upstreams for which
--- a/throttler/throttler_test.go
+++ b/throttler/throttler_test.go
@@ -95,20 +95,20 @@
 // learnLimit has the node receive an answer of the upstream with a limit, or with none.
 func (node *node) learnLimit(limit definer.RateLimit) {
 	now := time.Now()
-	node.announcer.Hear(now, upstream(), now, announcer.Announcement{Limit: limit})
+	node.announcer.Record(now, upstream(), now, announcer.Announcement{Limit: limit})
 }
 
 func upstream() definer.UpstreamStart { return definer.UpstreamStart{Upstream: "u"} }
 
-func need(patience time.Duration) throttler.Need {
-	return throttler.Need{Start: upstream(), DataCentre: "west", Patience: patience}
+func need(patience time.Duration) throttler.PermitRequest {
+	return throttler.PermitRequest{Start: upstream(), DataCentre: "west", Patience: patience}
 }
 
 // TestNoLimitNeedsNoPermit checks that no ask is sent for an upstream without a limit.
 func TestNoLimitNeedsNoPermit(t *testing.T) {
 	network := newNetwork(t, "a", "b")
 	for _, node := range network.nodes {
-		assert.Assert(t, node.Take(t.Context(), need(0)).Granted)
+		assert.Assert(t, node.Acquire(t.Context(), need(0)).Granted)
 		assert.Equal(t, len(node.outcomes), 0)
 	}
 }
@@ -127,12 +127,12 @@
 	for _, name := range []string{"a", "b"} {
 		askers.Go(func() {
 			for time.Now().Before(until) {
-				permit := network.nodes[name].Take(t.Context(), need(50*time.Millisecond))
+				permit := network.nodes[name].Acquire(t.Context(), need(50*time.Millisecond))
 				if permit.Granted {
 					granted <- struct{}{}
 					continue
 				}
-				assert.Check(t, permit.After > 0)
+				assert.Check(t, permit.RetryAfter > 0)
 				<-time.After(10 * time.Millisecond)
 			}
 		})
@@ -156,7 +156,7 @@
 	began, granted := time.Now(), 0
 	for count := 0; granted == 0 && count < 200; count++ {
 		at := time.Now()
-		if asker.Take(t.Context(), need(0)).Granted {
+		if asker.Acquire(t.Context(), need(0)).Granted {
 			granted++
 		}
 		assert.Assert(t, time.Since(at) < time.Second, "%v", time.Since(at))
@@ -181,9 +181,9 @@
 				node.learnLimit(definer.RateLimit{})
 			}
 		}
-		if network.nodes[asker].Take(t.Context(), need(0)).Granted {
+		if network.nodes[asker].Acquire(t.Context(), need(0)).Granted {
 			granted++
-			announcement, _ := network.nodes[asker].announcer.Of(time.Now(), upstream())
+			announcement, _ := network.nodes[asker].announcer.Latest(time.Now(), upstream())
 			assert.Equal(t, announcement.Limit.String(), "none")
 		}
 	}
@@ -199,7 +199,7 @@
 	for _, node := range network.nodes {
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 		at := time.Now()
-		assert.Assert(t, !node.Take(ctx, need(time.Minute)).Granted)
+		assert.Assert(t, !node.Acquire(ctx, need(time.Minute)).Granted)
 		assert.Assert(t, time.Since(at) < time.Second)
 		cancel()
 		assert.Equal(t, node.outcomes[throttler.Withdrawn], 1)
--- a/throttler/world_test.go
+++ b/throttler/world_test.go
@@ -131,7 +131,7 @@
 	member.withheld = make(map[definer.UpstreamStart]time.Time)
 	member.announcer = announcer.New()
 	for _, upstream := range member.world.upstreams {
-		member.announcer.Hear(member.world.now, upstream.start, member.world.now, announcer.Announcement{Limit: definer.LimitTo(upstream.limit)})
+		member.announcer.Record(member.world.now, upstream.start, member.world.now, announcer.Announcement{Limit: definer.LimitTo(upstream.limit)})
 	}
 	member.throttler = New(member.peer, member, member, member.announcer)
 	member.throttler.schedule = func(start definer.UpstreamStart, at time.Time) { member.due[start] = at }
@@ -237,7 +237,7 @@
 	if member.down || member.frozen {
 		return
 	}
-	need := Need{Start: upstream.start, DataCentre: upstream.dataCentre, Tier: world.random.IntN(3)}
+	need := PermitRequest{Start: upstream.start, DataCentre: upstream.dataCentre, Tier: world.random.IntN(3)}
 	if wait := member.withheld[upstream.start].Sub(world.now); wait > 0 {
 		if wait > requestPatience || world.random.IntN(2) == 0 {
 			return // The request goes to another upstream.
--- a/watcher/caller.go
+++ b/watcher/caller.go
@@ -47,27 +47,27 @@
 }
 
 // result tells the core what became of a call. A read has no effect that could
-// be in doubt, so that any failure of one is Lost.
+// be in doubt, so that any failure of one is CallLost.
 func result(call decider.CallPlatform, err error) decider.PlatformResult {
 	if err == nil {
-		return decider.Done
+		return decider.CallDone
 	}
 	switch storer.KindOf(err) {
 	case storer.Missing:
-		return decider.Missing
+		return decider.CallMissing
 	case storer.Conflict:
-		return decider.Conflict
+		return decider.CallConflict
 	case storer.Rejected, storer.Refused:
 		return unsent(call)
 	default:
-		return decider.Lost
+		return decider.CallLost
 	}
 }
 
 // unsent is the result of a call that had no effect.
 func unsent(call decider.CallPlatform) decider.PlatformResult {
 	if call.Verb == decider.ReadObject {
-		return decider.Lost
+		return decider.CallLost
 	}
-	return decider.Rejected
+	return decider.CallRejected
 }
--- a/watcher/configuration.go
+++ b/watcher/configuration.go
@@ -101,7 +101,7 @@
 // fetch reads the sections that the last head did not have and delivers all.
 func (watch *configurationWatch) fetch(ctx context.Context, head *sectioner.Head) error {
 	contents := make(map[string][]byte, len(head.Sections))
-	event := decider.ConfigurationFound{Head: decider.Head{Version: head.Version, Sections: head.Sums()}}
+	event := decider.ConfigurationFound{Head: decider.ConfigurationHead{Version: head.Version, Sections: head.Sums()}}
 	for _, entry := range head.Sections {
 		data, ok := watch.contents[entry.Hash]
 		if !ok {
--- a/watcher/watcher_test.go
+++ b/watcher/watcher_test.go
@@ -276,22 +276,22 @@
 		// version 0 is that of no object, 2 is that of a first write.
 		version uint64
 	}{
-		{"create", `{}`, create, decider.Done, 2},
-		{"create what exists", `{}`, taken, decider.Conflict, 1},
-		{"create without an answer", `{"loseAnswers":1}`, create, decider.Lost, 0},
-		{"create that fails", `{"failWrites":1}`, create, decider.Lost, 0},
-		{"create in an outage", `{"outage":true}`, create, decider.Rejected, 0},
-		{"create in an outage that hangs", `{"outage":true,"outageHang":true}`, create, decider.Lost, 0},
-		{"create too slowly", `{"slowMs":2000}`, create, decider.Lost, 0},
-		{"create of what the platform refuses", `{}`, invalid, decider.Rejected, 0},
-		{"update", `{}`, update, decider.Done, 2},
-		{"update of another version", `{}`, stale, decider.Conflict, 1},
-		{"update of nothing", `{}`, gone, decider.Missing, 0},
-		{"delete", `{}`, remove, decider.Done, 2},
-		{"read", `{}`, read, decider.Done, 1},
-		{"read of nothing", `{}`, absent, decider.Missing, 0},
-		{"read in an outage", `{"outage":true}`, read, decider.Lost, 0},
-		{"read too slowly", `{"slowMs":2000}`, read, decider.Lost, 0},
+		{"create", `{}`, create, decider.CallDone, 2},
+		{"create what exists", `{}`, taken, decider.CallConflict, 1},
+		{"create without an answer", `{"loseAnswers":1}`, create, decider.CallLost, 0},
+		{"create that fails", `{"failWrites":1}`, create, decider.CallLost, 0},
+		{"create in an outage", `{"outage":true}`, create, decider.CallRejected, 0},
+		{"create in an outage that hangs", `{"outage":true,"outageHang":true}`, create, decider.CallLost, 0},
+		{"create too slowly", `{"slowMs":2000}`, create, decider.CallLost, 0},
+		{"create of what the platform refuses", `{}`, invalid, decider.CallRejected, 0},
+		{"update", `{}`, update, decider.CallDone, 2},
+		{"update of another version", `{}`, stale, decider.CallConflict, 1},
+		{"update of nothing", `{}`, gone, decider.CallMissing, 0},
+		{"delete", `{}`, remove, decider.CallDone, 2},
+		{"read", `{}`, read, decider.CallDone, 1},
+		{"read of nothing", `{}`, absent, decider.CallMissing, 0},
+		{"read in an outage", `{"outage":true}`, read, decider.CallLost, 0},
+		{"read too slowly", `{"slowMs":2000}`, read, decider.CallLost, 0},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -316,8 +316,8 @@
 	write := decider.CallPlatform{Verb: decider.CreateObject, Kind: "claim", Name: "a", Value: []byte("1")}
 	away := start(t, newPlatform(), watcher.WithPlatform(storer.New([]string{dead}, "")))
 	away.watcher.Call(write)
-	assert.Equal(t, await[decider.PlatformAnswered](away).Result, decider.Rejected)
+	assert.Equal(t, await[decider.PlatformAnswered](away).Result, decider.CallRejected)
 	second := start(t, newPlatform(), watcher.WithPlatform(storer.New([]string{dead, away.address}, "")))
 	second.watcher.Call(write)
-	assert.Equal(t, await[decider.PlatformAnswered](second).Result, decider.Done)
+	assert.Equal(t, await[decider.PlatformAnswered](second).Result, decider.CallDone)
 }
