--- a/messenger/capacity_test.go
+++ b/messenger/capacity_test.go
@@ -16,7 +16,7 @@
 )
 
 // sizedMessages are the control messages of one request, with names as long as
-// those of the stand-ins, and two of a quiet fleet.
+// those of the stand-ins, and two messages of an idle fleet.
 func sizedMessages(held int) map[string]messenger.Message {
 	shard := messenger.Shard{DataCentre: "skopje", Pool: "model-07", Index: 1}
 	report := &messenger.GrantReport{Shard: shard}
@@ -33,19 +33,20 @@
 		"report":    report,
 		"load":      loadReport(8, 4),
 		"started":   startedReport(8, 4),
-		"fallen":    fallenReport(20),
-		"permit":    &messenger.PermitAsk{Number: 1_800_000_000_000_000_000, Announcement: announced(0), DataCentre: "skopje", Tier: 2, Patience: 150 * time.Millisecond, ReplyTo: "10.1.0.19:7200"},
-		"permitted": &messenger.PermitAnswer{Number: 1_800_000_000_000_000_000, After: 400 * time.Millisecond, Announcement: announced(0)},
-		"limits":    &messenger.LoadReport{Announcements: []messenger.UpstreamAnnouncement{announced(0), announced(1), announced(2), announced(3), announced(4), announced(5), announced(6), announced(7)}},
+		"fallen":    fallReport(20),
+		"permit":    &messenger.PermitAsk{Number: 1_800_000_000_000_000_000, Announcement: announcementOf(0), DataCentre: "skopje", Tier: 2, Patience: 150 * time.Millisecond, ReplyTo: "10.1.0.19:7200"},
+		"permitted": &messenger.PermitAnswer{Number: 1_800_000_000_000_000_000, After: 400 * time.Millisecond, Announcement: announcementOf(0)},
+		"limits":    &messenger.LoadReport{Announcements: []messenger.UpstreamAnnouncement{announcementOf(0), announcementOf(1), announcementOf(2), announcementOf(3), announcementOf(4), announcementOf(5), announcementOf(6), announcementOf(7)}},
 	}
 }
 
-// announced is what an upstream with a limit has announced.
-func announced(number int) messenger.UpstreamAnnouncement {
+// announcementOf returns the announcement of an upstream with a limit.
+func announcementOf(number int) messenger.UpstreamAnnouncement {
 	return messenger.UpstreamAnnouncement{Upstream: definer.UpstreamName(fmt.Sprintf("i-%010x", number)), Incarnation: 1_800_000_000_000, PerSecond: 2.2, Limited: true, Age: 3 * time.Second}
 }
 
-// loadReport is a report with requests at so many engines and so many readings.
+// loadReport returns a report on requests at the given number of engines, with the
+// given number of read prompt parts.
 func loadReport(engines, reads int) *messenger.LoadReport {
 	report := &messenger.LoadReport{}
 	for index := range engines {
@@ -60,7 +61,8 @@
 	return report
 }
 
-// startedReport is the same where upstreams tell their starts, in milliseconds since 1970.
+// startedReport returns a loadReport whose upstreams tell their starts, in milliseconds
+// since 1970.
 func startedReport(engines, reads int) *messenger.LoadReport {
 	const start = 1_800_000_000_000
 	report := loadReport(engines, reads)
@@ -73,8 +75,9 @@
 	return report
 }
 
-// fallenReport tells of the end of one upstream with so many requests on it, and nothing else.
-func fallenReport(suspects int) *messenger.LoadReport {
+// fallReport returns a report on the end of one upstream that had the given number
+// of requests, and on nothing else.
+func fallReport(suspects int) *messenger.LoadReport {
 	fall := messenger.UpstreamFall{Upstream: "i-0123456789", Incarnation: 1_800_000_000_000, Age: 80 * time.Millisecond}
 	for index := range suspects {
 		fall.Suspects = append(fall.Suspects, definer.RequestIdentity(fmt.Sprintf("%016x", index)))
@@ -82,9 +85,9 @@
 	return &messenger.LoadReport{Falls: []messenger.UpstreamFall{fall}}
 }
 
-// TestMessagesKeepTheirSize logs what a connection and a message cost on the
-// wire, both directions and the receipt included, and fails when a message has
-// doubled. The processor time is that of both ends.
+// TestMessagesKeepTheirSize logs how many bytes a connection and a message take on
+// the wire, both directions and the receipt included, and fails when a message has
+// doubled in size. The processor time is that of both ends.
 func TestMessagesKeepTheirSize(t *testing.T) {
 	const count, most = 500, 800
 	authority := newAuthority(t)
@@ -92,7 +95,7 @@
 		var bytes atomic.Int64
 		taken := make(chan bool, 1)
 		options = append(options, messenger.WithCounts(func(_, size int) { bytes.Add(int64(size)) }, func(_, size int) { bytes.Add(int64(size)) }))
-		receiver := startTaker(t, taken, options[:len(options)-1])
+		receiver := startReceiver(t, taken, options[:len(options)-1])
 		sender := messenger.New(definer.Member{VM: "entry-skopje-11", Incarnation: 1_800_000_000_000_000_000}, "skopje", nil, options...)
 		ctx, cancel := context.WithCancel(context.Background())
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -122,7 +125,7 @@
 		before := bytes.Load()
 		send(sizedMessages(1000)["report"])
 		t.Logf("slope %s.heldGrant=%.0f B", name, float64(bytes.Load()-before)/1000)
-		// The message before is counted whole once another has followed it.
+		// A message is counted completely once another has followed it.
 		send(sizedMessages(0)["heartbeat"])
 		before = bytes.Load()
 		send(loadReport(1000, 0))
@@ -132,9 +135,9 @@
 	}
 }
 
-// startTaker starts a messenger that tells of each message taken in and returns
+// startReceiver starts a messenger that signals each message it receives, and returns
 // its address.
-func startTaker(t *testing.T, taken chan<- bool, options []messenger.Option) string {
+func startReceiver(t *testing.T, taken chan<- bool, options []messenger.Option) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	take := func(definer.Member, definer.DataCentre, messenger.Message) { taken <- true }
--- a/messenger/doc.go
+++ b/messenger/doc.go
@@ -1,5 +1,6 @@
-// Package messenger holds the inner protocol: every message that processes of
-// the system send each other, and the net/rpc transport that carries them.
+// Package messenger defines the inner protocol: all messages that the router's
+// nodes exchange. It also has the transport that carries them in batches, with
+// net/rpc and gob over TCP or mutual TLS, at most once and in order for each peer.
 //
-// The fields of messages are exported because the gob codec needs it.
+// The fields of messages are exported because gob encodes exported fields only.
 package messenger
--- a/messenger/failure.go
+++ b/messenger/failure.go
@@ -6,15 +6,15 @@
 type Kind string
 
 const (
-	// Malformed marks bytes that are no message.
+	// Malformed marks a frame that does not hold exactly one message.
 	Malformed Kind = "malformed"
-	// Unreachable marks a peer that could not be reached in time.
+	// Unreachable marks a peer that did not accept an envelope in time.
 	Unreachable Kind = "unreachable"
-	// Rejected marks an incoming connection that was turned away.
+	// Rejected marks an incoming connection that was refused.
 	Rejected Kind = "rejected"
 )
 
-// Error is the one error type of this package.
+// Error is the type of all errors of this package.
 type Error = failer.Error[Kind]
 
 func fail(operation string, kind Kind, format string, values ...any) *Error {
--- a/messenger/frame.go
+++ b/messenger/frame.go
@@ -2,7 +2,8 @@
 
 import "limpetcleat/definer"
 
-// Frame is the form of one message on the wire: exactly one field is set.
+// Frame is a tagged union that encodes one message on the wire: exactly one field
+// is set.
 type Frame struct {
 	GrantAsk              *GrantAsk
 	GrantAnswer           *GrantAnswer
@@ -30,22 +31,22 @@
 	PermitAnswer          *PermitAnswer
 }
 
-// Envelope carries messages from one member to another.
+// Envelope is a batch of messages from one member to another.
 type Envelope struct {
 	From       definer.Member
 	DataCentre definer.DataCentre
 	Frames     []Frame
 }
 
-// Wrap returns the wire form of a message.
+// Wrap returns the frame that encodes a message.
 func Wrap(message Message) Frame {
 	var frame Frame
 	message.place(&frame)
 	return frame
 }
 
-// Unwrap returns the one message in a frame. The error is of kind Malformed
-// when there is none or more than one.
+// Unwrap returns the message in a frame. The error is of kind Malformed unless
+// the frame holds exactly one message.
 func Unwrap(frame Frame) (Message, error) {
 	candidates := []struct {
 		set     bool
@@ -83,7 +84,7 @@
 		}
 	}
 	if len(found) != 1 {
-		return nil, fail("unwrap", Malformed, "a frame holds %d messages", len(found))
+		return nil, fail("unwrap", Malformed, "frame holds %d messages instead of one", len(found))
 	}
 	return found[0], nil
 }
--- a/messenger/frame_test.go
+++ b/messenger/frame_test.go
@@ -30,8 +30,9 @@
 	}
 }
 
-// TestUnwrapKnowsEveryField sets each field of a frame alone; its message must
-// come out, and going in again must set the same field.
+// TestUnwrapKnowsEveryField sets each field of a frame alone: Unwrap must return its
+// message, and Wrap of that message must set the field again. It guards against a
+// new field that Unwrap leaves out.
 func TestUnwrapKnowsEveryField(t *testing.T) {
 	fields := reflect.TypeFor[messenger.Frame]()
 	for index := range fields.NumField() {
--- a/messenger/incoming.go
+++ b/messenger/incoming.go
@@ -12,17 +12,19 @@
 )
 
 const (
-	// maxIncoming bounds the open incoming connections. Each member keeps one to
-	// each other at most, so that a fleet of thousands stays below it.
+	// maxIncoming bounds the open incoming connections. Each member opens at most
+	// one connection to each other member, so fleets of thousands stay below it.
 	maxIncoming = 4096
 	// silentAfter is how long a peer may send nothing before its connection is
-	// closed. A live peer closes an idle one itself after idleAfter.
+	// closed. A live peer closes an idle connection itself after idleAfter.
 	silentAfter = 2 * idleAfter
-	// defaultHandshakeTimeout bounds the time until a peer has proved itself.
+	// defaultHandshakeTimeout bounds the TLS handshake and the wait for the first
+	// envelope of an incoming connection.
 	defaultHandshakeTimeout = 5 * time.Second
 )
 
-// accept serves connections until the context ends.
+// accept accepts connections and serves each in its own goroutine until the
+// context ends.
 func (messenger *Messenger) accept(ctx context.Context, listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -34,9 +36,9 @@
 			_ = timer.Sleep(ctx, acceptAgainAfter) // The loop sees the context end.
 			continue
 		}
-		if !messenger.keep(conn) {
+		if !messenger.track(conn) {
 			_ = conn.Close()
-			messenger.rejections.add(conn.RemoteAddr().String(), fail("accept", Rejected, "%d connections are open", maxIncoming))
+			messenger.rejections.add(conn.RemoteAddr().String(), fail("accept", Rejected, "limit of %d open connections reached", maxIncoming))
 			continue
 		}
 		messenger.group.Go(func() { messenger.serve(ctx, conn) })
@@ -51,31 +53,32 @@
 	}
 }
 
-// serve serves one connection until either side closes it.
+// serve authenticates one connection and receives its envelopes until either side
+// closes it. A connection that ends without an envelope is reported as rejected.
 func (messenger *Messenger) serve(ctx context.Context, conn net.Conn) {
-	defer messenger.drop(conn)
+	defer messenger.untrack(conn)
 	address := conn.RemoteAddr().String()
 	counted := &countedConn{Conn: conn, read: messenger.received, written: messenger.sent}
-	proved, err := messenger.prove(ctx, counted)
+	secured, err := messenger.authenticate(ctx, counted)
 	if err != nil {
 		messenger.reject(ctx, address, err)
 		return
 	}
-	inner := &Inner{messenger: messenger, conn: proved}
+	inner := &Inner{messenger: messenger, conn: secured}
 	server := rpc.NewServer()
 	if err := server.RegisterName(serviceName, inner); err != nil {
 		return
 	}
-	_ = proved.SetReadDeadline(time.Now().Add(messenger.handshakeTimeout))
-	server.ServeCodec(newCodec(proved))
-	if !inner.spoke.Load() {
-		messenger.reject(ctx, address, fail("serve", Rejected, "no message of this protocol came"))
+	_ = secured.SetReadDeadline(time.Now().Add(messenger.handshakeTimeout))
+	server.ServeCodec(newCodec(secured))
+	if !inner.receivedEnvelope.Load() {
+		messenger.reject(ctx, address, fail("serve", Rejected, "no valid envelope arrived on the connection"))
 	}
 }
 
-// prove returns the connection once the peer has shown its certificate, or as
-// it is when peers go without TLS.
-func (messenger *Messenger) prove(ctx context.Context, conn net.Conn) (net.Conn, error) {
+// authenticate returns the connection after a mutual TLS handshake, or the
+// connection itself when TLS is off.
+func (messenger *Messenger) authenticate(ctx context.Context, conn net.Conn) (net.Conn, error) {
 	if messenger.server == nil {
 		return conn, nil
 	}
@@ -94,8 +97,9 @@
 	}
 }
 
-// keep notes an open connection, unless there are too many.
-func (messenger *Messenger) keep(conn net.Conn) bool {
+// track registers an open connection. It returns false when maxIncoming
+// connections are open or the messenger is stopping.
+func (messenger *Messenger) track(conn net.Conn) bool {
 	messenger.mutex.Lock()
 	defer messenger.mutex.Unlock()
 	if len(messenger.conns) >= maxIncoming || messenger.closed {
@@ -105,16 +109,16 @@
 	return true
 }
 
-// drop closes and forgets a connection.
-func (messenger *Messenger) drop(conn net.Conn) {
+// untrack closes a connection and removes it from the open ones.
+func (messenger *Messenger) untrack(conn net.Conn) {
 	_ = conn.Close()
 	messenger.mutex.Lock()
 	defer messenger.mutex.Unlock()
 	delete(messenger.conns, conn)
 }
 
-// hangUp closes every open connection and lets no other be kept.
-func (messenger *Messenger) hangUp() {
+// closeConnections closes every open connection and makes track refuse new ones.
+func (messenger *Messenger) closeConnections() {
 	messenger.mutex.Lock()
 	defer messenger.mutex.Unlock()
 	messenger.closed = true
@@ -123,22 +127,23 @@
 	}
 }
 
-// Inner is the net/rpc service of one connection. Its one method is called by
-// the peer only.
+// Inner is the net/rpc service of one incoming connection. It is exported for
+// net/rpc; only the peer calls its method Deliver.
 type Inner struct {
 	messenger *Messenger
 	conn      net.Conn
-	// spoke says that the peer has sent an envelope.
-	spoke atomic.Bool
+	// receivedEnvelope is set once the peer has sent an envelope.
+	receivedEnvelope atomic.Bool
 }
 
-// Receipt answers an envelope.
+// Receipt is the empty reply that acknowledges an envelope.
 type Receipt struct{}
 
-// Deliver takes in one envelope. The error is of kind Malformed when a frame
-// holds no single message; the frames before it have been taken in.
+// Deliver receives one envelope and passes its messages on in order. The error is
+// of kind Malformed when a frame does not hold exactly one message; the messages
+// of the frames before it have been delivered.
 func (inner *Inner) Deliver(envelope *Envelope, _ *Receipt) error {
-	inner.spoke.Store(true)
+	inner.receivedEnvelope.Store(true)
 	_ = inner.conn.SetReadDeadline(time.Now().Add(silentAfter))
 	inner.messenger.received(len(envelope.Frames), 0)
 	for _, frame := range envelope.Frames {
--- a/messenger/limiter.go
+++ b/messenger/limiter.go
@@ -10,19 +10,20 @@
 )
 
 const (
-	// maxEnvelope bounds the bytes of one envelope. The largest message is a
-	// whole call or its answer.
+	// maxEnvelope bounds the size of one envelope in bytes. The largest message is a
+	// complete call or its answer.
 	maxEnvelope = 12 << 20
-	// maxReceipt bounds the bytes of the answer to one envelope.
+	// maxReceipt bounds the size of the reply to one envelope in bytes.
 	maxReceipt = 64 << 10
-	// batchBytes is the size of large messages at which an envelope is full.
+	// batchBytes is the total payload, in bytes, from which on no further message is
+	// added to an envelope.
 	batchBytes = 1 << 20
 )
 
-// errTooLarge is returned for what is larger than a peer may send.
-var errTooLarge = errors.New("the peer sent too much")
+// errTooLarge is returned when a peer sends more bytes than its limit.
+var errTooLarge = errors.New("peer exceeded the size limit of a message")
 
-// limitedReader reads no more than it is allowed.
+// limitedReader reads at most as many bytes as the last call of allow set.
 type limitedReader struct {
 	reader io.Reader
 	// mutex guards left; no other lock is taken under it.
@@ -37,7 +38,8 @@
 	limited.left = count
 }
 
-// Read reads what is allowed. The error is errTooLarge when nothing is left.
+// Read reads up to the remaining limit. The error is errTooLarge when the limit is
+// used up.
 func (limited *limitedReader) Read(data []byte) (int, error) {
 	limited.mutex.Lock()
 	left := limited.left
@@ -52,7 +54,7 @@
 	return count, err
 }
 
-// codec is the server's side of net/rpc over gob, with a bound on each request.
+// codec is a net/rpc server codec over gob that bounds the size of each request.
 type codec struct {
 	conn    io.ReadWriteCloser
 	limited *limitedReader
@@ -67,16 +69,16 @@
 	return &codec{conn: conn, limited: limited, decoder: gob.NewDecoder(limited), buffer: buffer, encoder: gob.NewEncoder(buffer)}
 }
 
-// ReadRequestHeader reads the head of the next request.
+// ReadRequestHeader resets the size limit and reads the header of the next request.
 func (codec *codec) ReadRequestHeader(request *rpc.Request) error {
 	codec.limited.allow(maxEnvelope)
 	return codec.decoder.Decode(request)
 }
 
-// ReadRequestBody reads the rest of a request.
+// ReadRequestBody reads the body of a request.
 func (codec *codec) ReadRequestBody(body any) error { return codec.decoder.Decode(body) }
 
-// WriteResponse writes one answer.
+// WriteResponse writes one response and flushes it.
 func (codec *codec) WriteResponse(response *rpc.Response, body any) error {
 	if err := codec.encoder.Encode(response); err != nil {
 		return err
@@ -90,8 +92,9 @@
 // Close closes the connection.
 func (codec *codec) Close() error { return codec.conn.Close() }
 
-// weight returns the bytes of a message that may be large.
-func weight(message Message) int {
+// payloadSize returns the payload of a message in bytes, and 0 for the kinds of
+// message that are always small.
+func payloadSize(message Message) int {
 	switch message := message.(type) {
 	case *CallForward:
 		return len(message.Body)
--- a/messenger/limiter_test.go
+++ b/messenger/limiter_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// wire is a connection whose peer has sent all that it will.
+// wire is a connection whose peer has already sent all its data.
 type wire struct {
 	io.Reader
 	bytes.Buffer
@@ -33,7 +33,7 @@
 	return buffer.Bytes()
 }
 
-// read takes in all requests that were sent and returns their messages.
+// read decodes all requests that were sent and returns their messages.
 func read(data io.Reader) ([]Message, error) {
 	codec := newCodec(&wire{Reader: data})
 	var messages []Message
@@ -83,7 +83,8 @@
 	}
 }
 
-// TestEnvelopesAreBounded checks that large messages do not gather in one.
+// TestEnvelopesAreBounded checks that large messages are not batched into one
+// envelope of unbounded size.
 func TestEnvelopesAreBounded(t *testing.T) {
 	peer := &peer{messenger: &Messenger{}, queue: make(chan Message, 8)}
 	for range 4 {
@@ -93,8 +94,8 @@
 	assert.Equal(t, len(peer.batch(&CallAnswer{Body: make([]byte, batchBytes)}).Frames), 1)
 }
 
-// FuzzDecode checks that bytes of a peer neither crash the decoder nor make it
-// allocate without bound.
+// FuzzDecode checks that no input from a peer crashes the decoder or makes it
+// allocate memory without bound.
 func FuzzDecode(f *testing.F) {
 	head := rpc.Request{ServiceMethod: deliverMethod}
 	whole := Envelope{Frames: []Frame{Wrap(&Heartbeat{Changes: []MemberChange{{Address: "a"}}}), Wrap(&CallForward{Header: map[string][]string{"A": {"b"}}, Body: []byte("{}")})}}
--- a/messenger/load.go
+++ b/messenger/load.go
@@ -7,31 +7,31 @@
 	"limpetcleat/definer"
 )
 
-// UpstreamLoad is what the sender's requests put on one upstream.
+// UpstreamLoad is the load that the sender's requests put on one upstream.
 type UpstreamLoad struct {
 	Upstream definer.UpstreamName
-	// Incarnation is that of the start that it speaks of.
+	// Incarnation identifies the start of the upstream that the load refers to.
 	Incarnation definer.Incarnation
-	// InFlight counts the requests that were sent and have not ended.
+	// InFlight is the number of requests that were sent and have not ended.
 	InFlight int
-	// Tokens counts what they may take of an engine's memory.
+	// Tokens is how many tokens those requests may occupy in an engine's memory.
 	Tokens int
-	// Heard is how long ago anything came from it; HasHeard tells whether anything
-	// did.
+	// Heard is how long ago the upstream last sent anything; it is valid if HasHeard
+	// is set.
 	Heard    time.Duration
 	HasHeard bool
-	// Unread counts the prompt tokens of those without a first event, and Deferred
-	// those of requests that are behind all others there.
+	// Unread is the number of prompt tokens of the requests without a first event,
+	// Deferred that of the requests that the upstream serves after all others.
 	Unread   int
 	Deferred int
 }
 
-// Start returns the start of the upstream that the load is at.
+// Start returns the start of the upstream that the load refers to.
 func (load UpstreamLoad) Start() definer.UpstreamStart {
 	return definer.UpstreamStart{Upstream: load.Upstream, Incarnation: load.Incarnation}
 }
 
-// Plus returns the load of both. What was heard is the later of the two.
+// Plus returns the sum of both loads. Heard is that of the more recent sign of life.
 func (load UpstreamLoad) Plus(other UpstreamLoad) UpstreamLoad {
 	load.InFlight += other.InFlight
 	load.Tokens += other.Tokens
@@ -43,7 +43,7 @@
 	return load
 }
 
-// Minus returns the load without the other's requests; what was heard stays.
+// Minus returns the load without the other's requests; Heard and HasHeard stay.
 func (load UpstreamLoad) Minus(other UpstreamLoad) UpstreamLoad {
 	load.InFlight -= other.InFlight
 	load.Tokens -= other.Tokens
@@ -52,22 +52,22 @@
 	return load
 }
 
-// KindWork is what the requests of one rule took of a service's engines, and how
-// long their prompts are, in sums that fade.
+// KindWork is the engine time that the requests of one rule took at a service, and
+// the length of their prompts, as sums that decay over time.
 type KindWork struct {
 	Service definer.PoolName
 	Rule    string
-	// Work is all of it, Reading the part of it that is reading prompts.
+	// Work is the total engine time, Reading the part of it spent on reading prompts.
 	Work    time.Duration
 	Reading time.Duration
 	// Tier is the rule's rank; 0 is the highest.
 	Tier int
-	// PromptTokens over Requests is the mean length of a prompt.
+	// PromptTokens divided by Requests is the mean length of a prompt in tokens.
 	PromptTokens float64
 	Requests     float64
 }
 
-// Plus returns what the requests of both took.
+// Plus returns the sum of both works; service, rule and tier stay.
 func (work KindWork) Plus(other KindWork) KindWork {
 	work.Work += other.Work
 	work.Reading += other.Reading
@@ -76,7 +76,7 @@
 	return work
 }
 
-// Minus returns it without what the other's requests took.
+// Minus returns the work without that of the other's requests.
 func (work KindWork) Minus(other KindWork) KindWork {
 	work.Work -= other.Work
 	work.Reading -= other.Reading
@@ -85,13 +85,13 @@
 	return work
 }
 
-// PartsRead tells that an engine has read shared parts of a prompt, and so holds
-// them.
+// PartsRead reports that an engine has read parts of a prompt that other requests
+// share, and so holds them in its prefix cache.
 type PartsRead struct {
 	Upstream definer.UpstreamName
-	// Incarnation is that of the start that read them.
+	// Incarnation identifies the start of the upstream that read the parts.
 	Incarnation definer.Incarnation
-	// Parts are the names of the parts, in the prompt's order.
+	// Parts are the names of the parts, in the order of the prompt.
 	Parts []string
 }
 
@@ -100,14 +100,15 @@
 	return definer.UpstreamStart{Upstream: read.Upstream, Incarnation: read.Incarnation}
 }
 
-// UpstreamFall tells that an upstream ended with requests on it.
+// UpstreamFall reports that an upstream ended while it had requests.
 type UpstreamFall struct {
 	Upstream definer.UpstreamName
-	// Incarnation is that of the start that ended.
+	// Incarnation identifies the start of the upstream that ended.
 	Incarnation definer.Incarnation
-	// Age is how long before the report it ended.
+	// Age is the time from the end of the upstream to the report.
 	Age time.Duration
-	// Suspects are requests that may have caused it, Cleared such that are known not to have.
+	// Suspects are the requests that may have caused the end, Cleared those that are
+	// known not to have caused it.
 	Suspects []definer.RequestIdentity
 	Cleared  []definer.RequestIdentity
 }
@@ -117,45 +118,47 @@
 	return definer.UpstreamStart{Upstream: fall.Upstream, Incarnation: fall.Incarnation}
 }
 
-// FallNotice tells a member of ends of upstreams, where no reports are exchanged.
+// FallNotice tells a member which upstreams ended. It is used where nodes exchange no
+// load reports.
 type FallNotice struct {
-	// Scope tells whom the sender tells it for: MemberLoad to the relay of a data centre,
-	// GroupLoad between those, FleetLoad to members.
+	// Scope is the hop on which the notice is sent: MemberLoad from a member to the relay
+	// of its data centre, GroupLoad between relays, FleetLoad from a relay to members.
 	Scope LoadScope
 	Falls []UpstreamFall
 }
 
 func (fallNotice *FallNotice) place(frame *Frame) { frame.FallNotice = fallNotice }
 
-// LoadScope tells whose requests a LoadReport sums up, and so what the receiver
-// does with it.
+// LoadScope is the set of nodes whose requests a LoadReport sums up. It determines
+// how the receiver handles the report.
 type LoadScope int
 
 const (
-	// MemberLoad is that of the sender and of the nodes that report to it; the
-	// sender wants to be told of the others by the receiver.
+	// MemberLoad is the load of the sender and of the nodes that report to it; the
+	// sender asks the receiver for a report on all other nodes.
 	MemberLoad LoadScope = iota
-	// GroupLoad is the same, told to the node that is taken for the aggregator of
-	// another group; the sender wants to be told the same by the receiver.
+	// GroupLoad is the load of the sender and of the nodes that report to it, sent to
+	// the node that the sender takes for the aggregator of another group. The sender
+	// asks the receiver for the load of that group.
 	GroupLoad
-	// GroupAnswer is that in turn, when the sender does not take the receiver for the
-	// aggregator of its group.
+	// GroupAnswer is the answer to a GroupLoad, sent when the sender does not take the
+	// receiver for the aggregator of the receiver's group.
 	GroupAnswer
-	// FleetLoad is that of all nodes the sender knows of but for the receiver.
+	// FleetLoad is the load of all nodes that the sender knows of except the receiver.
 	FleetLoad
 )
 
-// Confirmation tells a peer up to when a version of the configuration was known to
-// be the newest. It holds however long it was on its way, since the receiver counts
-// from when it sent what the sender counts from.
+// Confirmation tells a peer until when a version of the configuration was known to
+// be the newest. Its time is relative to a report that the receiver itself sent, so
+// that it is valid however long the message takes.
 type Confirmation struct {
 	Version uint64
-	// Sent is that of the latest report that the sender had of the receiver, Incarnation
-	// the number of the process that sent it.
+	// Sent is the field Sent of the latest report that the sender got from the receiver,
+	// Incarnation the number of the process that sent that report.
 	Sent        time.Duration
 	Incarnation definer.Incarnation
-	// Lead is how long after it took that report in the sender was certain; it is
-	// negative when that was before.
+	// Lead is the time from the arrival of that report at the sender to the moment for
+	// which the version is confirmed; it is negative when that moment came first.
 	Lead time.Duration
 }
 
@@ -177,34 +180,35 @@
 	Link       int
 }
 
-// Positions tells up to where a node knows the store's entries.
+// Positions are the positions in the store's histories up to which a node knows the
+// entries.
 type Positions struct {
 	Upstreams chronicler.Position
 	Peers     chronicler.Position
 }
 
-// News is what a peer lacks of the store's entries, as far as it goes into one message.
+// News holds the store's entries that a peer lacks, as many as fit into one message.
 type News struct {
 	Upstreams *chronicler.Excerpt[UpstreamEntry]
 	Peers     *chronicler.Excerpt[PeerEntry]
 }
 
-// DefinitionAsk asks a peer for a part of the configuration in force there, of a version
-// at least.
+// DefinitionAsk asks a peer for a part of the configuration that is in force at the
+// peer, if that is of the given version or a newer one.
 type DefinitionAsk struct {
 	Version uint64
-	// Offset is where the part begins, in bytes.
+	// Offset is where the part begins in the encoded configuration, in bytes.
 	Offset int
-	// ReplyTo is where the sender takes the answer.
+	// ReplyTo is the address to which the answer is sent.
 	ReplyTo string
 }
 
 func (definitionAsk *DefinitionAsk) place(frame *Frame) { frame.DefinitionAsk = definitionAsk }
 
-// DefinitionPart is a part of a configuration's encoded form.
+// DefinitionPart is a part of an encoded configuration, the answer to a DefinitionAsk.
 type DefinitionPart struct {
 	Version uint64
-	// Offset is where the part begins; Size is that of the whole, in bytes.
+	// Offset is where the part begins and Size the length of the whole, in bytes.
 	Offset int
 	Size   int
 	Data   []byte
@@ -212,34 +216,35 @@
 
 func (definitionPart *DefinitionPart) place(frame *Frame) { frame.DefinitionPart = definitionPart }
 
-// LoadReport tells a peer what requests do to the upstreams. It replaces the
-// sender's report before.
+// LoadReport tells a peer the load that requests put on the upstreams. It replaces
+// the sender's previous report.
 type LoadReport struct {
 	Scope LoadScope
-	// Sent is when the report was made, as time since the sender's start; only the
-	// sender knows what it means.
+	// Sent is when the report was made, as time since the sender's start; it has a
+	// meaning for the sender only.
 	Sent time.Duration
-	// Clock is the time of day as the sender's clock shows it, since 1970, or, to members
-	// of its group, as the sender makes it from those of others; 0 is not told.
+	// Clock is the wall-clock time since 1970: that of the sender's own clock or, in
+	// reports to members of its group, the one that the sender derives from the clocks
+	// of others; 0 means not told.
 	Clock time.Duration
-	// Address is where the sender takes messages, set until it has heard from the receiver,
-	// which may know nobody yet.
+	// Address is where the sender receives messages. It is set until the sender has heard
+	// from the receiver, which may not know any node yet.
 	Address string
-	// Confirmation is set by senders that know one and have heard from the receiver.
+	// Confirmation is set when the sender has one and has heard from the receiver.
 	Confirmation *Confirmation
-	// Positions are the sender's, News what the receiver lacks by the latest report that
-	// the sender had of it; both are nil where each node asks the store by itself.
+	// Positions are those of the sender; News holds what the receiver lacks according to
+	// its latest report to the sender. Both are nil where each node reads the store itself.
 	Positions *Positions
 	News      *News
-	// Nodes counts the nodes whose requests are summed up.
+	// Nodes is the number of nodes whose requests are summed up.
 	Nodes int
 	Loads []UpstreamLoad
 	Kinds []KindWork
-	// Reads are those since the sender's report before.
+	// Reads are the prompt parts read since the sender's previous report.
 	Reads []PartsRead
-	// Falls are ends of upstreams of which the receiver may not know all suspects.
+	// Falls are the ends of upstreams whose suspects the receiver may not all know.
 	Falls []UpstreamFall
-	// Announcements are those of upstreams that the receiver may not know.
+	// Announcements are the upstreams' announcements that the receiver may not know.
 	Announcements []UpstreamAnnouncement
 }
 
--- a/messenger/messenger_test.go
+++ b/messenger/messenger_test.go
@@ -27,69 +27,70 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// end is one messenger with what it took in and what it reported.
-type end struct {
+// endpoint is a messenger with the messages it received and the reports it made.
+type endpoint struct {
 	*messenger.Messenger
 	t       *testing.T
 	ctx     context.Context
 	stop    context.CancelFunc
 	address string
 	mutex   sync.Mutex
-	// taken holds the targets of the heartbeats taken in, in order.
-	taken    []string
+	// targets holds the targets of the heartbeats received, in order.
+	targets  []string
 	reports  []messenger.Report
 	sent     atomic.Int64
 	received atomic.Int64
 }
 
-// startEnd starts a messenger on the address; stop ends it and waits.
-func startEnd(t *testing.T, address string, options ...messenger.Option) *end {
+// startEndpoint starts a messenger on the address; its stop ends the messenger and waits
+// until it is done.
+func startEndpoint(t *testing.T, address string, options ...messenger.Option) *endpoint {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", address)
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
-	end := &end{t: t, ctx: ctx, address: listener.Addr().String()}
-	end.Messenger = messenger.New(definer.Member{VM: "vm-" + definer.VM(end.address)}, "west", end.take, append([]messenger.Option{
-		messenger.WithReports(end.report),
+	endpoint := &endpoint{t: t, ctx: ctx, address: listener.Addr().String()}
+	endpoint.Messenger = messenger.New(definer.Member{VM: "vm-" + definer.VM(endpoint.address)}, "west", endpoint.take, append([]messenger.Option{
+		messenger.WithReports(endpoint.report),
 		messenger.WithCounts(
-			func(_, bytes int) { end.sent.Add(int64(bytes)) },
-			func(_, bytes int) { end.received.Add(int64(bytes)) }),
+			func(_, bytes int) { endpoint.sent.Add(int64(bytes)) },
+			func(_, bytes int) { endpoint.received.Add(int64(bytes)) }),
 	}, options...)...)
-	end.Start(ctx, listener)
-	end.stop = func() {
+	endpoint.Start(ctx, listener)
+	endpoint.stop = func() {
 		cancel()
-		<-end.Done()
+		<-endpoint.Done()
 	}
-	t.Cleanup(end.stop)
-	return end
+	t.Cleanup(endpoint.stop)
+	return endpoint
 }
 
-func (end *end) take(_ definer.Member, _ definer.DataCentre, message messenger.Message) {
-	end.mutex.Lock()
-	defer end.mutex.Unlock()
+func (endpoint *endpoint) take(_ definer.Member, _ definer.DataCentre, message messenger.Message) {
+	endpoint.mutex.Lock()
+	defer endpoint.mutex.Unlock()
 	if heartbeat, ok := message.(*messenger.Heartbeat); ok {
-		end.taken = append(end.taken, string(heartbeat.Target))
+		endpoint.targets = append(endpoint.targets, string(heartbeat.Target))
 	}
 }
 
-func (end *end) report(report messenger.Report) {
-	end.mutex.Lock()
-	defer end.mutex.Unlock()
-	end.reports = append(end.reports, report)
+func (endpoint *endpoint) report(report messenger.Report) {
+	endpoint.mutex.Lock()
+	defer endpoint.mutex.Unlock()
+	endpoint.reports = append(endpoint.reports, report)
 }
 
-func (end *end) all() []string {
-	end.mutex.Lock()
-	defer end.mutex.Unlock()
-	return append([]string(nil), end.taken...)
+func (endpoint *endpoint) receivedTargets() []string {
+	endpoint.mutex.Lock()
+	defer endpoint.mutex.Unlock()
+	return append([]string(nil), endpoint.targets...)
 }
 
-// told returns the number of reports of a kind.
-func (end *end) told(kind messenger.ReportKind) int {
-	end.mutex.Lock()
-	defer end.mutex.Unlock()
+// countReports returns the number of reports of a kind.
+func (endpoint *endpoint) countReports(kind messenger.ReportKind) int {
+	endpoint.mutex.Lock()
+	defer endpoint.mutex.Unlock()
 	count := 0
-	for _, report := range end.reports {
+	for _, report := range endpoint.reports {
 		if report.Kind == kind {
 			count++
 		}
@@ -97,8 +98,8 @@
 	return count
 }
 
-func (end *end) say(to *end, text string) {
-	end.Send(end.ctx, to.address, &messenger.Heartbeat{Target: definer.VM(text)})
+func (endpoint *endpoint) say(to *endpoint, text string) {
+	endpoint.Send(endpoint.ctx, to.address, &messenger.Heartbeat{Target: definer.VM(text)})
 }
 
 func eventually(t *testing.T, what string, holds func() bool) {
@@ -113,22 +114,22 @@
 
 func TestMessagesKeepTheirOrder(t *testing.T) {
 	const count = 2000
-	first, second := startEnd(t, "127.0.0.1:0"), startEnd(t, "127.0.0.1:0")
+	first, second := startEndpoint(t, "127.0.0.1:0"), startEndpoint(t, "127.0.0.1:0")
 	var wanted []string
 	for index := range count {
 		wanted = append(wanted, strconv.Itoa(index))
 		first.say(second, strconv.Itoa(index))
 	}
-	eventually(t, "all are there", func() bool { return len(second.all()) == count })
-	assert.DeepEqual(t, second.all(), wanted)
+	eventually(t, "all messages arrive", func() bool { return len(second.receivedTargets()) == count })
+	assert.DeepEqual(t, second.receivedTargets(), wanted)
 }
 
 func TestSendNeverBlocks(t *testing.T) {
-	// Nobody accepts on the listener, so that the peer is connected but silent.
+	// The listener never accepts, so that the connection opens but the peer is silent.
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer listener.Close()
-	sender := startEnd(t, "127.0.0.1:0", messenger.WithTimeout(time.Hour))
+	sender := startEndpoint(t, "127.0.0.1:0", messenger.WithTimeout(time.Hour))
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -139,36 +140,36 @@
 	select {
 	case <-done:
 	case <-time.After(limit):
-		t.Fatal("Send blocks on a peer that takes nothing")
+		t.Fatal("Send blocks on a peer that accepts nothing")
 	}
 }
 
 func TestPeerIsReachedAgainAfterItsRestart(t *testing.T) {
-	sender := startEnd(t, "127.0.0.1:0")
-	first := startEnd(t, "127.0.0.1:0")
+	sender := startEndpoint(t, "127.0.0.1:0")
+	first := startEndpoint(t, "127.0.0.1:0")
 	sender.say(first, "one")
-	eventually(t, "the first message", func() bool { return len(first.all()) == 1 })
+	eventually(t, "the first message", func() bool { return len(first.receivedTargets()) == 1 })
 	first.stop()
-	eventually(t, "the loss is told", func() bool {
+	eventually(t, "the loss is reported", func() bool {
 		sender.say(first, "lost")
-		return sender.told(messenger.PeerLost) > 0
+		return sender.countReports(messenger.PeerLost) > 0
 	})
-	second := startEnd(t, first.address)
+	second := startEndpoint(t, first.address)
 	eventually(t, "a message after the restart", func() bool {
 		sender.say(second, "again")
-		return len(second.all()) > 0
+		return len(second.receivedTargets()) > 0
 	})
-	eventually(t, "the return is told", func() bool { return sender.told(messenger.PeerBack) == 1 })
-	assert.Equal(t, sender.told(messenger.PeerLost), 1, "one loss is told once")
+	eventually(t, "the return is reported", func() bool { return sender.countReports(messenger.PeerBack) == 1 })
+	assert.Equal(t, sender.countReports(messenger.PeerLost), 1, "one loss is reported once")
 }
 
 func TestCountsAreWireBytes(t *testing.T) {
 	ours := newAuthority(t)
-	first := startEnd(t, "127.0.0.1:0", secure(t, ours, authority.InnerName))
-	second := startEnd(t, "127.0.0.1:0", secure(t, ours, authority.InnerName))
+	first := startEndpoint(t, "127.0.0.1:0", secure(t, ours, authority.InnerName))
+	second := startEndpoint(t, "127.0.0.1:0", secure(t, ours, authority.InnerName))
 	counting, address := startRelay(t, second.address)
 	first.Send(first.ctx, address, &messenger.Heartbeat{Target: "hello"})
-	eventually(t, "the message", func() bool { return len(second.all()) == 1 })
+	eventually(t, "the message", func() bool { return len(second.receivedTargets()) == 1 })
 	eventually(t, "equal counts", func() bool {
 		forward, back := counting.Bytes(relay.Forward), counting.Bytes(relay.Backward)
 		return first.sent.Load() == forward && second.received.Load() == forward &&
@@ -189,27 +190,28 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			server := startEnd(t, "127.0.0.1:0", secure(t, ours, authority.InnerName))
-			client := startEnd(t, "127.0.0.1:0", test.client)
+			server := startEndpoint(t, "127.0.0.1:0", secure(t, ours, authority.InnerName))
+			client := startEndpoint(t, "127.0.0.1:0", test.client)
 			client.say(server, "let me in")
-			eventually(t, "the rejection is told", func() bool { return server.told(messenger.PeerRejected) > 0 })
-			eventually(t, "the loss is told", func() bool { return client.told(messenger.PeerLost) == 1 })
-			assert.Equal(t, len(server.all()), 0)
+			eventually(t, "the rejection is reported", func() bool { return server.countReports(messenger.PeerRejected) > 0 })
+			eventually(t, "the loss is reported", func() bool { return client.countReports(messenger.PeerLost) == 1 })
+			assert.Equal(t, len(server.receivedTargets()), 0)
 		})
 	}
 }
 
 func TestPeerUnderAnotherNameIsNotTalkedTo(t *testing.T) {
 	ours := newAuthority(t)
-	server := startEnd(t, "127.0.0.1:0", secure(t, ours, "another-name"))
-	client := startEnd(t, "127.0.0.1:0", secure(t, ours, authority.InnerName))
+	server := startEndpoint(t, "127.0.0.1:0", secure(t, ours, "another-name"))
+	client := startEndpoint(t, "127.0.0.1:0", secure(t, ours, authority.InnerName))
 	client.say(server, "secret")
-	eventually(t, "the loss is told", func() bool { return client.told(messenger.PeerLost) == 1 })
-	assert.Equal(t, len(server.all()), 0)
+	eventually(t, "the loss is reported", func() bool { return client.countReports(messenger.PeerLost) == 1 })
+	assert.Equal(t, len(server.receivedTargets()), 0)
 }
 
-// TestSilentConnectionsAreClosed holds connections open without a handshake or
-// a message; others must get through meanwhile and these must end.
+// TestSilentConnectionsAreClosed opens connections that send no handshake or no
+// message: messages of other peers must be delivered meanwhile, and the silent
+// connections must be closed.
 func TestSilentConnectionsAreClosed(t *testing.T) {
 	ours := newAuthority(t)
 	cases := []struct {
@@ -221,7 +223,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			server := startEnd(t, "127.0.0.1:0", append(test.options, messenger.WithHandshakeTimeout(300*time.Millisecond))...)
+			server := startEndpoint(t, "127.0.0.1:0", append(test.options, messenger.WithHandshakeTimeout(300*time.Millisecond))...)
 			var silent []net.Conn
 			for range 20 {
 				conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", server.address)
@@ -229,9 +231,9 @@
 				defer conn.Close()
 				silent = append(silent, conn)
 			}
-			client := startEnd(t, "127.0.0.1:0", test.options...)
+			client := startEndpoint(t, "127.0.0.1:0", test.options...)
 			client.say(server, "past them")
-			eventually(t, "the message", func() bool { return len(server.all()) == 1 })
+			eventually(t, "the message", func() bool { return len(server.receivedTargets()) == 1 })
 			for _, conn := range silent {
 				assert.NilError(t, conn.SetReadDeadline(time.Now().Add(limit)))
 				_, err := conn.Read(make([]byte, 1))
@@ -239,7 +241,7 @@
 				assert.Assert(t, err != nil)
 				assert.Assert(t, !errorsAs(err, &timeout) || !timeout.Timeout(), "the server did not close a silent connection")
 			}
-			eventually(t, "a rejection is told", func() bool { return server.told(messenger.PeerRejected) > 0 })
+			eventually(t, "a rejection is reported", func() bool { return server.countReports(messenger.PeerRejected) > 0 })
 		})
 	}
 }
--- a/messenger/peer.go
+++ b/messenger/peer.go
@@ -10,20 +10,21 @@
 	"limpetcleat/dialer"
 )
 
-// peer is the outgoing side towards one address.
+// peer is the outgoing queue and connection for one address.
 type peer struct {
 	messenger *Messenger
 	address   string
 	queue     chan Message
 	// client is nil while there is no connection; only run touches it.
 	client *rpc.Client
-	// limited bounds what the peer answers; it belongs to client.
+	// limited bounds the size of the peer's replies; it belongs to client.
 	limited *limitedReader
-	// lost says that the last envelope did not get through; only run touches it.
+	// lost is set when the last envelope was not delivered; only run touches it.
 	lost bool
 }
 
-// run sends what is queued until the context ends or the peer is idle.
+// run sends queued messages until the context ends or the peer has been idle for
+// idleAfter.
 func (peer *peer) run(ctx context.Context) {
 	defer peer.disconnect()
 	idle := time.NewTimer(idleAfter)
@@ -43,14 +44,15 @@
 	}
 }
 
-// batch returns an envelope of the message and all that wait behind it.
+// batch returns an envelope with the message and those queued behind it, up to
+// batchLength messages or batchBytes of payload.
 func (peer *peer) batch(first Message) *Envelope {
 	envelope := &Envelope{From: peer.messenger.self, DataCentre: peer.messenger.dataCentre, Frames: []Frame{Wrap(first)}}
-	size := weight(first)
+	size := payloadSize(first)
 	for len(envelope.Frames) < batchLength && size < batchBytes {
 		select {
 		case next := <-peer.queue:
-			size += weight(next)
+			size += payloadSize(next)
 			envelope.Frames = append(envelope.Frames, Wrap(next))
 		default:
 			return envelope
@@ -59,10 +61,10 @@
 	return envelope
 }
 
-// deliver sends one envelope and waits for its receipt. A failure loses it and
-// is reported when it is the first in a row.
+// deliver sends one envelope and waits for its receipt. An envelope that fails is
+// lost; the first failure in a row and the first success after it are reported.
 func (peer *peer) deliver(ctx context.Context, envelope *Envelope) {
-	err := peer.try(ctx, envelope)
+	err := peer.sendEnvelope(ctx, envelope)
 	switch {
 	case ctx.Err() != nil:
 		return
@@ -74,8 +76,9 @@
 	peer.lost = err != nil
 }
 
-// try sends one envelope. The error is of kind Unreachable.
-func (peer *peer) try(ctx context.Context, envelope *Envelope) error {
+// sendEnvelope connects if necessary, sends one envelope and waits for its receipt.
+// The error is of kind Unreachable, or that of the context if it ended.
+func (peer *peer) sendEnvelope(ctx context.Context, envelope *Envelope) error {
 	if err := peer.connect(ctx); err != nil {
 		return err
 	}
@@ -89,7 +92,7 @@
 		return ctx.Err()
 	case <-timeout.C:
 		peer.disconnect()
-		return fail("deliver", Unreachable, "no receipt within %v", peer.messenger.timeout)
+		return fail("deliver", Unreachable, "peer sent no receipt within %v", peer.messenger.timeout)
 	case ended := <-call.Done:
 		if ended.Error == nil {
 			return nil
@@ -138,30 +141,30 @@
 	}
 }
 
-// limitedConn reads through a limit.
+// limitedConn is a connection that is read through a limitedReader.
 type limitedConn struct {
 	net.Conn
 	limited *limitedReader
 }
 
-// Read reads what is allowed.
+// Read reads up to the remaining limit.
 func (limitedConn limitedConn) Read(data []byte) (int, error) { return limitedConn.limited.Read(data) }
 
-// countedConn counts the bytes that cross a connection.
+// countedConn is a connection that counts the bytes read and written.
 type countedConn struct {
 	net.Conn
 	read    Count
 	written Count
 }
 
-// Read reads and counts.
+// Read reads from the connection and counts the bytes.
 func (counted *countedConn) Read(data []byte) (int, error) {
 	count, err := counted.Conn.Read(data)
 	counted.read(0, count)
 	return count, err
 }
 
-// Write writes and counts.
+// Write writes to the connection and counts the bytes.
 func (counted *countedConn) Write(data []byte) (int, error) {
 	count, err := counted.Conn.Write(data)
 	counted.written(0, count)
--- a/messenger/permit.go
+++ b/messenger/permit.go
@@ -6,30 +6,32 @@
 	"limpetcleat/definer"
 )
 
-// UpstreamAnnouncement is what an upstream has said of how it wants to be asked.
+// UpstreamAnnouncement is the rate limit and the planned end that an upstream has
+// announced in its answers.
 type UpstreamAnnouncement struct {
 	Upstream definer.UpstreamName
-	// Incarnation is that of the start that said so.
+	// Incarnation identifies the start of the upstream that made the announcement.
 	Incarnation definer.Incarnation
-	// PerSecond is how many requests a second it takes from all nodes together; without
-	// Limited it takes any number.
+	// PerSecond is how many requests per second the upstream accepts from all nodes
+	// together. It is valid if Limited is set; otherwise there is no limit.
 	PerSecond float64
 	Limited   bool
-	// Leaving is set once it is about to end.
+	// Leaving is set once the upstream is about to end.
 	Leaving bool
-	// Age is how long ago it said so, Unannounced when the sender knows nothing.
+	// Age is how long ago the announcement was made; it is Unannounced when the sender
+	// knows of none.
 	Age time.Duration
 }
 
-// Unannounced stands for the age of an announcement that was never heard.
+// Unannounced is the Age of an announcement that was never received.
 const Unannounced = time.Duration(-1)
 
-// Start returns the start of the upstream that said so.
+// Start returns the start of the upstream that made the announcement.
 func (upstreamAnnouncement UpstreamAnnouncement) Start() definer.UpstreamStart {
 	return definer.UpstreamStart{Upstream: upstreamAnnouncement.Upstream, Incarnation: upstreamAnnouncement.Incarnation}
 }
 
-// LimitNotice tells the owner of a shard how many requests an upstream takes.
+// LimitNotice tells the owner of a shard the rate limit that an upstream announced.
 type LimitNotice struct {
 	Shard        Shard
 	Announcement UpstreamAnnouncement
@@ -37,47 +39,49 @@
 
 func (limitNotice *LimitNotice) place(frame *Frame) { frame.LimitNotice = limitNotice }
 
-// PermitAsk asks the node that hands out the permits of an upstream with a limit for one.
+// PermitAsk asks the issuer of an upstream's permits for one. An upstream with a rate
+// limit is sent a request only under a permit.
 type PermitAsk struct {
-	// Number names the ask among those of the sender's process.
+	// Number identifies the ask among those of the sender's process.
 	Number uint64
-	// Announcement is the upstream's latest as the sender knows it.
+	// Announcement is the latest one of the upstream that the sender knows.
 	Announcement UpstreamAnnouncement
-	// DataCentre is the upstream's.
+	// DataCentre is the data centre of the upstream.
 	DataCentre definer.DataCentre
 	// Tier is the rank of the request; 0 is the highest.
 	Tier int
-	// Patience is how long the request can wait for the permit; with 0 it is decided at once.
+	// Patience is how long the request can wait for the permit; with 0 the issuer decides
+	// at once.
 	Patience time.Duration
-	// Withdrawn takes the ask of this number back; no answer follows.
+	// Withdrawn cancels the ask with this number; no answer follows.
 	Withdrawn bool
-	// Probe wants no permit, only an answer.
+	// Probe asks for an answer without a permit.
 	Probe bool
-	// ReplyTo is where the sender takes the answer.
+	// ReplyTo is the address to which the answer is sent.
 	ReplyTo string
 }
 
 func (permitAsk *PermitAsk) place(frame *Frame) { frame.PermitAsk = permitAsk }
 
-// PermitIssuer is a node that hands out permits.
+// PermitIssuer is a node that issues the permits of an upstream.
 type PermitIssuer struct {
 	VM         definer.VM
 	DataCentre definer.DataCentre
-	// Address is where it takes messages.
+	// Address is where the node receives messages.
 	Address string
 }
 
-// PermitVerdict is what became of a PermitAsk.
+// PermitVerdict is the result of a PermitAsk.
 type PermitVerdict int
 
 const (
-	// PermitGranted lets the request be sent, at once and once.
+	// PermitGranted allows the request to be sent immediately and one time only.
 	PermitGranted PermitVerdict = iota
 	// PermitQueued says that a decision follows.
 	PermitQueued
 	// PermitDenied says that the request may not be sent.
 	PermitDenied
-	// PermitNeedless says that the upstream has no limit any more.
+	// PermitNeedless says that the upstream no longer has a limit.
 	PermitNeedless
 )
 
@@ -85,12 +89,13 @@
 type PermitAnswer struct {
 	Number  uint64
 	Verdict PermitVerdict
-	// After is when a queued permit is expected, or after what time it is worth asking again.
+	// After is the time until a queued permit is expected or, after a denial, until it is
+	// worth asking again.
 	After time.Duration
-	// Before is a node that is to hand out the permits in place of the sender or, behind a
-	// probe, of the receiver; nil when the sender hears from none.
+	// Before is a node that is to issue the permits in place of the sender or, in the
+	// answer to a probe, of the receiver; it is nil when the sender hears from no such node.
 	Before *PermitIssuer
-	// Announcement is the upstream's latest as the sender knows it.
+	// Announcement is the latest one of the upstream that the sender knows.
 	Announcement UpstreamAnnouncement
 }
 
--- a/messenger/report.go
+++ b/messenger/report.go
@@ -7,36 +7,36 @@
 	"golang.org/x/time/rate"
 )
 
-// ReportKind tells what a Report is about.
+// ReportKind is the kind of event that a Report describes.
 type ReportKind string
 
 const (
-	// PeerLost says that messages to a peer are lost from now on.
+	// PeerLost says that a peer stopped receiving messages; those sent to it are lost.
 	PeerLost ReportKind = "peerLost"
-	// PeerBack says that messages to a peer get through again.
+	// PeerBack says that a lost peer receives messages again.
 	PeerBack ReportKind = "peerBack"
-	// PeerRejected says that incoming connections were turned away.
+	// PeerRejected says that incoming connections or messages were refused.
 	PeerRejected ReportKind = "peerRejected"
 )
 
-// Report tells what became of connections with one address.
+// Report describes a change in the connections with one address.
 type Report struct {
 	Kind    ReportKind
 	Address string
 	// Cause is nil for PeerBack.
 	Cause error
-	// Count is the number of connections turned away since the last report.
+	// Count is the number of refusals since the last report; it is set for PeerRejected.
 	Count uint64
 }
 
-// rejectedEvery is the least time between two reports of rejected connections.
+// rejectedEvery is the minimum interval between two reports of rejected connections.
 const rejectedEvery = time.Second
 
-// rejections reports connections that are turned away, a few at a time.
+// rejections counts rejected connections and reports them at a bounded rate.
 type rejections struct {
 	report func(Report)
 	count  atomic.Uint64
-	// sometimes bounds the reports.
+	// sometimes limits the rate of reports.
 	sometimes rate.Sometimes
 }
 
--- a/messenger/secure_test.go
+++ b/messenger/secure_test.go
@@ -23,8 +23,8 @@
 	return made
 }
 
-// trusting returns the dialling side under a certificate of the issuer that
-// trusts the servers of another authority.
+// trusting returns the TLS configuration of a dialler whose certificate comes from
+// the issuer and which trusts servers of another authority.
 func trusting(t *testing.T, issuer, trusted *authority.Authority) *tls.Config {
 	t.Helper()
 	_, client, err := issuer.Configs(authority.InnerName)
@@ -33,7 +33,7 @@
 	return client
 }
 
-// secure returns mutual TLS under a certificate of that name.
+// secure returns the option for mutual TLS with a certificate of the given name.
 func secure(t *testing.T, issuer *authority.Authority, name string) messenger.Option {
 	t.Helper()
 	server, client, err := issuer.Configs(name)
@@ -41,7 +41,8 @@
 	return messenger.WithTLS(server, client)
 }
 
-// startRelay counts the bytes between diallers of its address and a server.
+// startRelay starts a relay that counts the bytes between diallers of its address and
+// a server.
 func startRelay(t *testing.T, target string) (counting *relay.Relay, address string) {
 	t.Helper()
 	counting = relay.New(relay.WithTarget(target))
--- a/messenger/transport.go
+++ b/messenger/transport.go
@@ -13,27 +13,28 @@
 )
 
 const (
-	// serviceName is the name of the net/rpc service.
+	// serviceName is the name under which Inner is registered with net/rpc.
 	serviceName   = "Inner"
 	deliverMethod = serviceName + ".Deliver"
-	// queueLength bounds the messages that wait for one peer.
+	// queueLength bounds the number of messages queued for one peer.
 	queueLength = 4096
-	// batchLength bounds the messages of one envelope.
+	// batchLength bounds the number of messages in one envelope.
 	batchLength = 256
-	// idleAfter is how long a peer without messages keeps its connection.
+	// idleAfter is how long the connection to a peer stays open without messages.
 	idleAfter          = time.Minute
 	defaultCallTimeout = time.Second
-	// acceptAgainAfter is the pause after a connection could not be taken.
+	// acceptAgainAfter is the pause after a failure to accept a connection.
 	acceptAgainAfter = 100 * time.Millisecond
 )
 
-// Deliver takes in one message from a peer.
+// Deliver handles one message from a peer.
 type Deliver func(from definer.Member, dataCentre definer.DataCentre, message Message)
 
-// Count is told how many messages and bytes of the inner protocol moved.
+// Count records how many messages and bytes of the inner protocol were sent or
+// received.
 type Count func(messages, bytes int)
 
-// Messenger sends messages to peers and takes theirs in. Messages may be lost;
+// Messenger sends messages to peers and receives theirs. Messages may be lost;
 // those to one peer that arrive keep their order.
 type Messenger struct {
 	self       definer.Member
@@ -44,51 +45,53 @@
 	server     *tls.Config
 	client     *tls.Config
 	timeout    time.Duration
-	// handshakeTimeout bounds the time until an incoming peer has sent its first
-	// message.
+	// handshakeTimeout bounds the TLS handshake and the wait for the first envelope of
+	// an incoming connection.
 	handshakeTimeout time.Duration
 	report           func(Report)
 	rejections       *rejections
 	// mutex guards peers, conns and closed; no other lock is taken under it.
 	mutex sync.Mutex
-	// peers holds one outgoing queue for each address in use.
+	// peers maps each address in use to its outgoing queue.
 	peers map[string]*peer
 	// conns holds the open incoming connections.
 	conns map[net.Conn]struct{}
-	// closed says that no connection may be kept any more.
+	// closed is set once new incoming connections are refused.
 	closed bool
-	// group runs one goroutine for each peer and each connection.
+	// group runs accept and one goroutine for each peer and each incoming connection.
 	group conc.WaitGroup
 	// done is closed once group is empty; the messenger owns it.
 	done chan struct{}
 }
 
-// Option changes one setting of a Messenger.
+// Option configures a Messenger.
 type Option func(*Messenger)
 
-// WithTLS sets the mutual TLS of both directions.
+// WithTLS sets the mutual TLS configuration of both directions: server for incoming
+// connections, client for outgoing ones.
 func WithTLS(server, client *tls.Config) Option {
 	return func(messenger *Messenger) { messenger.server, messenger.client = server, client }
 }
 
-// WithCounts sets who is told of the traffic sent and received.
+// WithCounts sets the functions that count the traffic sent and received.
 func WithCounts(sent, received Count) Option {
 	return func(messenger *Messenger) { messenger.sent, messenger.received = sent, received }
 }
 
-// WithTimeout sets how long a peer may take to accept an envelope.
+// WithTimeout sets how long connecting to a peer and waiting for each receipt may
+// take.
 func WithTimeout(timeout time.Duration) Option {
 	return func(messenger *Messenger) { messenger.timeout = timeout }
 }
 
-// WithHandshakeTimeout sets how long an incoming peer may take until its first
-// message is there.
+// WithHandshakeTimeout sets how long the TLS handshake of an incoming connection and
+// the wait for its first envelope may take.
 func WithHandshakeTimeout(timeout time.Duration) Option {
 	return func(messenger *Messenger) { messenger.handshakeTimeout = timeout }
 }
 
-// WithReports sets who is told of peers that are lost, back or turned away. It
-// must not block.
+// WithReports sets the function that receives reports of peers that are lost, back
+// or rejected. It must not block.
 func WithReports(report func(Report)) Option {
 	return func(messenger *Messenger) {
 		messenger.report = report
@@ -96,7 +99,7 @@
 	}
 }
 
-// New returns a messenger that hands each message it takes in to deliver.
+// New returns a messenger that passes each message it receives to deliver.
 func New(self definer.Member, dataCentre definer.DataCentre, deliver Deliver, options ...Option) *Messenger {
 	messenger := &Messenger{
 		self:             self,
@@ -118,23 +121,24 @@
 	return messenger
 }
 
-// Start serves peers on the listener until the context ends.
+// Start accepts peers on the listener, in the background, until the context ends.
 func (messenger *Messenger) Start(ctx context.Context, listener net.Listener) {
 	messenger.group.Go(func() { messenger.accept(ctx, listener) })
 	go func() {
 		<-ctx.Done()
 		_ = listener.Close()
-		messenger.hangUp()
+		messenger.closeConnections()
 		messenger.group.Wait()
 		close(messenger.done)
 	}()
 }
 
-// Done is closed once every connection has ended.
+// Done returns a channel that is closed once every connection has ended after the
+// context of Start.
 func (messenger *Messenger) Done() <-chan struct{} { return messenger.done }
 
-// Send queues a message for the peer at the address. It never blocks; when the
-// queue is full or the peer cannot be reached the message is lost.
+// Send queues a message for the peer at the address. It never blocks; the message
+// is lost when the queue is full or the peer cannot be reached.
 func (messenger *Messenger) Send(ctx context.Context, address string, message Message) {
 	messenger.mutex.Lock()
 	defer messenger.mutex.Unlock()
@@ -153,7 +157,8 @@
 	}
 }
 
-// retire forgets an idle peer; it returns false if a message came meanwhile.
+// retire removes an idle peer; it returns false if a message has been queued
+// meanwhile.
 func (messenger *Messenger) retire(target *peer) bool {
 	messenger.mutex.Lock()
 	defer messenger.mutex.Unlock()
