--- a/connector/connection.go
+++ b/connector/connection.go
@@ -13,18 +13,17 @@
 )
 
 const (
-	// readBuffer and writeBuffer are in bytes; a plain answer fits at once.
+	// readBuffer and writeBuffer are in bytes; an ordinary response fits in one buffer.
 	readBuffer  = 4 << 10
 	writeBuffer = 4 << 10
 )
 
-// connection is one connection to an upstream, which serves one exchange at a
-// time.
+// connection is a buffered connection to an upstream. It carries one exchange at a time.
 type connection struct {
 	net.Conn
 	reader *bufio.Reader
 	writer *bufio.Writer
-	// idleUntil is when it is too old to be used again.
+	// idleUntil is the time after which an idle connection is not reused.
 	idleUntil time.Time
 }
 
@@ -32,9 +31,10 @@
 	return &connection{Conn: conn, reader: bufio.NewReaderSize(conn, readBuffer), writer: bufio.NewWriterSize(conn, writeBuffer)}
 }
 
-// fresh tells whether an idle connection may carry another exchange: the
-// upstream has neither closed it nor sent anything that nobody asked for.
-func (connection *connection) fresh(now time.Time) bool {
+// reusable reports whether an idle connection can carry another exchange: it has not
+// expired, and the upstream has neither closed it nor sent unsolicited bytes. It checks this
+// with a non-blocking read of the socket.
+func (connection *connection) reusable(now time.Time) bool {
 	if now.After(connection.idleUntil) || connection.reader.Buffered() > 0 {
 		return false
 	}
@@ -51,14 +51,14 @@
 		var probe [1]byte
 		_, err := syscall.Read(int(descriptor), probe[:])
 		quiet = errors.Is(err, syscall.EAGAIN)
-		return true // Never wait for bytes.
+		return true // Do not wait until the socket is readable.
 	})
 	return err == nil && quiet
 }
 
-// keep returns how long the connection may stay idle after the answer, or 0 if
-// it must be closed.
-func keep(answer *http.Response) time.Duration {
+// idleTimeout returns how long the connection may stay idle after the response, from its
+// Keep-Alive header. It is 0 if the connection must be closed.
+func idleTimeout(answer *http.Response) time.Duration {
 	if answer.Close {
 		return 0
 	}
@@ -75,20 +75,20 @@
 			return time.Duration(seconds)*time.Second - idleMargin
 		}
 	}
-	return idleDefault
+	return defaultIdleTimeout
 }
 
-// body reads an answer and gives its connection back when it is whole.
+// body reads the body of a response and records whether its end was reached.
 type body struct {
 	io.ReadCloser
-	// whole is set once the answer was read to its end.
-	whole bool
+	// complete is set once the body has been read to its end.
+	complete bool
 }
 
 func (body *body) Read(data []byte) (int, error) {
 	count, err := body.ReadCloser.Read(data)
 	if errors.Is(err, io.EOF) {
-		body.whole = true
+		body.complete = true
 	}
 	return count, err
 }
--- a/connector/connector.go
+++ b/connector/connector.go
@@ -1,6 +1,6 @@
-// Package connector carries exchanges with upstreams: one request, sent once,
-// and its answer. It never sends a request again by itself, and it tells what
-// can have reached the upstream when there is no answer.
+// Package connector is an HTTP/1.1 client for upstreams with a pool of idle connections. It
+// sends each request once, without retries, and its errors tell whether the request can have
+// reached the upstream.
 package connector
 
 import (
@@ -18,49 +18,50 @@
 )
 
 const (
-	// dialTimeout bounds making a connection. An upstream takes 1 ms for it and
-	// the way there at most some 3 ms; a lost first packet is sent again after 1 s,
-	// by which time another upstream has been asked.
+	// dialTimeout limits the time to establish a connection. An upstream accepts within
+	// 1 ms, and the network adds about 3 ms at most. TCP retransmits a lost SYN only
+	// after 1 s; by then the request has been sent to another upstream.
 	dialTimeout = 300 * time.Millisecond
-	// idleMargin is how long before an upstream closes an idle connection it is
-	// no longer used.
+	// idleMargin is subtracted from the idle timeout that an upstream announces, so that
+	// no request is sent on a connection that the upstream is about to close.
 	idleMargin = 500 * time.Millisecond
-	// idleDefault is the same for upstreams that do not tell.
-	idleDefault = 800 * time.Millisecond
-	// maxIdle bounds the idle connections to one upstream.
-	maxIdle = 32
-	// maxStrangers bounds the answers to others that are skipped on a connection.
-	maxStrangers = 3
-	// maxStrangerBytes bounds what is read of one of them.
-	maxStrangerBytes = 1 << 20
+	// defaultIdleTimeout is the idle timeout for upstreams that announce none.
+	defaultIdleTimeout = 800 * time.Millisecond
+	// maxIdleConnections is the largest number of idle connections kept per address.
+	maxIdleConnections = 32
+	// maxUnrelatedAnswers is the number of responses, interim (1xx) ones included, after
+	// which an exchange fails with Mismatched if none of them belongs to its request.
+	maxUnrelatedAnswers = 3
+	// maxUnrelatedBytes limits the body of a skipped response, in bytes.
+	maxUnrelatedBytes = 1 << 20
 )
 
-// Outgoing is a request to an upstream.
+// Outgoing is a request to send to an upstream.
 type Outgoing struct {
 	Method string
-	// Target is the path with the query as the caller sent it.
+	// Target is the path and query, passed on exactly as the caller sent them.
 	Target string
 	Host   string
-	// Header is owned by the exchange.
+	// Header belongs to Exchange, which may modify it.
 	Header http.Header
 	Body   []byte
-	// Belongs tells whether an answer with this status and header is the
-	// request's own.
+	// Belongs reports whether a response with this status and header answers this
+	// request.
 	Belongs func(status int, header http.Header) bool
 }
 
-// Connector keeps connections to upstreams. It is safe for concurrent use.
+// Connector sends requests to upstreams and pools the idle connections to them. It is safe
+// for concurrent use.
 type Connector struct {
 	dialer *net.Dialer
 	// mutex guards idle and closed; no other lock is taken under it.
 	mutex sync.Mutex
-	// idle holds the connections without an exchange by address, the one used
-	// last at the end.
+	// idle holds the idle connections by address, the most recently used one last.
 	idle   map[string][]*connection
 	closed bool
 }
 
-// New returns a connector without connections.
+// New returns a connector with an empty pool.
 func New() *Connector {
 	return &Connector{
 		dialer: dialer.New(dialTimeout),
@@ -68,57 +69,60 @@
 	}
 }
 
-// Answer is the head of an upstream's answer, with its body to be read.
+// Answer is the response of an upstream: its head, and a body to be read with Read or
+// ReadAll. The caller must call Close.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Length is that of the body, -1 when unknown.
+	// Length is the length of the body in bytes, or -1 if it is unknown.
 	Length int64
-	// Delimited tells whether the end of the body is marked, by its length or a last chunk,
-	// so that one that ends with its connection cannot be taken for whole.
+	// Delimited reports whether the response marks the end of its body, by a length or a
+	// final chunk. Otherwise the body ends when the connection closes, and a truncated body
+	// cannot be told from a complete one.
 	Delimited bool
 
-	body       *body
-	connection *connection
-	connector  *Connector
-	address    string
-	keep       time.Duration
-	// release ends the watch on the context.
-	release func() bool
+	body        *body
+	connection  *connection
+	connector   *Connector
+	address     string
+	idleTimeout time.Duration
+	// stopWatch ends the watch on the context. It returns false if the context has already
+	// ended and the connection is being closed.
+	stopWatch func() bool
 }
 
-// Exchange sends a request and returns the head of its answer. The context
-// bounds the whole exchange, the body included: when it ends, the connection is
+// Exchange sends a request and returns the response once its head has been read. The context
+// applies to the whole exchange, reading the body included: when it ends, the connection is
 // closed. The error is of kind Unconnected, Unanswered or Mismatched.
 func (connector *Connector) Exchange(ctx context.Context, address string, outgoing *Outgoing) (*Answer, error) {
 	connection, err := connector.connect(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	release := context.AfterFunc(ctx, func() { _ = connection.Close() })
+	stopWatch := context.AfterFunc(ctx, func() { _ = connection.Close() })
 	answer, err := connection.exchange(outgoing)
 	if err != nil {
-		release()
+		stopWatch()
 		_ = connection.Close()
 		return nil, err
 	}
 	return &Answer{
-		Status:     answer.StatusCode,
-		Header:     answer.Header,
-		Length:     answer.ContentLength,
-		Delimited:  answer.ContentLength >= 0 || len(answer.TransferEncoding) > 0,
-		body:       &body{ReadCloser: answer.Body},
-		connection: connection,
-		connector:  connector,
-		address:    address,
-		keep:       keep(answer),
-		release:    release,
+		Status:      answer.StatusCode,
+		Header:      answer.Header,
+		Length:      answer.ContentLength,
+		Delimited:   answer.ContentLength >= 0 || len(answer.TransferEncoding) > 0,
+		body:        &body{ReadCloser: answer.Body},
+		connection:  connection,
+		connector:   connector,
+		address:     address,
+		idleTimeout: idleTimeout(answer),
+		stopWatch:   stopWatch,
 	}, nil
 }
 
-// connect returns an idle connection or makes one.
+// connect returns an idle connection to the address, or dials a new one.
 func (connector *Connector) connect(ctx context.Context, address string) (*connection, error) {
-	if connection := connector.take(address); connection != nil {
+	if connection := connector.takeIdle(address); connection != nil {
 		return connection, nil
 	}
 	conn, err := connector.dialer.DialContext(ctx, "tcp", address)
@@ -128,7 +132,7 @@
 	return newConnection(conn), nil
 }
 
-func (connector *Connector) take(address string) *connection {
+func (connector *Connector) takeIdle(address string) *connection {
 	connector.mutex.Lock()
 	defer connector.mutex.Unlock()
 	for {
@@ -138,32 +142,31 @@
 		}
 		last := idle[len(idle)-1]
 		connector.idle[address] = idle[:len(idle)-1]
-		if last.fresh(time.Now()) {
+		if last.reusable(time.Now()) {
 			return last
 		}
 		_ = last.Close()
 	}
 }
 
-func (connector *Connector) put(address string, connection *connection) {
+func (connector *Connector) putIdle(address string, connection *connection) {
 	connector.mutex.Lock()
 	defer connector.mutex.Unlock()
-	if connector.closed || len(connector.idle[address]) >= maxIdle {
+	if connector.closed || len(connector.idle[address]) >= maxIdleConnections {
 		_ = connection.Close()
 		return
 	}
 	connector.idle[address] = append(connector.idle[address], connection)
 }
 
-// Sweep closes the idle connections that are too old or were closed by their
-// upstream.
+// Sweep closes the idle connections that have expired by now or that the upstream has closed.
 func (connector *Connector) Sweep(now time.Time) {
 	connector.mutex.Lock()
 	defer connector.mutex.Unlock()
 	for address, idle := range connector.idle {
 		kept := idle[:0]
 		for _, connection := range idle {
-			if connection.fresh(now) {
+			if connection.reusable(now) {
 				kept = append(kept, connection)
 				continue
 			}
@@ -176,14 +179,15 @@
 	}
 }
 
-// Drop closes the idle connections to an address: what listened there has started again.
+// Drop closes the idle connections to an address. It is called when the process that listens
+// there has restarted.
 func (connector *Connector) Drop(address string) {
 	connector.mutex.Lock()
 	defer connector.mutex.Unlock()
 	connector.closeIdle(address)
 }
 
-// closeIdle closes the idle connections to an address; mutex is held.
+// closeIdle closes the idle connections to an address. The caller holds mutex.
 func (connector *Connector) closeIdle(address string) {
 	for _, connection := range connector.idle[address] {
 		_ = connection.Close()
@@ -191,7 +195,7 @@
 	delete(connector.idle, address)
 }
 
-// Close ends the idle connections; those in use end with their exchange.
+// Close closes the idle connections. Connections in use are closed when their exchange ends.
 func (connector *Connector) Close() {
 	connector.mutex.Lock()
 	defer connector.mutex.Unlock()
@@ -214,13 +218,14 @@
 		request.Body = io.NopCloser(bytes.NewReader(outgoing.Body))
 	}
 	if _, named := request.Header["User-Agent"]; !named {
-		request.Header["User-Agent"] = []string{""} // Send none of our own.
+		request.Header["User-Agent"] = []string{""} // Keep net/http from adding its default.
 	}
 	err := request.Write(connection.writer)
 	if err == nil {
 		err = connection.writer.Flush()
 	}
-	// An upstream may answer before it has read the whole request.
+	// Read even after a failed write: an upstream may respond before it has read the whole
+	// request.
 	answer, readErr := connection.read(request, outgoing.Belongs)
 	if readErr != nil {
 		return nil, errors.Join(readErr, err)
@@ -231,9 +236,10 @@
 	return answer, nil
 }
 
-// read returns the head of the answer that belongs to the request.
+// read returns the response that belongs to the request. It skips interim (1xx) responses and
+// responses to other requests.
 func (connection *connection) read(request *http.Request, belongs func(int, http.Header) bool) (*http.Response, error) {
-	for range maxStrangers {
+	for range maxUnrelatedAnswers {
 		answer, err := http.ReadResponse(connection.reader, request)
 		if err != nil {
 			return nil, fail("read", Unanswered, "%w", err)
@@ -244,14 +250,14 @@
 		if belongs(answer.StatusCode, answer.Header) {
 			return answer, nil
 		}
-		if _, err := io.CopyN(io.Discard, answer.Body, maxStrangerBytes); !errors.Is(err, io.EOF) {
+		if _, err := io.CopyN(io.Discard, answer.Body, maxUnrelatedBytes); !errors.Is(err, io.EOF) {
 			break
 		}
 	}
-	return nil, fail("read", Mismatched, "only answers to other requests came")
+	return nil, fail("read", Mismatched, "received only responses to other requests")
 }
 
-// Read reads the body. An error other than io.EOF means that it ended early.
+// Read reads from the body. An error other than io.EOF is of kind Broken: the body ended early.
 func (answer *Answer) Read(data []byte) (int, error) {
 	count, err := answer.body.Read(data)
 	if err != nil && !errors.Is(err, io.EOF) {
@@ -260,31 +266,32 @@
 	return count, err
 }
 
-// ReadAll returns the whole body, of at most limit bytes.
+// ReadAll returns the whole body. If the body exceeds limit bytes, the error is of kind
+// TooLarge; if it ends early, Broken.
 func (answer *Answer) ReadAll(limit int64) ([]byte, error) {
 	if answer.Length > limit {
-		return nil, fail("read", TooLarge, "the answer has %d bytes; allowed are %d", answer.Length, limit)
+		return nil, fail("read", TooLarge, "response body has %d bytes; the limit is %d", answer.Length, limit)
 	}
 	data, err := io.ReadAll(io.LimitReader(answer, limit+1))
 	if err != nil {
 		return nil, err
 	}
 	if int64(len(data)) > limit {
-		return nil, fail("read", TooLarge, "the answer has more than %d bytes", limit)
+		return nil, fail("read", TooLarge, "response body exceeds %d bytes", limit)
 	}
 	return data, nil
 }
 
-// Close ends the exchange: the connection is kept if the answer was read whole
-// and nothing came behind it, and closed otherwise.
+// Close ends the exchange. The connection returns to the pool if the body was read to its end
+// and no further bytes followed; otherwise it is closed.
 func (answer *Answer) Close() {
-	released := answer.release()
+	stopped := answer.stopWatch()
 	connection := answer.connection
-	reusable := released && answer.body.whole && answer.keep > 0 && connection.reader.Buffered() == 0
+	reusable := stopped && answer.body.complete && answer.idleTimeout > 0 && connection.reader.Buffered() == 0
 	if !reusable {
 		_ = connection.Close()
 		return
 	}
-	connection.idleUntil = time.Now().Add(answer.keep)
-	answer.connector.put(answer.address, connection)
+	connection.idleUntil = time.Now().Add(answer.idleTimeout)
+	answer.connector.putIdle(answer.address, connection)
 }
--- a/connector/connector_test.go
+++ b/connector/connector_test.go
@@ -17,9 +17,10 @@
 	"limpetcleat/connector"
 )
 
-// upstream answers the requests of each connection in turn with raw texts and
-// closes the connection behind the last.
-func upstream(t *testing.T, answers ...string) (address string, connections func() int) {
+// startUpstream starts a server that answers the requests on each connection with the given
+// raw responses in order, and then closes the connection. It returns the server's address and
+// a function that counts the accepted connections.
+func startUpstream(t *testing.T, answers ...string) (address string, connections func() int) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -32,13 +33,13 @@
 				return
 			}
 			accepted <- struct{}{}
-			go answer(conn, answers)
+			go serveAnswers(conn, answers)
 		}
 	}()
 	return listener.Addr().String(), func() int { return len(accepted) }
 }
 
-func answer(conn net.Conn, answers []string) {
+func serveAnswers(conn net.Conn, answers []string) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for _, text := range answers {
@@ -51,18 +52,18 @@
 	}
 }
 
-func outgoing() *connector.Outgoing {
+func newOutgoing() *connector.Outgoing {
 	return &connector.Outgoing{
 		Method: http.MethodGet, Target: "/a%2fb?c=d", Host: "host", Header: http.Header{},
 		Belongs: func(_ int, header http.Header) bool { return header.Get("Id") == "1" },
 	}
 }
 
-func plain(id, text string) string {
+func plainAnswer(id, text string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nKeep-Alive: timeout=5\r\nContent-Length: %d\r\n\r\n%s", id, len(text), text)
 }
 
-func kind(t *testing.T, err error) connector.Kind {
+func errorKind(t *testing.T, err error) connector.Kind {
 	t.Helper()
 	var failure *connector.Error
 	assert.Assert(t, errors.As(err, &failure), "%v", err)
@@ -77,31 +78,31 @@
 		head   connector.Kind
 		read   connector.Kind
 	}{
-		{name: "with a length", answer: plain("1", "text"), body: "text"},
+		{name: "with a length", answer: plainAnswer("1", "text"), body: "text"},
 		{name: "chunked", answer: "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ntext\r\n0\r\n\r\n", body: "text"},
 		{name: "ended by closing", answer: "HTTP/1.1 200 OK\r\nId: 1\r\n\r\ntext", body: "text"},
-		{name: "behind an answer to another", answer: plain("2", "other") + plain("1", "text"), body: "text"},
-		{name: "behind an interim answer", answer: "HTTP/1.1 100 Continue\r\n\r\n" + plain("1", "text"), body: "text"},
-		{name: "answers to others only", answer: plain("2", "a") + plain("3", "b") + plain("4", "c"), head: connector.Mismatched},
+		{name: "behind an answer to another", answer: plainAnswer("2", "other") + plainAnswer("1", "text"), body: "text"},
+		{name: "behind an interim answer", answer: "HTTP/1.1 100 Continue\r\n\r\n" + plainAnswer("1", "text"), body: "text"},
+		{name: "answers to others only", answer: plainAnswer("2", "a") + plainAnswer("3", "b") + plainAnswer("4", "c"), head: connector.Mismatched},
 		{name: "shorter than its length", answer: "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\ntext", read: connector.Broken},
 		{name: "chunks without an end", answer: "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ntext\r\n", read: connector.Broken},
 		{name: "no answer", answer: "", head: connector.Unanswered},
 		{name: "no protocol", answer: "\x00\x01\x02\r\n\r\n", head: connector.Unanswered},
-		{name: "above the bound", answer: plain("1", strings.Repeat("x", 65)), read: connector.TooLarge},
+		{name: "above the bound", answer: plainAnswer("1", strings.Repeat("x", 65)), read: connector.TooLarge},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			address, _ := upstream(t, test.answer)
-			answer, err := connector.New().Exchange(context.Background(), address, outgoing())
+			address, _ := startUpstream(t, test.answer)
+			answer, err := connector.New().Exchange(context.Background(), address, newOutgoing())
 			if test.head != "" {
-				assert.Equal(t, kind(t, err), test.head)
+				assert.Equal(t, errorKind(t, err), test.head)
 				return
 			}
 			assert.NilError(t, err)
 			defer answer.Close()
 			body, err := answer.ReadAll(64)
 			if test.read != "" {
-				assert.Equal(t, kind(t, err), test.read)
+				assert.Equal(t, errorKind(t, err), test.read)
 				return
 			}
 			assert.NilError(t, err)
@@ -111,9 +112,9 @@
 	}
 }
 
-func exchange(t *testing.T, links *connector.Connector, address string) {
+func exchange(t *testing.T, client *connector.Connector, address string) {
 	t.Helper()
-	answer, err := links.Exchange(context.Background(), address, outgoing())
+	answer, err := client.Exchange(context.Background(), address, newOutgoing())
 	assert.NilError(t, err)
 	_, err = answer.ReadAll(64)
 	assert.NilError(t, err)
@@ -121,22 +122,22 @@
 }
 
 func TestExchangeReusesConnections(t *testing.T) {
-	address, connections := upstream(t, plain("1", "a"), plain("1", "b"), plain("1", "c"))
-	links := connector.New()
-	exchange(t, links, address)
-	exchange(t, links, address)
+	address, connections := startUpstream(t, plainAnswer("1", "a"), plainAnswer("1", "b"), plainAnswer("1", "c"))
+	client := connector.New()
+	exchange(t, client, address)
+	exchange(t, client, address)
 	assert.Equal(t, connections(), 1)
-	// Once too old the connection is not used again.
-	links.Sweep(time.Now().Add(time.Minute))
-	exchange(t, links, address)
+	// Sweep closes the connection once it has expired, so the next exchange dials again.
+	client.Sweep(time.Now().Add(time.Minute))
+	exchange(t, client, address)
 	assert.Equal(t, connections(), 2)
 }
 
 func TestExchangeLeavesConnectionsWithMoreBytes(t *testing.T) {
-	address, connections := upstream(t, plain("1", "a")+plain("1", "late"))
-	links := connector.New()
-	exchange(t, links, address)
-	exchange(t, links, address)
+	address, connections := startUpstream(t, plainAnswer("1", "a")+plainAnswer("1", "late"))
+	client := connector.New()
+	exchange(t, client, address)
+	exchange(t, client, address)
 	assert.Equal(t, connections(), 2)
 }
 
@@ -145,8 +146,8 @@
 	assert.NilError(t, err)
 	address := listener.Addr().String()
 	assert.NilError(t, listener.Close())
-	_, err = connector.New().Exchange(context.Background(), address, outgoing())
-	assert.Equal(t, kind(t, err), connector.Unconnected)
+	_, err = connector.New().Exchange(context.Background(), address, newOutgoing())
+	assert.Equal(t, errorKind(t, err), connector.Unconnected)
 }
 
 func TestExchangeEndsWithItsContext(t *testing.T) {
@@ -161,6 +162,6 @@
 			cancel()
 		}
 	}()
-	_, err = connector.New().Exchange(ctx, listener.Addr().String(), outgoing())
-	assert.Equal(t, kind(t, err), connector.Unanswered)
+	_, err = connector.New().Exchange(ctx, listener.Addr().String(), newOutgoing())
+	assert.Equal(t, errorKind(t, err), connector.Unanswered)
 }
--- a/connector/failure.go
+++ b/connector/failure.go
@@ -6,20 +6,20 @@
 type Kind string
 
 const (
-	// Unconnected marks an exchange of which nothing was sent.
+	// Unconnected means that no connection could be established; nothing was sent.
 	Unconnected Kind = "unconnected"
-	// Unanswered marks an exchange that was sent, wholly or in part, and has no
-	// answer: the upstream may have run it.
+	// Unanswered means that all or part of the request may have been sent and no valid
+	// response arrived: the upstream may have processed the request.
 	Unanswered Kind = "unanswered"
-	// Mismatched marks an exchange after which only answers to others came.
+	// Mismatched means that only responses to other requests arrived.
 	Mismatched Kind = "mismatched"
-	// Broken marks an answer that ended early.
+	// Broken means that the response body ended early.
 	Broken Kind = "broken"
-	// TooLarge marks an answer above the bound.
+	// TooLarge means that the response body exceeds the limit given to ReadAll.
 	TooLarge Kind = "tooLarge"
 )
 
-// Error is the one error type of this package.
+// Error is the error type of this package.
 type Error = failer.Error[Kind]
 
 func fail(operation string, kind Kind, format string, values ...any) *Error {
--- a/connector/presence.go
+++ b/connector/presence.go
@@ -7,14 +7,14 @@
 	"limpetcleat/dialer"
 )
 
-// Look tells whether anything listens at an address. The connection that shows it is kept
-// for the next exchange.
+// Look reports whether a process listens at an address, by connecting to it. The connection
+// goes to the pool for the next exchange.
 func (connector *Connector) Look(ctx context.Context, address string) dialer.Presence {
 	presence, conn := dialer.Look(ctx, address)
 	if conn != nil {
-		made := newConnection(conn)
-		made.idleUntil = time.Now().Add(idleDefault)
-		connector.put(address, made)
+		connection := newConnection(conn)
+		connection.idleUntil = time.Now().Add(defaultIdleTimeout)
+		connector.putIdle(address, connection)
 	}
 	return presence
 }
--- a/connector/presence_test.go
+++ b/connector/presence_test.go
@@ -10,13 +10,13 @@
 	"limpetcleat/dialer"
 )
 
-// TestLookKeepsTheConnection holds that the connection which shows that an upstream lives
-// carries the next exchange.
+// TestLookKeepsTheConnection checks that the connection made by Look carries the next
+// exchange.
 func TestLookKeepsTheConnection(t *testing.T) {
-	address, connections := upstream(t, plain("1", "a"))
-	links := connector.New()
-	defer links.Close()
-	assert.Equal(t, links.Look(context.Background(), address), dialer.Listening)
-	exchange(t, links, address)
+	address, connections := startUpstream(t, plainAnswer("1", "a"))
+	client := connector.New()
+	defer client.Close()
+	assert.Equal(t, client.Look(context.Background(), address), dialer.Listening)
+	exchange(t, client, address)
 	assert.Equal(t, connections(), 1)
 }
