--- a/timer/queue.go
+++ b/timer/queue.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// entry is one subscription.
+// entry is the pending timeout of one key.
 type entry[Key comparable] struct {
 	key Key
 	at  time.Time
-	// index is the entry's place in the queue.
+	// index is the entry's position in the heap.
 	index int
 }
 
-// queue is a heap of entries, the nearest first, for package heap.
+// queue is a min-heap of entries ordered by time. It implements heap.Interface.
 type queue[Key comparable] []*entry[Key]
 
 // Len returns the number of entries.
 func (queue queue[Key]) Len() int { return len(queue) }
 
-// Less tells whether entry i comes before entry j.
+// Less reports whether entry i is due before entry j.
 func (queue queue[Key]) Less(i, j int) bool { return queue[i].at.Before(queue[j].at) }
 
-// Swap swaps two entries and keeps their places.
+// Swap swaps two entries and updates their indexes.
 func (queue queue[Key]) Swap(i, j int) {
 	queue[i], queue[j] = queue[j], queue[i]
 	queue[i].index = i
 	queue[j].index = j
 }
 
-// Push adds an entry at the end.
+// Push appends an entry. It ignores values of other types.
 func (queue *queue[Key]) Push(value any) {
 	added, ok := value.(*entry[Key])
 	if !ok {
@@ -36,7 +36,7 @@
 	*queue = append(*queue, added)
 }
 
-// Pop takes the last entry.
+// Pop removes and returns the last entry.
 func (queue *queue[Key]) Pop() any {
 	last := len(*queue) - 1
 	taken := (*queue)[last]
--- a/timer/sleep.go
+++ b/timer/sleep.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sleep waits, or until the context ends; the error is then the context's.
+// Sleep waits for the given time. If the context ends first, Sleep returns its error.
 func Sleep(ctx context.Context, wait time.Duration) error {
 	clock := time.NewTimer(wait)
 	defer clock.Stop()
@@ -17,10 +17,12 @@
 	}
 }
 
-// maxDoublings keeps a doubled time from overflowing; longest is reached before.
+// maxDoublings keeps the doubled time from overflowing. Doubled is meant for values of longest
+// that are reached in fewer doublings.
 const maxDoublings = 8
 
-// Doubled returns the first time, doubled so many times, and the longest at most.
+// Doubled returns an exponential backoff: first, doubled the given number of times, but at
+// most longest.
 func Doubled(first, longest time.Duration, times int) time.Duration {
 	return min(first<<min(times, maxDoublings), longest)
 }
--- a/timer/timer.go
+++ b/timer/timer.go
@@ -1,5 +1,6 @@
-// Package timer is the one source of time-outs of a process: parts subscribe
-// with a key and a time and are told when it has come.
+// Package timer schedules many timeouts on one goroutine: a caller sets a time for a key, and
+// a callback receives the key when the time comes. It also has a Sleep that ends with its
+// context, and the exponential backoff of retries.
 package timer
 
 import (
@@ -11,22 +12,22 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Service tells its subscriber of each key whose time has come.
+// Service calls a function for each key whose time has come. It is safe for concurrent use.
 type Service[Key comparable] struct {
 	// mutex guards queue and entries; no other lock is taken under it.
 	mutex sync.Mutex
-	// queue is a heap by time; entries holds the same entries by key.
+	// queue is a heap ordered by time; entries holds the same entries by key.
 	queue   queue[Key]
 	entries map[Key]*entry[Key]
 	fire    func(Key)
-	// wake tells the worker that the nearest time has changed.
+	// wake signals the worker that the earliest time has changed.
 	wake chan struct{}
-	// done is closed once the worker has ended; the service owns it.
+	// done is closed by the service once the worker has ended.
 	done chan struct{}
 }
 
-// New returns a service that calls fire, from one goroutine, for each key
-// whose time has come.
+// New returns a service that calls fire for each key whose time has come. All calls come from
+// one goroutine, so a slow fire delays the keys after it.
 func New[Key comparable](fire func(Key)) *Service[Key] {
 	return &Service[Key]{
 		entries: make(map[Key]*entry[Key]),
@@ -46,30 +47,30 @@
 	}()
 }
 
-// Done is closed once the service has ended.
+// Done returns a channel that is closed once the service has ended.
 func (service *Service[Key]) Done() <-chan struct{} { return service.done }
 
-// Set subscribes to a time; it replaces an earlier one of the same key.
+// Set schedules a key for a time. It replaces the key's pending time, if any.
 func (service *Service[Key]) Set(key Key, at time.Time) {
 	service.mutex.Lock()
 	defer service.mutex.Unlock()
-	service.drop(key)
+	service.remove(key)
 	added := &entry[Key]{key: key, at: at}
 	service.entries[key] = added
 	heap.Push(&service.queue, added)
 	if service.queue[0] == added {
-		service.rouse()
+		service.wakeWorker()
 	}
 }
 
-// Clear takes a subscription back; an unknown key changes nothing.
+// Clear cancels the pending time of a key. Without one it does nothing.
 func (service *Service[Key]) Clear(key Key) {
 	service.mutex.Lock()
 	defer service.mutex.Unlock()
-	service.drop(key)
+	service.remove(key)
 }
 
-func (service *Service[Key]) drop(key Key) {
+func (service *Service[Key]) remove(key Key) {
 	known, ok := service.entries[key]
 	if !ok {
 		return
@@ -78,7 +79,7 @@
 	delete(service.entries, key)
 }
 
-func (service *Service[Key]) rouse() {
+func (service *Service[Key]) wakeWorker() {
 	select {
 	case service.wake <- struct{}{}:
 	default:
@@ -111,14 +112,14 @@
 	return max(time.Until(service.queue[0].at), 0)
 }
 
-// due takes out and returns the keys whose time has come, nearest first.
+// due removes and returns the keys whose time has come, earliest first.
 func (service *Service[Key]) due(now time.Time) []Key {
 	service.mutex.Lock()
 	defer service.mutex.Unlock()
 	var keys []Key
 	for len(service.queue) > 0 && !service.queue[0].at.After(now) {
 		key := service.queue[0].key
-		service.drop(key)
+		service.remove(key)
 		keys = append(keys, key)
 	}
 	return keys
--- a/timer/timer_test.go
+++ b/timer/timer_test.go
@@ -11,7 +11,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// step is one call of a service, in a stepped time counted in seconds.
+// step is one call of Set or Clear; at is in seconds after the start of the test's clock.
 type step struct {
 	key   string
 	at    int
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestNearerTimeWakesTheService sets a far time first; the near one must fire
-// without waiting for it.
+// TestNearerTimeWakesTheService checks that a near time, set after a far one, fires without
+// waiting for the far one.
 func TestNearerTimeWakesTheService(t *testing.T) {
 	fired := make(chan string, 2)
 	service := New(func(key string) { fired <- key })
@@ -65,7 +65,7 @@
 	case key := <-fired:
 		assert.Equal(t, key, "near")
 	case <-time.After(20 * time.Second):
-		t.Fatal("the nearer time did not fire")
+		t.Fatal("the key with the earlier time did not fire within 20 s")
 	}
 	cancel()
 	<-service.Done()
