--- a/dialer/dialer.go
+++ b/dialer/dialer.go
@@ -1,10 +1,11 @@
-// Package dialer makes the connections to upstreams, to the platform's store and
-// to peers in such a way that one that has gone silent ends with an error.
+// Package dialer opens TCP connections to upstreams, to the platform's store and to peers,
+// with keepalive probes and a limit on unacknowledged data. A connection whose other end no
+// longer responds therefore fails with an error within seconds.
 //
-// A connection may stop carrying anything, in both directions and without a
-// reset, while new ones to the same address work. Nothing but probes of this
-// side's own shows it: a watch on the store would wait for its whole span, and a
-// request would be written to where nobody reads it.
+// A connection may stop carrying data in both directions without a reset, while new
+// connections to the same address work. Only probes from this side detect the failure: without
+// them a watch on the store would wait for its full duration, and a request would be written
+// to a connection that nobody reads.
 package dialer
 
 import (
@@ -17,21 +18,22 @@
 )
 
 const (
-	// SilenceLimit is how long the other end's kernel may acknowledge nothing
-	// before the connection is given up. An upstream that leaves must get no request
-	// 2 s after the store said so, and the platform allows 3 s after connections
-	// were harmed; with the list read again, 2 s leave a second of that.
+	// SilenceLimit is how long the other end's kernel may acknowledge nothing before the
+	// connection is closed. An upstream that leaves must receive no request from 2 s after
+	// the store announced it; after connections were damaged, the platform allows 3 s. With
+	// a limit of 2 s, one second is left to read the list of upstreams again.
 	SilenceLimit = 2 * time.Second
-	// probeIdle and probeInterval are when an idle connection is probed, the least
-	// that the kernel takes. It ends a connection at the first probe due after
-	// SilenceLimit, and a kernel that counts only probes after probeCount.
+	// probeIdle and probeInterval are the time before the first keepalive probe of an idle
+	// connection and the time between probes, both the least that the kernel accepts. The
+	// kernel closes a connection at the first probe due after SilenceLimit; a kernel that
+	// only counts probes closes it after probeCount of them.
 	probeIdle     = time.Second
 	probeInterval = time.Second
 	probeCount    = 2
 )
 
-// New returns a dialer whose connections are probed; connecting takes at most the
-// timeout.
+// New returns a dialer whose connections have keepalive probes and fail after SilenceLimit.
+// The timeout limits the time to connect.
 func New(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout: timeout,
@@ -45,8 +47,8 @@
 	}
 }
 
-// limitSilence bounds how long written bytes may stay unacknowledged: while some
-// are, the kernel sends no probes.
+// limitSilence sets TCP_USER_TIMEOUT, which limits how long sent data may stay unacknowledged.
+// The probes do not cover this case: the kernel sends none while data is unacknowledged.
 func limitSilence(_, _ string, raw syscall.RawConn) error {
 	var failure error
 	err := raw.Control(func(descriptor uintptr) {
--- a/dialer/presence.go
+++ b/dialer/presence.go
@@ -8,26 +8,27 @@
 	"time"
 )
 
-// lookTimeout bounds the question whether anything listens at an address. A VM that runs
-// answers within some 3 ms, also for a process that has ended; one that is off, cut off or
-// too busy does not, and a caller's request waits for this.
+// lookTimeout limits how long Look waits for a connection. A running VM accepts or refuses it
+// within about 3 ms, also if the process has ended. A VM that is off, unreachable or overloaded
+// does not answer, and a caller's request waits for the result.
 const lookTimeout = 100 * time.Millisecond
 
-// Presence tells whether anything listens at an address.
+// Presence is the result of Look: whether a process listens at an address.
 type Presence string
 
 const (
-	// Listening means that a connection was made.
+	// Listening means that the connection was accepted.
 	Listening Presence = "listening"
-	// Refused means that the VM answered that nothing listens there: a process that was
-	// there has ended.
+	// Refused means that the VM refused the connection: the process that listened there has
+	// ended.
 	Refused Presence = "refused"
-	// Untold means that nothing came back, or that there was no way to ask.
+	// Untold means that it is unknown whether a process listens: the connection attempt
+	// timed out, was cancelled or failed in another way.
 	Untold Presence = "untold"
 )
 
-// Look tells whether anything listens at an address, and returns the connection that shows
-// it, if one does; it is the caller's.
+// Look reports whether a process listens at an address, by connecting to it. With Listening it
+// returns the connection, which the caller must close; otherwise the connection is nil.
 func Look(ctx context.Context, address string) (Presence, net.Conn) {
 	conn, err := New(lookTimeout).DialContext(ctx, "tcp", address)
 	switch {
--- a/dialer/presence_test.go
+++ b/dialer/presence_test.go
@@ -10,7 +10,8 @@
 	"limpetcleat/dialer"
 )
 
-// TestLook tells a process that has ended from one that listens, and from what cannot be told.
+// TestLook checks that Look distinguishes a process that listens, one that has ended, and an
+// attempt without a result.
 func TestLook(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -19,9 +20,9 @@
 	assert.Equal(t, presence, dialer.Listening)
 	assert.NilError(t, conn.Close())
 
-	left, cancel := context.WithCancel(context.Background())
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
-	presence, _ = dialer.Look(left, address)
+	presence, _ = dialer.Look(cancelled, address)
 	assert.Equal(t, presence, dialer.Untold)
 
 	assert.NilError(t, listener.Close())
