--- a/editor/difference.go
+++ b/editor/difference.go
@@ -10,40 +10,43 @@
 	"limpetcleat/definer"
 )
 
-// Difference is one difference between two configurations, for display.
+// Difference is one added, removed or changed part of a configuration, for display.
 type Difference struct {
-	what   string
+	part   string
 	field  string
 	before string
 	after  string
 }
 
-// What returns what differs, such as `rule "chat"`.
-func (difference Difference) What() string { return difference.what }
+// What returns the part of the configuration that differs, such as `rule "chat"`.
+func (difference Difference) What() string { return difference.part }
 
-// Field returns the field that differs; empty if the whole came or went.
+// Field returns the name of the changed field; it is empty if the whole part was
+// added or removed.
 func (difference Difference) Field() string { return difference.field }
 
-// Before returns the earlier value as JSON; empty if there was none.
+// Before returns the old value as JSON; it is empty if there was none.
 func (difference Difference) Before() string { return difference.before }
 
-// After returns the later value as JSON; empty if there is none.
+// After returns the new value as JSON; it is empty if there is none.
 func (difference Difference) After() string { return difference.after }
 
-// String returns the difference as one line.
+// String returns the difference as one line that begins with + (added), -
+// (removed) or ~ (changed).
 func (difference Difference) String() string {
 	switch {
 	case difference.before == "" && difference.field == "":
-		return "+ " + difference.what + " " + difference.after
+		return "+ " + difference.part + " " + difference.after
 	case difference.after == "" && difference.field == "":
-		return "- " + difference.what + " " + difference.before
+		return "- " + difference.part + " " + difference.before
 	default:
-		return fmt.Sprintf("~ %s %s: %s -> %s", difference.what, difference.field,
+		return fmt.Sprintf("~ %s %s: %s -> %s", difference.part, difference.field,
 			cmp.Or(difference.before, "none"), cmp.Or(difference.after, "none"))
 	}
 }
 
-// Differences returns what differs between two documents, in a fixed order.
+// Differences returns the differences between two documents, sorted by part and
+// field.
 func Differences(before, after definer.Document) ([]Difference, error) {
 	old, err := flatten(before)
 	if err != nil {
@@ -54,16 +57,17 @@
 		return nil, err
 	}
 	var differences []Difference
-	for _, what := range sortedKeys(old, next) {
-		differences = append(differences, compare(what, old[what], next[what])...)
+	for _, part := range sortedKeys(old, next) {
+		differences = append(differences, compareFields(part, old[part], next[part])...)
 	}
 	return differences, nil
 }
 
-// fields are the values of one part of a configuration, as JSON, by name.
+// fields holds the JSON values of one part of a configuration by field name.
 type fields map[string]json.RawMessage
 
-// flatten returns every part of a document under a name such as `rule "chat"`.
+// flatten returns the fields of every part of a document, keyed by the name of the
+// part, such as `rule "chat"`.
 func flatten(document definer.Document) (map[string]fields, error) {
 	flattener := &flattener{parts: make(map[string]fields)}
 	flattener.add("limits", document.Limits)
@@ -90,38 +94,38 @@
 	return flattener.parts, flattener.failure
 }
 
-// flattener gathers parts and the first failure.
+// flattener collects the parts of a document and the first error.
 type flattener struct {
 	parts   map[string]fields
 	failure error
 }
 
-func (flattener *flattener) add(what string, content any) {
+func (flattener *flattener) add(part string, content any) {
 	var fields fields
 	data, err := json.Marshal(content)
 	if err == nil {
 		err = json.Unmarshal(data, &fields)
 	}
 	if err != nil && flattener.failure == nil {
-		flattener.failure = fail("difference", Invalid, "%s: %w", what, err)
+		flattener.failure = fail("difference", Invalid, "%s: %w", part, err)
 	}
-	flattener.parts[what] = fields
+	flattener.parts[part] = fields
 }
 
-func compare(what string, before, after fields) []Difference {
+func compareFields(part string, before, after fields) []Difference {
 	if before == nil || after == nil {
-		return []Difference{{what: what, before: text(before), after: text(after)}}
+		return []Difference{{part: part, before: encode(before), after: encode(after)}}
 	}
 	var differences []Difference
 	for _, field := range sortedKeys(before, after) {
 		if old, next := string(before[field]), string(after[field]); old != next {
-			differences = append(differences, Difference{what: what, field: field, before: old, after: next})
+			differences = append(differences, Difference{part: part, field: field, before: old, after: next})
 		}
 	}
 	return differences
 }
 
-func text(fields fields) string {
+func encode(fields fields) string {
 	data, err := json.Marshal(fields)
 	if fields == nil || err != nil {
 		return ""
--- a/editor/draft.go
+++ b/editor/draft.go
@@ -10,9 +10,10 @@
 	"limpetcleat/sectioner"
 )
 
-// draft is a changed and checked configuration before it is written.
+// draft is an edited and validated configuration that is not written yet.
 type draft struct {
-	// object is the version of the platform's object once it is written.
+	// object is the version of the platform's object that holds the head; it is set
+	// when the head has been written.
 	object   uint64
 	head     *sectioner.Head
 	value    []byte
@@ -20,8 +21,8 @@
 	sections []messenger.Section
 }
 
-// draft changes the base and checks the result whole.
-func (editor *Editor) draft(base *Version, change Change) (*draft, error) {
+// newDraft applies the change to the base and validates the complete result.
+func (editor *Editor) newDraft(base *Version, change Change) (*draft, error) {
 	document, err := change.Apply(base.document)
 	if err != nil {
 		return nil, fail("edit", Invalid, "%w", err)
@@ -30,8 +31,8 @@
 	if err := Check(number, document); err != nil {
 		return nil, err
 	}
-	if len(change.Summary) > maxTextLength || len(editor.editor) > maxTextLength {
-		return nil, fail("edit", Invalid, "the summary and the operator's name may have %d bytes each", maxTextLength)
+	if len(change.Summary) > maxTextLength || len(editor.operator) > maxTextLength {
+		return nil, fail("edit", Invalid, "the summary and the operator's name are limited to %d bytes each", maxTextLength)
 	}
 	sums, sections, err := sectioner.Cut(document)
 	if err != nil {
@@ -40,19 +41,19 @@
 	head := base.head.Next(sectioner.Edit{
 		Version:  number,
 		EditID:   editor.newID(),
-		Editor:   editor.editor,
+		Editor:   editor.operator,
 		EditedAt: editor.now().UTC(),
 		Summary:  change.Summary,
 	}, sums)
 	value, err := json.Marshal(head)
 	if err != nil || len(value) > sectioner.MaxSection {
-		return nil, fail("edit", Invalid, "the head has %d bytes; allowed are %d", len(value), sectioner.MaxSection)
+		return nil, fail("edit", Invalid, "the configuration head has %d bytes; the limit is %d", len(value), sectioner.MaxSection)
 	}
 	return &draft{head: head, value: value, document: document, sections: sections}, nil
 }
 
-// Check checks a configuration whole, as each node does before it applies one.
-// The error is of kind Invalid and joins all faults.
+// Check validates a complete configuration, as each node does before applying it.
+// The error is of kind Invalid and joins all faults found.
 func Check(number uint64, document definer.Document) error {
 	var faults []error
 	if _, err := definer.Build(number, document); err != nil {
--- a/editor/editor.go
+++ b/editor/editor.go
@@ -1,6 +1,7 @@
-// Package editor carries out an operator's edit of the configuration: it reads
-// the stored version, changes it, checks the result whole and writes it on the
-// condition that nobody else wrote meanwhile.
+// Package editor applies operators' edits to the stored configuration with
+// optimistic concurrency control. It reads the stored version, applies the change,
+// validates the complete result and writes it with a conditional update, which
+// fails if another edit was written in the meantime.
 package editor
 
 import (
@@ -16,13 +17,13 @@
 )
 
 const (
-	defaultTries  = 8
-	defaultWait   = 250 * time.Millisecond
-	maxWait       = 4 * time.Second
-	maxTextLength = 1000
+	defaultMaxTries = 8
+	initialBackoff  = 250 * time.Millisecond
+	maxBackoff      = 4 * time.Second
+	maxTextLength   = 1000
 )
 
-// Store is what the editor needs of the platform's object API.
+// Store is the part of the platform's object API that the editor uses.
 type Store interface {
 	Read(ctx context.Context, kind, name string) (storer.Object, error)
 	Create(ctx context.Context, kind, name string, value []byte) (storer.Object, error)
@@ -30,47 +31,48 @@
 	Delete(ctx context.Context, kind, name string, version uint64) (storer.Object, error)
 }
 
-// Editor edits the configuration in the name of one operator.
+// Editor edits the configuration on behalf of one operator.
 type Editor struct {
-	store  Store
-	editor string
-	now    func() time.Time
-	newID  func() string
-	pause  func(ctx context.Context, wait time.Duration) error
-	// tries bounds how often each call to the platform is made.
-	tries int
-	// floor is the least number that the next version gets.
+	store    Store
+	operator string
+	now      func() time.Time
+	newID    func() string
+	pause    func(ctx context.Context, wait time.Duration) error
+	// maxTries is the maximum number of attempts for each call to the platform.
+	maxTries int
+	// floor is the minimum number of the next version.
 	floor uint64
 }
 
 // Option changes one setting of an Editor.
 type Option func(*Editor)
 
-// WithClock sets where the time of an edit comes from.
+// WithClock sets the function that supplies the time of an edit.
 func WithClock(now func() time.Time) Option {
 	return func(editor *Editor) { editor.now = now }
 }
 
-// WithPause sets how the editor waits between two tries.
+// WithPause sets the function that waits between two attempts of a call.
 func WithPause(pause func(ctx context.Context, wait time.Duration) error) Option {
 	return func(editor *Editor) { editor.pause = pause }
 }
 
-// WithFloor sets the least number that the next version gets. It is for a
-// platform that was set back: nodes take only what is newer than they have.
+// WithFloor sets the minimum number of the next version. It is needed after the
+// platform was restored to an older state: nodes accept only versions newer than
+// their own.
 func WithFloor(version uint64) Option {
 	return func(editor *Editor) { editor.floor = version }
 }
 
-// New returns an editor that writes to the store in the operator's name.
+// New returns an editor that writes to the store on behalf of the named operator.
 func New(store Store, name string, options ...Option) *Editor {
 	editor := &Editor{
-		store:  store,
-		editor: name,
-		now:    time.Now,
-		newID:  uuid.NewString,
-		pause:  timer.Sleep,
-		tries:  defaultTries,
+		store:    store,
+		operator: name,
+		now:      time.Now,
+		newID:    uuid.NewString,
+		pause:    timer.Sleep,
+		maxTries: defaultMaxTries,
 	}
 	for _, option := range options {
 		option(editor)
@@ -80,40 +82,43 @@
 
 // Version is one stored version of the configuration.
 type Version struct {
-	// object is the version of the platform's object; 0 when there is none yet.
+	// object is the version of the platform's object that holds the head; 0 if
+	// there is none yet.
 	object   uint64
 	head     *sectioner.Head
 	document definer.Document
 }
 
-// Number returns the version's number; 0 when nothing is stored yet.
+// Number returns the version number; 0 if nothing is stored yet.
 func (version *Version) Number() uint64 { return version.head.Version }
 
-// Head returns the stored form, with the history of edits.
+// Head returns the stored head: the list of sections and the history of edits.
 func (version *Version) Head() *sectioner.Head { return version.head }
 
 // Document returns the configuration.
 func (version *Version) Document() definer.Document { return version.document }
 
-// Change is what an operator wants done.
+// Change describes an edit that an operator requests.
 type Change struct {
-	// Base is the version that the operator has seen; an edit of any other is a
-	// Conflict. 0 stands for the newest at the time of the edit.
+	// Base is the version that the operator has read. The edit fails with Conflict
+	// if the stored version differs. 0 stands for the newest version at the time of
+	// the edit.
 	Base uint64
-	// Summary says why, for the history.
+	// Summary is the reason for the change, recorded in the history.
 	Summary string
 	// Apply returns the changed document.
 	Apply func(document definer.Document) (definer.Document, error)
 }
 
-// Replace returns a change to a whole new document.
+// Replace returns a change that replaces the whole document.
 func Replace(base uint64, summary string, document definer.Document) Change {
 	return Change{Base: base, Summary: summary, Apply: func(definer.Document) (definer.Document, error) { return document, nil }}
 }
 
-// Edit makes a change and returns the accepted version. The error is of kind
-// Invalid, Conflict or Unavailable when nothing was written, and of kind
-// Unsettled when that cannot be told.
+// Edit applies a change and returns the accepted version; a change without effect
+// returns the stored version. The error is of kind Invalid, Conflict or
+// Unavailable if the edit was not accepted, and of kind Unsettled if it is unknown
+// whether it was.
 func (editor *Editor) Edit(ctx context.Context, change Change) (*Version, error) {
 	base, err := editor.Load(ctx)
 	if err != nil && !isKind(err, Empty) {
@@ -122,7 +127,7 @@
 	if change.Base != 0 && change.Base != base.Number() {
 		return nil, fail("edit", Conflict, "%w", &Rival{edit: base.head.Edit})
 	}
-	draft, err := editor.draft(base, change)
+	draft, err := editor.newDraft(base, change)
 	if err != nil {
 		return nil, err
 	}
@@ -132,10 +137,10 @@
 	if err := editor.writeSections(ctx, base, draft); err != nil {
 		return nil, err
 	}
-	garbage := editor.inspect(ctx, draft.head)
+	garbage := editor.readGarbage(ctx, draft.head)
 	if err := editor.writeHead(ctx, base, draft); err != nil {
 		return nil, err
 	}
-	editor.collect(ctx, garbage)
+	editor.deleteGarbage(ctx, garbage)
 	return &Version{object: draft.object, head: draft.head, document: draft.document}, nil
 }
--- a/editor/editor_test.go
+++ b/editor/editor_test.go
@@ -21,70 +21,71 @@
 
 var clock = time.Date(2026, 3, 4, 10, 0, 0, 0, time.UTC) //nolint:gochecknoglobals // The time of every edit.
 
-// bench is a stand-in of the platform and a client of it whose calls a test
-// can step into.
-type bench struct {
+// fixture is a simulated platform and a client of it, whose writes of the head a
+// test can delay or fail.
+type fixture struct {
 	t *testing.T
 	*storer.Storer
 	url string
 	// beforeHead runs once before the next write of the head.
 	beforeHead func()
-	// failHead tells how many writes of the head still lose their answer, after
-	// or without taking effect.
+	// loseAfter and loseBefore are the numbers of further writes of the head whose
+	// answer is lost, after taking effect and without taking effect.
 	loseAfter, loseBefore int
 }
 
-func start(t *testing.T) *bench {
+func newFixture(t *testing.T) *fixture {
 	standin := platform.New()
 	server := httptest.NewServer(standin.Handler())
 	t.Cleanup(func() {
 		assert.NilError(t, standin.Close())
 		server.Close()
 	})
-	return &bench{t: t, url: server.URL, Storer: storer.New([]string{strings.TrimPrefix(server.URL, "http://")}, "")}
+	return &fixture{t: t, url: server.URL, Storer: storer.New([]string{strings.TrimPrefix(server.URL, "http://")}, "")}
 }
 
-func (bench *bench) Update(ctx context.Context, kind, name string, version uint64, value []byte) (storer.Object, error) {
+func (fixture *fixture) Update(ctx context.Context, kind, name string, version uint64, value []byte) (storer.Object, error) {
 	if kind == sectioner.HeadKind {
-		if step := bench.beforeHead; step != nil {
-			bench.beforeHead = nil
+		if step := fixture.beforeHead; step != nil {
+			fixture.beforeHead = nil
 			step()
 		}
-		if bench.loseBefore > 0 {
-			bench.loseBefore--
+		if fixture.loseBefore > 0 {
+			fixture.loseBefore--
 			return storer.Object{}, fmt.Errorf("no answer")
 		}
 	}
-	object, err := bench.Storer.Update(ctx, kind, name, version, value)
-	if kind == sectioner.HeadKind && bench.loseAfter > 0 {
-		bench.loseAfter--
+	object, err := fixture.Storer.Update(ctx, kind, name, version, value)
+	if kind == sectioner.HeadKind && fixture.loseAfter > 0 {
+		fixture.loseAfter--
 		return storer.Object{}, fmt.Errorf("no answer")
 	}
 	return object, err
 }
 
-func (bench *bench) editor(name string) *editor.Editor {
+func (fixture *fixture) editor(name string) *editor.Editor {
 	pause := func(ctx context.Context, _ time.Duration) error { return ctx.Err() }
-	return editor.New(bench, name, editor.WithPause(pause), editor.WithClock(func() time.Time { return clock }))
+	return editor.New(fixture, name, editor.WithPause(pause), editor.WithClock(func() time.Time { return clock }))
 }
 
-func (bench *bench) put(name string, base uint64, document definer.Document) (*editor.Version, error) {
-	return bench.editor(name).Edit(context.Background(), editor.Replace(base, "by "+name, document))
+func (fixture *fixture) edit(name string, base uint64, document definer.Document) (*editor.Version, error) {
+	return fixture.editor(name).Edit(context.Background(), editor.Replace(base, "by "+name, document))
 }
 
-func (bench *bench) load() *editor.Version {
-	version, err := bench.editor("reader").Load(context.Background())
-	assert.NilError(bench.t, err)
+func (fixture *fixture) load() *editor.Version {
+	version, err := fixture.editor("reader").Load(context.Background())
+	assert.NilError(fixture.t, err)
 	return version
 }
 
-func (bench *bench) faults(body string) {
-	response, err := http.Post(bench.url+"/faults", "application/json", strings.NewReader(body))
-	assert.NilError(bench.t, err)
+func (fixture *fixture) setFaults(body string) {
+	response, err := http.Post(fixture.url+"/faults", "application/json", strings.NewReader(body))
+	assert.NilError(fixture.t, err)
 	response.Body.Close()
 }
 
-// document has one organisation for each name, which tells edits apart.
+// document returns a valid configuration with one organisation for each name, so
+// that tests can distinguish edits.
 func document(organisations ...string) definer.Document {
 	document := definer.Document{
 		Classes: []definer.ClassDocument{{Name: "desk", Attainment: 0.99, LongestWaitMs: 1000}},
@@ -105,16 +106,16 @@
 }
 
 func TestEditsFollowEachOther(t *testing.T) {
-	bench := start(t)
+	fixture := newFixture(t)
 	for number := range uint64(3) {
-		version, err := bench.put("maria", number, document("a", fmt.Sprint(number)))
+		version, err := fixture.edit("maria", number, document("a", fmt.Sprint(number)))
 		assert.NilError(t, err)
 		assert.Equal(t, version.Number(), number+1)
 	}
-	again, err := bench.put("maria", 3, document("a", "2"))
+	again, err := fixture.edit("maria", 3, document("a", "2"))
 	assert.NilError(t, err)
-	assert.Equal(t, again.Number(), uint64(3), "an edit that changes nothing makes no version")
-	head := bench.load().Head()
+	assert.Equal(t, again.Number(), uint64(3), "an edit without changes must not create a version")
+	head := fixture.load().Head()
 	assert.Equal(t, head.Editor, "maria")
 	assert.Equal(t, head.EditedAt, clock)
 	assert.Equal(t, len(head.History), 2)
@@ -123,7 +124,7 @@
 func TestConflictNamesTheOtherEdit(t *testing.T) {
 	cases := []struct {
 		name string
-		// during says whether the other edit comes while this one is under way.
+		// during says whether the other edit is made while this one is in progress.
 		during bool
 		lose   int
 	}{
@@ -133,25 +134,25 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			bench := start(t)
-			_, err := bench.put("maria", 0, document("a"))
+			fixture := newFixture(t)
+			_, err := fixture.edit("maria", 0, document("a"))
 			assert.NilError(t, err)
 			other := func() {
-				_, err := bench.put("sean", 1, document("a", "sean"))
+				_, err := fixture.edit("sean", 1, document("a", "sean"))
 				assert.NilError(t, err)
 			}
 			if test.during {
-				bench.beforeHead = func() { other(); bench.loseBefore = test.lose }
+				fixture.beforeHead = func() { other(); fixture.loseBefore = test.lose }
 			} else {
 				other()
 			}
-			_, err = bench.put("maria", 1, document("a", "maria"))
+			_, err = fixture.edit("maria", 1, document("a", "maria"))
 			assert.Equal(t, kindOf(t, err), editor.Conflict)
 			rival, ok := editor.RivalOf(err)
 			assert.Assert(t, ok)
 			assert.Equal(t, rival.Edit().Editor, "sean")
 			assert.ErrorContains(t, err, `version 2 was written by "sean" at 2026-03-04T10:00:00Z: "by sean"`)
-			assert.DeepEqual(t, bench.load().Document().Organisations, document("a", "sean").Organisations)
+			assert.DeepEqual(t, fixture.load().Document().Organisations, document("a", "sean").Organisations)
 		})
 	}
 }
@@ -171,49 +172,49 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			bench := start(t)
-			_, err := bench.put("maria", 0, document("a"))
+			fixture := newFixture(t)
+			_, err := fixture.edit("maria", 0, document("a"))
 			assert.NilError(t, err)
-			bench.loseAfter, bench.loseBefore = test.after, test.before
-			store := &stepping{bench: bench, after: func() {
+			fixture.loseAfter, fixture.loseBefore = test.after, test.before
+			hook := &pauseHook{fixture: fixture, onFirstPause: func() {
 				for number := range test.more {
-					_, err := bench.put("sean", 0, document("a", fmt.Sprint(number)))
+					_, err := fixture.edit("sean", 0, document("a", fmt.Sprint(number)))
 					assert.NilError(t, err)
 				}
 			}}
-			pause := func(context.Context, time.Duration) error { return store.step() }
-			version, err := editor.New(bench, "maria", editor.WithPause(pause)).Edit(context.Background(), editor.Replace(1, "", document("a", "maria")))
-			bench.loseBefore = 0
+			pause := func(context.Context, time.Duration) error { return hook.pause() }
+			version, err := editor.New(fixture, "maria", editor.WithPause(pause)).Edit(context.Background(), editor.Replace(1, "", document("a", "maria")))
+			fixture.loseBefore = 0
 			if test.want == "" {
 				assert.NilError(t, err)
 				assert.Equal(t, version.Number(), uint64(2))
 			} else {
 				assert.Equal(t, kindOf(t, err), test.want)
 			}
-			assert.Equal(t, bench.load().Number() >= 2, test.accepted)
+			assert.Equal(t, fixture.load().Number() >= 2, test.accepted)
 		})
 	}
 }
 
-// stepping runs something once, at the first pause of an editor.
-type stepping struct {
-	bench *bench
-	after func()
+// pauseHook calls onFirstPause once, at the first pause of an editor.
+type pauseHook struct {
+	fixture      *fixture
+	onFirstPause func()
 }
 
-func (stepping *stepping) step() error {
-	if after := stepping.after; after != nil {
-		stepping.after = nil
-		after()
+func (hook *pauseHook) pause() error {
+	if onFirstPause := hook.onFirstPause; onFirstPause != nil {
+		hook.onFirstPause = nil
+		onFirstPause()
 	}
 	return nil
 }
 
 func TestRacingEditsLoseNothing(t *testing.T) {
-	bench := start(t)
-	_, err := bench.put("first", 0, document())
+	fixture := newFixture(t)
+	_, err := fixture.edit("first", 0, document())
 	assert.NilError(t, err)
-	bench.faults(`{"loseAnswers":10}`)
+	fixture.setFaults(`{"loseAnswers":10}`)
 	var group sync.WaitGroup
 	for number := range 8 {
 		group.Go(func() {
@@ -223,7 +224,7 @@
 				return document, nil
 			}}
 			for {
-				_, err := bench.editor(name).Edit(context.Background(), add)
+				_, err := fixture.editor(name).Edit(context.Background(), add)
 				if err == nil {
 					return
 				}
@@ -235,7 +236,7 @@
 		})
 	}
 	group.Wait()
-	last := bench.load()
+	last := fixture.load()
 	assert.Equal(t, last.Number(), uint64(9))
 	seen := make(map[string]int)
 	for _, organisation := range last.Document().Organisations {
@@ -246,11 +247,11 @@
 }
 
 func TestFaultsAreToldAllAtOnceAndNothingIsWritten(t *testing.T) {
-	bench := start(t)
+	fixture := newFixture(t)
 	faulty := document("a", "a")
 	faulty.Classes[0].Attainment = 7
 	faulty.Rules[0].When = "nothing =="
-	_, err := bench.put("maria", 0, faulty)
+	_, err := fixture.edit("maria", 0, faulty)
 	assert.Equal(t, kindOf(t, err), editor.Invalid)
 	for _, fault := range []string{`organisation "a" stands twice`, "attainment is 7", `rule "all"`} {
 		assert.ErrorContains(t, err, fault)
@@ -261,28 +262,28 @@
 		rule.Name = fmt.Sprintf("rule %d %s", index, strings.Repeat("x", 80))
 		large.Rules = append(large.Rules, rule)
 	}
-	_, err = bench.put("maria", 0, large)
+	_, err = fixture.edit("maria", 0, large)
 	assert.Equal(t, kindOf(t, err), editor.Invalid)
 	assert.ErrorContains(t, err, "section rules has")
-	_, err = bench.editor("reader").Load(context.Background())
+	_, err = fixture.editor("reader").Load(context.Background())
 	assert.Equal(t, kindOf(t, err), editor.Empty)
 }
 
 func TestOutageIsTold(t *testing.T) {
-	bench := start(t)
-	bench.faults(`{"outage":true}`)
-	_, err := bench.put("maria", 0, document())
+	fixture := newFixture(t)
+	fixture.setFaults(`{"outage":true}`)
+	_, err := fixture.edit("maria", 0, document())
 	assert.Equal(t, kindOf(t, err), editor.Unavailable)
 }
 
 func TestEarlierVersionsAndGarbage(t *testing.T) {
-	bench := start(t)
+	fixture := newFixture(t)
 	for number := range 40 {
-		_, err := bench.put("maria", uint64(number), document("a", fmt.Sprint("only ", number%2, " ", number/4)))
+		_, err := fixture.edit("maria", uint64(number), document("a", fmt.Sprint("only ", number%2, " ", number/4)))
 		assert.NilError(t, err)
 	}
-	reader := bench.editor("reader")
-	newest := bench.load()
+	reader := fixture.editor("reader")
+	newest := fixture.load()
 	for number := newest.Number() - sectioner.MaxHistory; number <= newest.Number(); number++ {
 		earlier, err := reader.LoadAt(context.Background(), number)
 		assert.NilError(t, err)
@@ -294,7 +295,7 @@
 	}
 	_, err := reader.LoadAt(context.Background(), 2)
 	assert.Equal(t, kindOf(t, err), editor.Empty)
-	stored, err := bench.List(context.Background(), sectioner.SectionKind)
+	stored, err := fixture.List(context.Background(), sectioner.SectionKind)
 	assert.NilError(t, err)
 	needed := make(map[string]bool)
 	for number := newest.Number() - sectioner.MaxHistory; number <= newest.Number(); number++ {
@@ -304,48 +305,49 @@
 			needed[sum.Hash] = true
 		}
 	}
-	assert.Equal(t, len(stored.Items), len(needed), "sections of no version within the history are deleted")
+	assert.Equal(t, len(stored.Items), len(needed), "sections that no version in the history uses must be deleted")
 }
 
-// TestCollectorSparesASectionInUseAgain has an edit use a section again between
-// another's look at its garbage and the deletion.
+// TestCollectorSparesASectionInUseAgain guards against deleting a section that is
+// in use: one edit uses a section again after another edit has read it as garbage
+// and before that edit deletes it.
 func TestCollectorSparesASectionInUseAgain(t *testing.T) {
-	bench := start(t)
-	_, err := bench.put("maria", 0, document("old"))
+	fixture := newFixture(t)
+	_, err := fixture.edit("maria", 0, document("old"))
 	assert.NilError(t, err)
 	for number := range sectioner.MaxHistory {
-		_, err := bench.put("maria", 0, document(fmt.Sprint(number)))
+		_, err := fixture.edit("maria", 0, document(fmt.Sprint(number)))
 		assert.NilError(t, err)
 	}
-	// The next edit puts the sections of version 1 on the list of garbage, and
-	// is about to delete them when another edit wants them.
-	late := &late{bench: bench, reuse: func() {
-		_, err := bench.put("sean", 0, document("old"))
+	// The next edit lists the sections of version 1 as garbage. Another edit uses
+	// them again just before they are deleted.
+	hook := &deleteHook{fixture: fixture, beforeFirstDelete: func() {
+		_, err := fixture.edit("sean", 0, document("old"))
 		assert.NilError(t, err)
 	}}
-	_, err = editor.New(late, "maria").Edit(context.Background(), editor.Replace(0, "", document("next")))
+	_, err = editor.New(hook, "maria").Edit(context.Background(), editor.Replace(0, "", document("next")))
 	assert.NilError(t, err)
-	assert.Assert(t, late.reuse == nil, "nothing was deleted")
-	assert.DeepEqual(t, bench.load().Document().Organisations, document("old").Organisations)
+	assert.Assert(t, hook.beforeFirstDelete == nil, "nothing was deleted")
+	assert.DeepEqual(t, fixture.load().Document().Organisations, document("old").Organisations)
 }
 
-// late lets another edit go first before the first deletion.
-type late struct {
-	*bench
-	reuse func()
+// deleteHook calls beforeFirstDelete once, before the first deletion.
+type deleteHook struct {
+	*fixture
+	beforeFirstDelete func()
 }
 
-func (late *late) Delete(ctx context.Context, kind, name string, version uint64) (storer.Object, error) {
-	if reuse := late.reuse; reuse != nil {
-		late.reuse = nil
-		reuse()
+func (hook *deleteHook) Delete(ctx context.Context, kind, name string, version uint64) (storer.Object, error) {
+	if beforeFirstDelete := hook.beforeFirstDelete; beforeFirstDelete != nil {
+		hook.beforeFirstDelete = nil
+		beforeFirstDelete()
 	}
-	return late.bench.Delete(ctx, kind, name, version)
+	return hook.fixture.Delete(ctx, kind, name, version)
 }
 
 func TestFloorRaisesTheVersion(t *testing.T) {
-	bench := start(t)
-	version, err := editor.New(bench, "maria", editor.WithFloor(50)).Edit(context.Background(), editor.Replace(0, "", document()))
+	fixture := newFixture(t)
+	version, err := editor.New(fixture, "maria", editor.WithFloor(50)).Edit(context.Background(), editor.Replace(0, "", document()))
 	assert.NilError(t, err)
 	assert.Equal(t, version.Number(), uint64(50))
 }
--- a/editor/error.go
+++ b/editor/error.go
@@ -13,34 +13,34 @@
 type Kind string
 
 const (
-	// Empty says that no configuration is stored yet.
+	// Empty means that no configuration, or not the requested version, is stored.
 	Empty Kind = "empty"
-	// Invalid says that the changed configuration fails its checks.
+	// Invalid means that the edited configuration failed validation.
 	Invalid Kind = "invalid"
-	// Conflict says that somebody else changed the configuration; RivalOf tells
-	// who and when. Nothing was written.
+	// Conflict means that another edit changed the configuration first; RivalOf
+	// returns that edit. The failed edit was not accepted.
 	Conflict Kind = "conflict"
-	// Unavailable says that the platform could not be used. Nothing was written.
+	// Unavailable means that a call to the platform failed. The edit was not accepted.
 	Unavailable Kind = "unavailable"
-	// Unsettled says that the edit may or may not have been accepted.
+	// Unsettled means that it is unknown whether the edit was accepted.
 	Unsettled Kind = "unsettled"
-	// Unusable says that the stored configuration is not whole.
+	// Unusable means that the stored configuration is incomplete or malformed.
 	Unusable Kind = "unusable"
 )
 
-// Error is the one error type of this package.
+// Error is the error type of this package.
 type Error = failer.Error[Kind]
 
 func fail(operation string, kind Kind, format string, values ...any) *Error {
 	return failer.New("editor."+operation, kind, format, values...)
 }
 
-// Rival is the edit that an edit conflicts with.
+// Rival is the error that describes the other edit in a conflict.
 type Rival struct {
 	edit sectioner.Edit
 }
 
-// Error tells who made the other edit, when and why.
+// Error returns a message with the author, time and summary of the other edit.
 func (rival *Rival) Error() string {
 	return fmt.Sprintf("version %d was written by %q at %s: %q; read it and make the change anew",
 		rival.edit.Version, rival.edit.Editor, rival.edit.EditedAt.Format(time.RFC3339), rival.edit.Summary)
@@ -49,8 +49,8 @@
 // Edit returns the other edit.
 func (rival *Rival) Edit() sectioner.Edit { return rival.edit }
 
-// RivalOf returns the edit that the failed one conflicts with, if that is why
-// it failed.
+// RivalOf returns the other edit if err reports a conflict with one, and whether it
+// does.
 func RivalOf(err error) (*Rival, bool) {
 	var rival *Rival
 	ok := errors.As(err, &rival)
--- a/editor/garbage.go
+++ b/editor/garbage.go
@@ -7,12 +7,12 @@
 	"limpetcleat/storer"
 )
 
-// inspect reads the versions of the sections that the head lists as garbage.
-// It must come before the head is written: an edit that uses such a section
-// again either is based on an older head, and fails, or on this one or a newer,
-// and then writes the section once more, so that its version differs from the
-// one read here.
-func (editor *Editor) inspect(ctx context.Context, head *sectioner.Head) []storer.Object {
+// readGarbage reads the sections that the head lists as garbage, to learn their
+// versions. It must run before the head is written. A concurrent edit that uses a
+// garbage section again is then based either on an older head, and fails, or on
+// this head or a newer one. In the second case it rewrites the section, which
+// changes the version read here and makes the conditional delete fail.
+func (editor *Editor) readGarbage(ctx context.Context, head *sectioner.Head) []storer.Object {
 	var found []storer.Object
 	for _, garbage := range head.Garbage {
 		object, err := editor.store.Read(ctx, sectioner.SectionKind, garbage.Hash)
@@ -23,10 +23,11 @@
 	return found
 }
 
-// collect deletes garbage that is as it was inspected. A failure is left to the
-// next edit, which lists the same sections.
-func (editor *Editor) collect(ctx context.Context, garbage []storer.Object) {
+// deleteGarbage deletes the garbage sections whose version is still the one that
+// readGarbage read. Errors are ignored: the next edit lists the remaining sections
+// again.
+func (editor *Editor) deleteGarbage(ctx context.Context, garbage []storer.Object) {
 	for _, object := range garbage {
-		_, _ = editor.store.Delete(ctx, object.Kind, object.Name, object.Version) // See above.
+		_, _ = editor.store.Delete(ctx, object.Kind, object.Name, object.Version) // The next edit tries again.
 	}
 }
--- a/editor/load.go
+++ b/editor/load.go
@@ -12,8 +12,8 @@
 	"limpetcleat/storer"
 )
 
-// Load returns the newest stored version. When nothing is stored yet it
-// returns version 0 and an error of kind Empty.
+// Load returns the newest stored version. If nothing is stored yet, it returns
+// version 0 and an error of kind Empty.
 func (editor *Editor) Load(ctx context.Context) (*Version, error) {
 	version := &Version{head: &sectioner.Head{}}
 	object, err := editor.readHead(ctx)
@@ -27,14 +27,15 @@
 	if err != nil {
 		return version, fail("load", Unusable, "%w", err)
 	}
-	document, err := editor.document(ctx, head.Sums())
+	document, err := editor.readDocument(ctx, head.Sums())
 	if err != nil {
 		return version, err
 	}
 	return &Version{object: object.Version, head: head, document: document}, nil
 }
 
-// LoadAt returns the document of an earlier version within the history.
+// LoadAt returns the document of the newest version or of an earlier one. The error
+// is of kind Empty if the history does not hold that version.
 func (editor *Editor) LoadAt(ctx context.Context, number uint64) (definer.Document, error) {
 	newest, err := editor.Load(ctx)
 	if err != nil {
@@ -44,7 +45,7 @@
 	if err != nil {
 		return definer.Document{}, fail("loadAt", Empty, "%w", err)
 	}
-	return editor.document(ctx, sums)
+	return editor.readDocument(ctx, sums)
 }
 
 func (editor *Editor) readHead(ctx context.Context) (storer.Object, error) {
@@ -53,7 +54,7 @@
 	})
 }
 
-func (editor *Editor) document(ctx context.Context, sums []messenger.SectionSum) (definer.Document, error) {
+func (editor *Editor) readDocument(ctx context.Context, sums []messenger.SectionSum) (definer.Document, error) {
 	var sections []messenger.Section
 	for _, sum := range sums {
 		object, err := editor.retry(ctx, func() (storer.Object, error) {
--- a/editor/write.go
+++ b/editor/write.go
@@ -8,24 +8,25 @@
 	"limpetcleat/storer"
 )
 
-// retry makes a call until it succeeds, its failure is final or the tries are
-// used up. A call that was Lost may have taken effect.
+// retry repeats a call with exponential backoff until it succeeds, fails with an
+// error that cannot be retried or has been attempted maxTries times. A call that
+// failed with storer.Lost may have taken effect.
 func (editor *Editor) retry(ctx context.Context, call func() (storer.Object, error)) (storer.Object, error) {
-	wait := defaultWait
+	wait := initialBackoff
 	for try := 1; ; try++ {
 		object, err := call()
 		kind := storer.KindOf(err)
-		if err == nil || (kind != storer.Lost && kind != storer.Rejected) || try >= editor.tries {
+		if err == nil || (kind != storer.Lost && kind != storer.Rejected) || try >= editor.maxTries {
 			return object, err
 		}
 		if editor.pause(ctx, max(wait, storer.RetryAfter(err))) != nil {
 			return object, err
 		}
-		wait = min(2*wait, maxWait)
+		wait = min(2*wait, maxBackoff)
 	}
 }
 
-// writeSections writes the sections that the base does not have.
+// writeSections writes the sections of the draft that the base does not have.
 func (editor *Editor) writeSections(ctx context.Context, base *Version, draft *draft) error {
 	stored := make(map[string]bool)
 	for _, entry := range base.head.Sections {
@@ -43,9 +44,9 @@
 	return nil
 }
 
-// writeSection writes a section, or writes it once more if it is there already:
-// its version then differs from the one that a collector of garbage saw, whose
-// conditional delete fails.
+// writeSection creates a section, or rewrites it if it already exists. Rewriting
+// changes its version, so that a concurrent edit which has read the section as
+// garbage fails to delete it.
 func (editor *Editor) writeSection(ctx context.Context, section messenger.Section) error {
 	var version uint64
 	_, err := editor.retry(ctx, func() (storer.Object, error) {
@@ -70,10 +71,10 @@
 	return editor.store.Update(ctx, sectioner.SectionKind, section.Hash, version, section.Data)
 }
 
-// writeHead writes the head on the condition that it still is the base. It is
-// this one write that accepts the edit. A lost answer is settled by repeating
-// the same write: at most one of them can take effect, and the edit's id tells
-// whether one did.
+// writeHead writes the head on the condition that the stored head is still the
+// base. This single write commits the edit. If its answer is lost, the same write is
+// repeated: at most one of the attempts can take effect, and the edit ID in the
+// stored head shows whether one did.
 func (editor *Editor) writeHead(ctx context.Context, base *Version, draft *draft) error {
 	lost := false
 	object, err := editor.retry(ctx, func() (storer.Object, error) {
@@ -86,7 +87,7 @@
 		draft.object = object.Version
 		return nil
 	case kind == storer.Conflict:
-		return editor.settle(object, draft, lost)
+		return editor.resolveConflict(object, draft, lost)
 	case lost:
 		return fail("edit", Unsettled, "edit %s as version %d: %w", draft.head.EditID, draft.head.Version, err)
 	default:
@@ -101,8 +102,10 @@
 	return editor.store.Update(ctx, sectioner.HeadKind, sectioner.HeadName, base.object, draft.value)
 }
 
-// settle tells by the head that stands there whether the edit was accepted.
-func (editor *Editor) settle(object storer.Object, draft *draft, lost bool) error {
+// resolveConflict determines from the stored head whether the edit was accepted in
+// spite of the conflict. The parameter lost says whether the answer to an attempt
+// was lost.
+func (editor *Editor) resolveConflict(object storer.Object, draft *draft, lost bool) error {
 	head, err := sectioner.ParseHead(object.Value)
 	if err != nil {
 		return fail("settle", Unusable, "%w", err)
@@ -113,7 +116,7 @@
 		draft.object = object.Version
 		return nil
 	case lost && !known:
-		return fail("settle", Unsettled, "edit %s as version %d: the history begins later", draft.head.EditID, draft.head.Version)
+		return fail("settle", Unsettled, "edit %s as version %d: the stored history no longer covers this version", draft.head.EditID, draft.head.Version)
 	default:
 		return fail("edit", Conflict, "%w", &Rival{edit: head.Edit})
 	}
