--- a/recorder/distribution.go
+++ b/recorder/distribution.go
@@ -7,59 +7,64 @@
 )
 
 const (
-	// histogramUnit is the finest difference between two durations.
+	// histogramUnit is the resolution of the recorded durations.
 	histogramUnit = 100 * time.Microsecond
-	// histogramMax is the longest duration told apart from longer ones.
+	// histogramMax is the longest duration that is recorded; longer ones are recorded as
+	// histogramMax.
 	histogramMax = 2 * time.Hour
-	// histogramDigits is the number of digits that are kept.
+	// histogramDigits is the number of significant decimal digits that are kept.
 	histogramDigits = 2
-	// histogramSections times sectionLength is how far back the durations go.
+	// histogramSections is the number of sections of a durationHistogram. Together they
+	// cover histogramSections times sectionLength.
 	histogramSections = 4
 	sectionLength     = 15 * time.Minute
 )
 
-// durations keeps the durations of about the last hour.
-type durations struct {
+// durationHistogram is a sliding-window histogram of the durations of about the last
+// hour. The window consists of sections; the oldest one is dropped as a new one begins.
+type durationHistogram struct {
 	histogram *hdrhistogram.WindowedHistogram
-	// section numbers the section in use since the epoch.
+	// section is the number of the current section, counted from the Unix epoch.
 	section int64
 }
 
-func newDurations(now time.Time) *durations {
+func newDurationHistogram(now time.Time) *durationHistogram {
 	histogram := hdrhistogram.NewWindowed(histogramSections, 1, int64(histogramMax/histogramUnit), histogramDigits)
-	return &durations{histogram: histogram, section: sectionAt(now)}
+	return &durationHistogram{histogram: histogram, section: sectionNumber(now)}
 }
 
-func sectionAt(now time.Time) int64 { return now.UnixNano() / int64(sectionLength) }
+func sectionNumber(now time.Time) int64 { return now.UnixNano() / int64(sectionLength) }
 
-// move drops the sections that are too old at a time.
-func (durations *durations) move(now time.Time) {
-	passed := sectionAt(now) - durations.section
+// rotate drops the sections that have left the window at now.
+func (durationHistogram *durationHistogram) rotate(now time.Time) {
+	passed := sectionNumber(now) - durationHistogram.section
 	if passed <= 0 {
 		return
 	}
 	for range min(passed, histogramSections) {
-		durations.histogram.Rotate()
+		durationHistogram.histogram.Rotate()
 	}
-	durations.section = sectionAt(now)
+	durationHistogram.section = sectionNumber(now)
 }
 
-// put adds a duration; one beyond the longest counts as the longest.
-func (durations *durations) put(now time.Time, duration time.Duration) {
-	durations.move(now)
+// record adds a duration. Durations above histogramMax count as histogramMax, negative
+// ones as 0.
+func (durationHistogram *durationHistogram) record(now time.Time, duration time.Duration) {
+	durationHistogram.rotate(now)
 	units := int64(min(max(duration, 0), histogramMax) / histogramUnit)
-	// The value is within the range, so it cannot be rejected.
-	_ = durations.histogram.Current.RecordValue(units)
+	// The value is within the histogram's range, so RecordValue cannot fail.
+	_ = durationHistogram.histogram.Current.RecordValue(units)
 }
 
-// distribution returns how the durations are spread.
-func (durations *durations) distribution(now time.Time) Distribution {
-	durations.move(now)
-	return describe(durations.histogram.Merge())
+// distribution returns the distribution of the durations in the window that ends at now.
+func (durationHistogram *durationHistogram) distribution(now time.Time) Distribution {
+	durationHistogram.rotate(now)
+	return distributionOf(durationHistogram.histogram.Merge())
 }
 
-// describe returns the distribution of a histogram in histogramUnit.
-func describe(histogram *hdrhistogram.Histogram) Distribution {
+// distributionOf returns the distribution of a histogram whose values are in units of
+// histogramUnit.
+func distributionOf(histogram *hdrhistogram.Histogram) Distribution {
 	at := func(percentile float64) float64 { return unitsToMs(histogram.ValueAtPercentile(percentile)) }
 	distribution := Distribution{
 		Count: uint64(histogram.TotalCount()),
@@ -81,14 +86,15 @@
 	return float64(units) * float64(histogramUnit) / float64(time.Millisecond)
 }
 
-// Merge returns the distribution of several nodes' durations together.
+// Merge returns the distribution of the durations of several nodes taken together. It
+// computes the result from the bars alone.
 func Merge(distributions ...Distribution) Distribution {
 	histogram := hdrhistogram.New(1, int64(histogramMax/histogramUnit), histogramDigits)
 	for _, distribution := range distributions {
 		for _, bar := range distribution.Bars {
-			// A bar out of range came from another version and is left out.
+			// A bar out of range comes from a node of another version and is ignored.
 			_ = histogram.RecordValues(bar.Units, bar.Count)
 		}
 	}
-	return describe(histogram)
+	return distributionOf(histogram)
 }
--- a/recorder/recorder.go
+++ b/recorder/recorder.go
@@ -1,5 +1,6 @@
-// Package recorder counts ended requests by class and the system's own
-// traffic, for the metrics scraper and for the burn report.
+// Package recorder counts the completed and refused requests of each class and the
+// node's control traffic. It serves the counts as Prometheus metrics and as snapshots,
+// from which the error-budget burn report is built.
 package recorder
 
 import (
@@ -14,61 +15,65 @@
 	"limpetcleat/messenger"
 )
 
-// Windows returns the lengths over which counts are kept, the shortest first:
-// those that burn rates are taken over, and the longest for the error budget.
+// Windows returns the lengths of the sliding windows over which counts are kept, the
+// shortest first. Burn rates are computed over each of them, the error budget over the
+// longest.
 func Windows() []time.Duration {
 	return []time.Duration{5 * time.Minute, 30 * time.Minute, time.Hour, 6 * time.Hour, 72 * time.Hour}
 }
 
-// Recorder counts. It is safe for concurrent use.
+// Recorder counts requests and control traffic on one node. It is safe for concurrent
+// use.
 type Recorder struct {
 	node definer.VM
 	now  func() time.Time
-	// report is told of metrics that could not be registered.
+	// report is called with the error of each metric that could not be registered.
 	report func(error)
 	since  time.Time
-	// mutex guards all that follows; nothing else is locked while it is held.
+	// mutex guards the fields below; no other lock of this package is taken while it is
+	// held.
 	mutex   sync.Mutex
 	metrics *metrics
-	// classes holds those of the configuration in force and those recorded
-	// since it came.
-	classes map[definer.ClassName]*class
+	// classes holds the counters of the classes in the current configuration, and of
+	// other classes recorded since it was set.
+	classes map[definer.ClassName]*classCounters
 	control map[ControlKind]ControlCounts
 }
 
-// class is what has been counted of one class.
-type class struct {
-	// class is nil for one that is not in the configuration.
-	class   *definer.Class
-	total   Counts
-	refused map[messenger.RefusalReason]uint64
-	// windows are in the order of Windows.
+// classCounters holds the counts and latency histograms of one class.
+type classCounters struct {
+	// definition is nil for a class that is not in the configuration.
+	definition *definer.Class
+	total      Counts
+	refused    map[messenger.RefusalReason]uint64
+	// windows has one ring for each length, in the order of Windows.
 	windows       []*ring[Counts, *Counts]
-	firstToken    *durations
-	betweenTokens *durations
-	duration      *durations
+	firstToken    *durationHistogram
+	betweenTokens *durationHistogram
+	duration      *durationHistogram
 }
 
 // Option changes one setting of a Recorder.
 type Option func(*Recorder)
 
-// WithNode sets the name of the node in snapshots.
+// WithNode sets the node name that snapshots carry.
 func WithNode(node definer.VM) Option { return func(recorder *Recorder) { recorder.node = node } }
 
-// WithTime sets the source of the time; time.Now without it.
+// WithTime sets the time source. The default is time.Now.
 func WithTime(now func() time.Time) Option { return func(recorder *Recorder) { recorder.now = now } }
 
-// WithReport sets what is told of metrics that could not be registered.
+// WithReport sets the function that is called with the error of each metric that could
+// not be registered. By default these errors are ignored.
 func WithReport(report func(error)) Option {
 	return func(recorder *Recorder) { recorder.report = report }
 }
 
-// New returns a Recorder that has counted nothing. It has to be closed.
+// New returns a Recorder whose counts are all zero. The caller must close it.
 func New(options ...Option) *Recorder {
 	recorder := &Recorder{
 		now:     time.Now,
 		report:  func(error) {},
-		classes: make(map[definer.ClassName]*class),
+		classes: make(map[definer.ClassName]*classCounters),
 		control: make(map[ControlKind]ControlCounts),
 	}
 	for _, option := range options {
@@ -79,80 +84,82 @@
 	return recorder
 }
 
-// Close ends the passing on of metrics once all counts so far have been.
+// Close flushes all counts so far to the metrics and stops updating them.
 func (recorder *Recorder) Close() error { return recorder.metrics.scope.Close() }
 
-// Handler returns what serves the metrics to a Prometheus scraper.
+// Handler returns the HTTP handler that serves the metrics to a Prometheus scraper.
 func (recorder *Recorder) Handler() http.Handler { return recorder.metrics.scope.Handler() }
 
-// SetClasses takes the classes of a configuration that came into force: theirs
-// are shown even before a request ends, and others are forgotten.
+// SetClasses sets the classes of a configuration that has taken effect. Snapshots list
+// these classes even before their first request ends; the counts of all other classes
+// are dropped.
 func (recorder *Recorder) SetClasses(configuration *definer.Configuration) {
 	now := recorder.now()
 	recorder.mutex.Lock()
 	defer recorder.mutex.Unlock()
-	classes := make(map[definer.ClassName]*class)
+	classes := make(map[definer.ClassName]*classCounters)
 	for _, definition := range configuration.Classes() {
-		counted := recorder.class(now, definition.Name())
-		counted.class = definition
-		classes[definition.Name()] = counted
+		counters := recorder.countersOf(now, definition.Name())
+		counters.definition = definition
+		classes[definition.Name()] = counters
 	}
 	recorder.classes = classes
 }
 
-// class returns what is counted of a class. The mutex is held.
-func (recorder *Recorder) class(now time.Time, name definer.ClassName) *class {
-	counted, ok := recorder.classes[name]
+// countersOf returns the counters of a class and creates them if needed. The caller
+// holds the mutex.
+func (recorder *Recorder) countersOf(now time.Time, name definer.ClassName) *classCounters {
+	counters, ok := recorder.classes[name]
 	if ok {
-		return counted
+		return counters
 	}
-	counted = &class{
+	counters = &classCounters{
 		refused:       make(map[messenger.RefusalReason]uint64),
-		firstToken:    newDurations(now),
-		betweenTokens: newDurations(now),
-		duration:      newDurations(now),
+		firstToken:    newDurationHistogram(now),
+		betweenTokens: newDurationHistogram(now),
+		duration:      newDurationHistogram(now),
 	}
 	for _, length := range Windows() {
-		counted.windows = append(counted.windows, newRing[Counts](length))
+		counters.windows = append(counters.windows, newRing[Counts](length))
 	}
-	recorder.classes[name] = counted
-	return counted
+	recorder.classes[name] = counters
+	return counters
 }
 
-// Record counts one ended request.
+// Record counts one request that was completed or refused.
 func (recorder *Recorder) Record(record decider.Record) {
 	now := recorder.now()
 	recorder.mutex.Lock()
 	defer recorder.mutex.Unlock()
 	recorder.metrics.record(record)
-	counted := recorder.class(now, record.Class)
-	counts := counted.counts(record)
-	counted.total.add(counts)
-	for _, window := range counted.windows {
-		window.put(now, counts)
+	counters := recorder.countersOf(now, record.Class)
+	counts := counters.countsOf(record)
+	counters.total.add(counts)
+	for _, window := range counters.windows {
+		window.add(now, counts)
 	}
 	if !record.Complete {
-		counted.refused[record.Reason]++
+		counters.refused[record.Reason]++
 		return
 	}
-	counted.duration.put(now, record.Total)
+	counters.duration.record(now, record.Total)
 	if record.FirstToken > 0 {
-		counted.firstToken.put(now, record.FirstToken)
+		counters.firstToken.record(now, record.FirstToken)
 	}
 	if record.BetweenTokens > 0 {
-		counted.betweenTokens.put(now, record.BetweenTokens)
+		counters.betweenTokens.record(now, record.BetweenTokens)
 	}
 }
 
-// counts returns what one request adds.
-func (class *class) counts(record decider.Record) Counts {
+// countsOf returns the counts that one request adds.
+func (classCounters *classCounters) countsOf(record decider.Record) Counts {
 	counts := Counts{
 		Requests:     1,
 		Retries:      uint64(record.Retries),
 		Tokens:       uint64(record.Tokens),
 		WastedTokens: uint64(record.Wasted),
 	}
-	if class.counted(record) {
+	if classCounters.countsTowardsTarget(record) {
 		counts.Counted = 1
 	}
 	if record.Met {
@@ -165,23 +172,24 @@
 	return counts
 }
 
-// counted tells whether the targets hold for a request. They do not for one
-// that its caller or organisation kept from being served. A caller who left
-// counts once a target had passed.
-func (class *class) counted(record decider.Record) bool {
+// countsTowardsTarget reports whether a request counts towards the class's targets. A
+// request that was not served because of its caller or its organisation does not count.
+// One whose caller disconnected counts if a latency target had already passed.
+func (classCounters *classCounters) countsTowardsTarget(record decider.Record) bool {
 	switch record.Reason {
 	case messenger.KeyInUse, messenger.KeyMismatch, messenger.RuleRefused, messenger.NoRule, messenger.RateLimited:
 		return false
 	case messenger.CallerGone:
-		return class.late(record)
+		return classCounters.targetPassed(record)
 	default:
 		return true
 	}
 }
 
-// late tells whether a target had passed when a request ended.
-func (class *class) late(record decider.Record) bool {
-	if class.class == nil {
+// targetPassed reports whether the request took longer than a latency target of the
+// class. Without a first token, the total time is compared with the first-token target.
+func (classCounters *classCounters) targetPassed(record decider.Record) bool {
+	if classCounters.definition == nil {
 		return false
 	}
 	firstToken := record.FirstToken
@@ -189,10 +197,11 @@
 		firstToken = record.Total
 	}
 	passed := func(target, taken time.Duration) bool { return target > 0 && taken > target }
-	return passed(class.class.FirstToken(), firstToken) || passed(class.class.Total(), record.Total)
+	return passed(classCounters.definition.FirstToken(), firstToken) || passed(classCounters.definition.Total(), record.Total)
 }
 
-// Control counts traffic of the system's own.
+// Control adds count messages or calls of a kind, and their size in bytes, to the
+// control traffic.
 func (recorder *Recorder) Control(kind ControlKind, count, bytes int) {
 	recorder.mutex.Lock()
 	defer recorder.mutex.Unlock()
@@ -203,7 +212,7 @@
 	recorder.metrics.control(kind, count, bytes)
 }
 
-// Snapshot returns what has been counted so far.
+// Snapshot returns a copy of the current counts.
 func (recorder *Recorder) Snapshot() Snapshot {
 	now := recorder.now()
 	recorder.mutex.Lock()
@@ -215,16 +224,16 @@
 	return snapshot
 }
 
-func (class *class) snapshot(name definer.ClassName, now time.Time) ClassSnapshot {
+func (classCounters *classCounters) snapshot(name definer.ClassName, now time.Time) ClassSnapshot {
 	snapshot := ClassSnapshot{
 		Class:         name,
-		Total:         class.total,
-		Refused:       maps.Clone(class.refused),
-		FirstToken:    class.firstToken.distribution(now),
-		BetweenTokens: class.betweenTokens.distribution(now),
-		Duration:      class.duration.distribution(now),
+		Total:         classCounters.total,
+		Refused:       maps.Clone(classCounters.refused),
+		FirstToken:    classCounters.firstToken.distribution(now),
+		BetweenTokens: classCounters.betweenTokens.distribution(now),
+		Duration:      classCounters.duration.distribution(now),
 	}
-	for _, window := range class.windows {
+	for _, window := range classCounters.windows {
 		snapshot.Windows = append(snapshot.Windows, WindowSnapshot{Seconds: int(window.length() / time.Second), Counts: window.sum(now)})
 	}
 	return snapshot
--- a/recorder/recorder_test.go
+++ b/recorder/recorder_test.go
@@ -15,12 +15,12 @@
 	"limpetcleat/recorder"
 )
 
-// clock is a time that a test moves.
+// clock is a time source that a test sets.
 type clock struct{ time time.Time }
 
 func (clock *clock) now() time.Time { return clock.time }
 
-func newRecorder(t *testing.T) (*recorder.Recorder, *clock) {
+func newTestRecorder(t *testing.T) (*recorder.Recorder, *clock) {
 	t.Helper()
 	clock := &clock{time: time.Date(2026, 1, 2, 12, 0, 0, 0, time.UTC)}
 	configuration, err := definer.Build(1, definer.Document{Classes: []definer.ClassDocument{
@@ -33,15 +33,15 @@
 	return counting, clock
 }
 
-func answered(tokens int, met bool, total time.Duration) decider.Record {
+func answeredRecord(tokens int, met bool, total time.Duration) decider.Record {
 	return decider.Record{Class: "desk", Pool: "runners", Organisation: "acme", Complete: true, Met: met, Tokens: tokens, FirstToken: total / 2, BetweenTokens: 20 * time.Millisecond, Total: total}
 }
 
-func refused(reason messenger.RefusalReason, total time.Duration) decider.Record {
+func refusedRecord(reason messenger.RefusalReason, total time.Duration) decider.Record {
 	return decider.Record{Class: "desk", Pool: "runners", Reason: reason, Tokens: 3, Wasted: 7, Retries: 1, Total: total}
 }
 
-func desk(t *testing.T, snapshot recorder.Snapshot) recorder.ClassSnapshot {
+func deskSnapshot(t *testing.T, snapshot recorder.Snapshot) recorder.ClassSnapshot {
 	t.Helper()
 	assert.Equal(t, len(snapshot.Classes), 2)
 	assert.Equal(t, string(snapshot.Classes[0].Class), "desk")
@@ -49,12 +49,12 @@
 }
 
 func TestRecordCounts(t *testing.T) {
-	counting, _ := newRecorder(t)
+	counting, _ := newTestRecorder(t)
 	defer counting.Close()
-	counting.Record(answered(10, true, 100*time.Millisecond))
-	counting.Record(answered(20, false, 300*time.Millisecond))
-	counting.Record(refused(messenger.UpstreamFailed, time.Second))
-	class := desk(t, counting.Snapshot())
+	counting.Record(answeredRecord(10, true, 100*time.Millisecond))
+	counting.Record(answeredRecord(20, false, 300*time.Millisecond))
+	counting.Record(refusedRecord(messenger.UpstreamFailed, time.Second))
+	class := deskSnapshot(t, counting.Snapshot())
 	want := recorder.Counts{Requests: 3, Counted: 3, Met: 1, Complete: 2, Retries: 1, Tokens: 33, UsefulTokens: 30, WastedTokens: 7}
 	assert.Equal(t, class.Total, want)
 	assert.Equal(t, class.Refused[messenger.UpstreamFailed], uint64(1))
@@ -82,20 +82,20 @@
 		{messenger.CallerGone, 300 * time.Millisecond, 1},
 	}
 	for _, test := range cases {
-		counting, _ := newRecorder(t)
-		counting.Record(refused(test.reason, test.total))
-		assert.Equal(t, desk(t, counting.Snapshot()).Total.Counted, test.counted, "%s after %v", test.reason, test.total)
+		counting, _ := newTestRecorder(t)
+		counting.Record(refusedRecord(test.reason, test.total))
+		assert.Equal(t, deskSnapshot(t, counting.Snapshot()).Total.Counted, test.counted, "%s after %v", test.reason, test.total)
 		assert.NilError(t, counting.Close())
 	}
 }
 
 func TestWindowsMoveOn(t *testing.T) {
-	counting, clock := newRecorder(t)
+	counting, clock := newTestRecorder(t)
 	defer counting.Close()
-	counting.Record(answered(10, true, 100*time.Millisecond))
+	counting.Record(answeredRecord(10, true, 100*time.Millisecond))
 	requests := func() []uint64 {
 		var counts []uint64
-		for _, window := range desk(t, counting.Snapshot()).Windows {
+		for _, window := range deskSnapshot(t, counting.Snapshot()).Windows {
 			counts = append(counts, window.Requests)
 		}
 		return counts
@@ -115,15 +115,15 @@
 		clock.time = clock.time.Add(step.passed)
 		assert.DeepEqual(t, requests(), step.want)
 	}
-	class := desk(t, counting.Snapshot())
+	class := deskSnapshot(t, counting.Snapshot())
 	assert.Equal(t, class.Total.Requests, uint64(1))
 	assert.Equal(t, class.Duration.Count, uint64(0))
 }
 
 func TestSnapshotIsCamelCaseJSON(t *testing.T) {
-	counting, _ := newRecorder(t)
+	counting, _ := newTestRecorder(t)
 	defer counting.Close()
-	counting.Record(answered(10, true, 100*time.Millisecond))
+	counting.Record(answeredRecord(10, true, 100*time.Millisecond))
 	counting.Control(recorder.PlatformCall, 1, 200)
 	snapshot := counting.Snapshot()
 	data, err := json.Marshal(snapshot)
@@ -139,9 +139,9 @@
 func TestMergeJoinsDistributions(t *testing.T) {
 	var halves []recorder.Distribution
 	for _, total := range []time.Duration{100 * time.Millisecond, time.Second} {
-		counting, _ := newRecorder(t)
-		counting.Record(answered(1, true, total))
-		halves = append(halves, desk(t, counting.Snapshot()).Duration)
+		counting, _ := newTestRecorder(t)
+		counting.Record(answeredRecord(1, true, total))
+		halves = append(halves, deskSnapshot(t, counting.Snapshot()).Duration)
 		assert.NilError(t, counting.Close())
 	}
 	merged := recorder.Merge(halves...)
@@ -151,11 +151,11 @@
 }
 
 func TestHandlerServesMetrics(t *testing.T) {
-	counting, _ := newRecorder(t)
-	counting.Record(answered(10, true, 100*time.Millisecond))
-	counting.Record(refused(messenger.QueueFull, 0))
+	counting, _ := newTestRecorder(t)
+	counting.Record(answeredRecord(10, true, 100*time.Millisecond))
+	counting.Record(refusedRecord(messenger.QueueFull, 0))
 	counting.Control(recorder.MessageSent, 2, 64)
-	// Closing passes on what has been counted.
+	// Close flushes the counts to the metrics.
 	assert.NilError(t, counting.Close())
 	response := httptest.NewRecorder()
 	counting.Handler().ServeHTTP(response, httptest.NewRequest("GET", "/metrics", nil))
--- a/recorder/snapshot.go
+++ b/recorder/snapshot.go
@@ -7,40 +7,41 @@
 	"limpetcleat/messenger"
 )
 
-// The types in this file are what a node tells operators. Their fields are
-// exported because the JSON codec needs it.
+// The types in this file make up the JSON that a node returns to operators. Their fields
+// are exported because encoding/json requires it.
 
-// Snapshot is what one node has counted.
+// Snapshot is a copy of the counts of one node.
 type Snapshot struct {
 	Node    definer.VM `json:"node"`
 	TakenAt time.Time  `json:"takenAt"`
-	// Since is when the node began to count.
+	// Since is the time at which the node began to count.
 	Since time.Time `json:"since"`
 	// Classes are sorted by name.
 	Classes []ClassSnapshot `json:"classes"`
-	// Control is the traffic of the system's own, by kind.
+	// Control holds the counts of the node's control traffic by kind.
 	Control map[ControlKind]ControlCounts `json:"control"`
 }
 
-// Counts are sums over ended requests.
+// Counts holds sums over requests that were completed or refused.
 type Counts struct {
 	Requests uint64 `json:"requests"`
-	// Counted are those that the targets hold for: all but those that their
-	// caller or organisation kept from being served.
+	// Counted is the number of requests that count towards the class's targets: all
+	// except those that were not served because of their caller or organisation.
 	Counted uint64 `json:"counted"`
-	// Met are those of Counted that met their class's targets.
+	// Met is the number of requests in Counted that met their class's targets.
 	Met uint64 `json:"met"`
-	// Complete are those whose caller got the whole answer.
+	// Complete is the number of requests whose caller received the whole answer.
 	Complete uint64 `json:"complete"`
 	Retries  uint64 `json:"retries"`
-	// Tokens were delivered; UsefulTokens belong to whole answers.
+	// Tokens is the number of tokens delivered; UsefulTokens is the part of them that
+	// belongs to whole answers.
 	Tokens       uint64 `json:"tokens"`
 	UsefulTokens uint64 `json:"usefulTokens"`
-	// WastedTokens were computed and discarded.
+	// WastedTokens is the number of tokens that were computed and discarded.
 	WastedTokens uint64 `json:"wastedTokens"`
 }
 
-// add adds other counts to these.
+// add adds other to counts in place.
 func (counts *Counts) add(other Counts) {
 	counts.Requests += other.Requests
 	counts.Counted += other.Counted
@@ -52,55 +53,56 @@
 	counts.WastedTokens += other.WastedTokens
 }
 
-// Plus returns the sum of two counts.
+// Plus returns the sum of counts and other.
 func (counts Counts) Plus(other Counts) Counts {
 	counts.add(other)
 	return counts
 }
 
-// ClassSnapshot is what one node has counted of one class.
+// ClassSnapshot is a copy of one node's counts of one class.
 type ClassSnapshot struct {
 	Class definer.ClassName `json:"class"`
 	// Total holds the counts since the node began to count.
 	Total Counts `json:"total"`
-	// Refused counts the requests without a whole answer, by reason.
+	// Refused is the number of requests without a whole answer, by reason.
 	Refused map[messenger.RefusalReason]uint64 `json:"refused"`
 	// Windows are ordered by length, the shortest first.
 	Windows []WindowSnapshot `json:"windows"`
-	// The three distributions are of about the last hour.
+	// The distributions cover about the last hour.
 	FirstToken    Distribution `json:"firstToken"`
 	BetweenTokens Distribution `json:"betweenTokens"`
 	Duration      Distribution `json:"duration"`
 }
 
-// WindowSnapshot is what was counted within the last while.
+// WindowSnapshot holds the counts of one sliding window.
 type WindowSnapshot struct {
 	// Seconds is the length of the window.
 	Seconds int `json:"seconds"`
 	Counts
 }
 
-// Distribution tells how durations of complete requests are spread.
+// Distribution is the distribution of a duration over complete requests.
 type Distribution struct {
 	Count uint64 `json:"count"`
-	// The quantiles are in milliseconds, within a hundredth.
+	// The quantiles are in milliseconds, accurate to within a hundredth of their value.
 	P50Ms float64 `json:"p50Ms"`
 	P90Ms float64 `json:"p90Ms"`
 	P95Ms float64 `json:"p95Ms"`
 	P99Ms float64 `json:"p99Ms"`
 	MaxMs float64 `json:"maxMs"`
-	// Bars let the distributions of several nodes be merged.
+	// Bars is the histogram itself, which Merge needs to join several distributions.
 	Bars []Bar `json:"bars,omitempty"`
 }
 
-// Bar is a number of durations that are equal within a hundredth.
+// Bar is one bucket of a histogram: durations that are equal to within a hundredth.
 type Bar struct {
-	// Units are of histogramUnit, 100 microseconds.
+	// Units is the bucket's lower bound in units of histogramUnit, 100 microseconds.
 	Units int64 `json:"units"`
 	Count int64 `json:"count"`
 }
 
-// ControlKind names a kind of the system's own traffic.
+// ControlKind is a kind of control traffic: messages between nodes and calls of the
+// platform.
 type ControlKind string
 
 const (
@@ -108,11 +110,11 @@
 	MessageSent ControlKind = "messageSent"
 	// MessageReceived is a message from a peer.
 	MessageReceived ControlKind = "messageReceived"
-	// PlatformCall is a call of the platform, a waiting watch counted as one.
+	// PlatformCall is a call of the platform; a watch that waits counts as one call.
 	PlatformCall ControlKind = "platformCall"
 )
 
-// ControlCounts are the sums of one kind.
+// ControlCounts holds the number and total size of the messages or calls of one kind.
 type ControlCounts struct {
 	Count uint64 `json:"count"`
 	Bytes uint64 `json:"bytes"`
--- a/recorder/tally.go
+++ b/recorder/tally.go
@@ -8,7 +8,7 @@
 	"limpetcleat/meter"
 )
 
-// The names of the metrics, which all begin with the prefix.
+// Names of the metrics. The exported names have the prefix of package meter.
 const (
 	requestsMetric      = "requests_total"
 	retriesMetric       = "retries_total"
@@ -21,21 +21,22 @@
 	controlBytesMetric  = "control_bytes_total"
 )
 
-// The values of the label "result" of requestsMetric.
+// Values of the label "result" of requestsMetric for complete requests.
 const (
 	metResult  = "met"
 	lateResult = "late"
 )
 
-// metrics passes counts on to tally. Labels are classes and pools, whose
-// number the operators choose; never organisations, which are too many.
+// metrics records counts as tally metrics. Requests are labelled by class and pool, whose
+// number the operators choose, and never by organisation, since there are too many of
+// them.
 type metrics struct {
 	scope *meter.Scope
-	// scopes holds those made so far by their labels.
+	// scopes caches the tally scope of each combination of labels.
 	scopes map[labels]tally.Scope
 }
 
-// labels are those of a request's metrics.
+// labels holds the labels that all metrics of a request share.
 type labels struct {
 	class definer.ClassName
 	pool  definer.PoolName
@@ -55,8 +56,8 @@
 	}
 }
 
-// of returns the scope for a class and a pool.
-func (metrics *metrics) of(labels labels) tally.Scope {
+// scopeOf returns the tally scope of a class and a pool and creates it if needed.
+func (metrics *metrics) scopeOf(labels labels) tally.Scope {
 	scope, ok := metrics.scopes[labels]
 	if !ok {
 		scope = metrics.scope.Tagged(map[string]string{"class": string(labels.class), "pool": string(labels.pool)})
@@ -66,8 +67,8 @@
 }
 
 func (metrics *metrics) record(record decider.Record) {
-	scope := metrics.of(labels{class: record.Class, pool: record.Pool})
-	scope.Tagged(map[string]string{"result": result(record)}).Counter(requestsMetric).Inc(1)
+	scope := metrics.scopeOf(labels{class: record.Class, pool: record.Pool})
+	scope.Tagged(map[string]string{"result": resultLabel(record)}).Counter(requestsMetric).Inc(1)
 	scope.Counter(retriesMetric).Inc(int64(record.Retries))
 	scope.Counter(tokensMetric).Inc(int64(record.Tokens))
 	scope.Counter(wastedMetric).Inc(int64(record.Wasted))
@@ -83,8 +84,9 @@
 	}
 }
 
-// result returns the label that tells how a request ended.
-func result(record decider.Record) string {
+// resultLabel returns the value of the label "result" of a request: met, late or the
+// reason of the refusal.
+func resultLabel(record decider.Record) string {
 	switch {
 	case record.Met:
 		return metResult
