--- a/reporter/burn.go
+++ b/reporter/burn.go
@@ -7,29 +7,30 @@
 	"limpetcleat/recorder"
 )
 
-// State tells whether someone has to act on a class.
+// State is the alert state of a class: whether operators have to act, and how soon.
 type State string
 
 const (
-	// Fine asks for nothing.
+	// Fine means that nobody has to act.
 	Fine State = "ok"
-	// Ticket asks for a look in working hours.
+	// Ticket means that someone has to look at the class in working hours.
 	Ticket State = "ticket"
-	// Page asks for someone at once.
+	// Page means that someone has to act at once.
 	Page State = "page"
 )
 
-// alert is a pair of windows; it fires while both burn at least at the rate.
-// The long one shows that it matters, the short one that it still goes on.
+// alert is a burn-rate alert over two windows. It fires while the burn rate of both is at
+// least rate: the long window shows that the loss is significant, the short one that it
+// is still going on.
 type alert struct {
 	state       State
 	long, short time.Duration
 	rate        float64
 }
 
-// alerts returns the pairs of the SRE workbook (chapter 5, Alerting on SLOs)
-// for a budget of 30 days, the most urgent first: 2% of the budget in an hour,
-// 5% in six hours, 10% in three days.
+// alerts returns the multi-window, multi-burn-rate alerts of the SRE workbook (chapter 5,
+// Alerting on SLOs) for an error budget of 30 days, the most urgent first: 2% of the
+// budget in an hour, 5% in six hours, 10% in three days.
 func alerts() []alert {
 	return []alert{
 		{state: Page, long: time.Hour, short: 5 * time.Minute, rate: 14.4},
@@ -38,18 +39,19 @@
 	}
 }
 
-// highestShare bounds an alert's rate to this share of the highest rate that
-// is possible, so that a class with a low target pages too when all fails.
-const highestShare = 0.8
+// maxRateShare limits the rate of an alert to this share of the highest possible burn
+// rate. Without the limit, a class with a low target could never reach the rate of an
+// alert that pages, even if all of its requests failed.
+const maxRateShare = 0.8
 
-// judge returns the state of a class from its windows.
-func judge(report *ClassReport) State {
+// stateOf returns the state of a class, computed from the burn rates of its windows.
+func stateOf(report *ClassReport) State {
 	rates := make(map[int]float64)
 	for _, window := range report.Windows {
 		rates[window.Seconds] = window.BurnRate
 	}
 	for _, alert := range alerts() {
-		rate := min(alert.rate, highestShare/(1-report.Target))
+		rate := min(alert.rate, maxRateShare/(1-report.Target))
 		if rates[int(alert.long/time.Second)] >= rate && rates[int(alert.short/time.Second)] >= rate {
 			return alert.state
 		}
@@ -57,7 +59,8 @@
 	return Fine
 }
 
-// attainment returns the share that met the targets, or nil of nothing.
+// attainment returns the share of the counted requests that met the targets, or nil if
+// none were counted.
 func attainment(counts recorder.Counts) *float64 {
 	if counts.Counted == 0 {
 		return nil
@@ -66,8 +69,8 @@
 	return &share
 }
 
-// burnRate returns the share of misses over the share that is allowed; 0 when
-// nothing was counted.
+// burnRate returns the share of counted requests that missed the targets, divided by the
+// share that may miss them. It is 0 if no requests were counted.
 func burnRate(counts recorder.Counts, target float64) float64 {
 	share := attainment(counts)
 	if share == nil {
@@ -76,7 +79,7 @@
 	return (1 - *share) / (1 - target)
 }
 
-// wastedShare returns the discarded tokens over all that were computed.
+// wastedShare returns the wasted tokens as a share of the useful and wasted tokens.
 func wastedShare(counts recorder.Counts) float64 {
 	computed := counts.UsefulTokens + counts.WastedTokens
 	if computed == 0 {
@@ -85,7 +88,8 @@
 	return float64(counts.WastedTokens) / float64(computed)
 }
 
-// windowName returns a length in its largest whole unit.
+// windowName returns a length in the largest of the units day, hour and minute that
+// divides it.
 func windowName(length time.Duration) string {
 	const day = 24 * time.Hour
 	switch {
--- a/reporter/failure.go
+++ b/reporter/failure.go
@@ -6,13 +6,13 @@
 type Kind string
 
 const (
-	// Unplottable marks numbers that could not be drawn.
+	// Unplottable means that a plot could not be drawn.
 	Unplottable Kind = "unplottable"
-	// Unwritable marks a page that could not be written.
+	// Unwritable means that the text or HTML report could not be written.
 	Unwritable Kind = "unwritable"
 )
 
-// Error is the one error type of this package.
+// Error is the type of the errors that this package creates.
 type Error = failer.Error[Kind]
 
 func fail(operation string, kind Kind, format string, values ...any) *Error {
--- a/reporter/merger.go
+++ b/reporter/merger.go
@@ -7,14 +7,14 @@
 	"limpetcleat/recorder"
 )
 
-// merger adds up what the nodes have counted of one class.
+// merger sums the counts that the nodes hold of one class.
 type merger struct {
 	total   recorder.Counts
 	refused map[messenger.RefusalReason]uint64
-	// windows holds the sums by length in seconds.
+	// windows holds the sums of each window by its length in seconds.
 	windows map[int]recorder.Counts
 	goodput Goodput
-	// The distributions are one for each node.
+	// The slices hold one distribution for each node.
 	firstToken    []recorder.Distribution
 	betweenTokens []recorder.Distribution
 	duration      []recorder.Distribution
@@ -24,7 +24,7 @@
 	return &merger{refused: make(map[messenger.RefusalReason]uint64), windows: make(map[int]recorder.Counts)}
 }
 
-// add adds what one node has counted in the time that it is up.
+// add adds the counts of a node that has been counting for the duration up.
 func (merger *merger) add(counted recorder.ClassSnapshot, up time.Duration) {
 	merger.total = merger.total.Plus(counted.Total)
 	for reason, count := range counted.Refused {
@@ -41,7 +41,8 @@
 	merger.duration = append(merger.duration, counted.Duration)
 }
 
-// addGoodput adds the rates of one node over the time it has counted.
+// addGoodput adds the goodput of one node, whose counts were collected within the
+// duration over.
 func (merger *merger) addGoodput(counts recorder.Counts, over time.Duration) {
 	if over <= 0 {
 		return
@@ -50,14 +51,14 @@
 	merger.goodput.TokensPerSecond += float64(counts.UsefulTokens) / over.Seconds()
 }
 
-// fill writes the sums and what follows from them into a report.
+// fill writes the sums, and the rates and the state computed from them, into a report.
 func (merger *merger) fill(report *ClassReport) {
 	report.Total = merger.total
 	report.Refused = merger.refused
 	report.Goodput = merger.goodput
-	report.FirstToken = merge(merger.firstToken)
-	report.BetweenTokens = merge(merger.betweenTokens)
-	report.Duration = merge(merger.duration)
+	report.FirstToken = mergeWithoutBars(merger.firstToken)
+	report.BetweenTokens = mergeWithoutBars(merger.betweenTokens)
+	report.Duration = mergeWithoutBars(merger.duration)
 	for _, length := range recorder.Windows() {
 		counts := merger.windows[int(length/time.Second)]
 		report.Windows = append(report.Windows, WindowReport{
@@ -74,12 +75,12 @@
 	longest := report.Windows[len(report.Windows)-1]
 	report.Attainment = longest.Attainment
 	report.BudgetLeft = 1 - longest.BurnRate
-	report.State = judge(report)
+	report.State = stateOf(report)
 }
 
-// merge joins the nodes' distributions and drops the bars, which only merging
-// needs.
-func merge(distributions []recorder.Distribution) recorder.Distribution {
+// mergeWithoutBars merges the distributions of the nodes and drops the bars, which only
+// merging needs.
+func mergeWithoutBars(distributions []recorder.Distribution) recorder.Distribution {
 	merged := recorder.Merge(distributions...)
 	merged.Bars = nil
 	return merged
--- a/reporter/page.go
+++ b/reporter/page.go
@@ -10,9 +10,9 @@
 	"limpetcleat/messenger"
 )
 
-// pageText is the template of the page. All values go through the escaping of
-// html/template but for the plots, which the plot library has escaped.
-const pageText = `<!DOCTYPE html>
+// pageTemplate is the template of the HTML report. html/template escapes all values
+// except the plots, whose texts the plot library escapes.
+const pageTemplate = `<!DOCTYPE html>
 <html lang="en">
 <head>
 <meta charset="utf-8"/>
@@ -44,25 +44,25 @@
 </html>
 `
 
-// page is what the template shows.
-type page struct {
+// pageData is the data of pageTemplate.
+type pageData struct {
 	Heading string
 	Windows []string
 	Classes []ClassReport
 	Plots   []template.HTML
 }
 
-// WriteHTML writes the report as a page with plots that needs no other file.
+// WriteHTML writes the report as a self-contained HTML page with plots.
 func (report Report) WriteHTML(writer io.Writer) error {
 	functions := template.FuncMap{
-		"percent":  percent,
-		"share":    share,
-		"latency":  latency,
-		"budget":   ClassReport.budget,
-		"rates":    ClassReport.rates,
-		"refusals": ClassReport.refusals,
+		"percent":  percentText,
+		"share":    attainmentText,
+		"latency":  latencyText,
+		"budget":   ClassReport.budgetText,
+		"rates":    ClassReport.burnRateTexts,
+		"refusals": ClassReport.refusalText,
 	}
-	parsed, err := template.New("page").Funcs(functions).Parse(pageText)
+	parsed, err := template.New("page").Funcs(functions).Parse(pageTemplate)
 	if err != nil {
 		return fail("page", Unwritable, "%w", err)
 	}
@@ -70,9 +70,9 @@
 	if err != nil {
 		return err
 	}
-	page := page{Heading: report.heading(), Windows: windowNames(report), Classes: report.Classes}
+	page := pageData{Heading: report.heading(), Windows: windowNames(report), Classes: report.Classes}
 	for _, plot := range plots {
-		// The plot library escapes the texts of a plot.
+		// This conversion is safe: the plot library escapes the texts of a plot.
 		page.Plots = append(page.Plots, template.HTML(plot)) // #nosec G203
 	}
 	if err := parsed.Execute(writer, page); err != nil {
@@ -81,7 +81,8 @@
 	return nil
 }
 
-// sortedReasons returns the reasons, the most frequent first, then by name.
+// sortedReasons returns the reasons in descending order of frequency, and by name where
+// the frequency is equal.
 func sortedReasons(refused map[messenger.RefusalReason]uint64) []messenger.RefusalReason {
 	return slices.SortedFunc(maps.Keys(refused), func(a, b messenger.RefusalReason) int {
 		return cmp.Or(cmp.Compare(refused[b], refused[a]), cmp.Compare(a, b))
--- a/reporter/plotter.go
+++ b/reporter/plotter.go
@@ -16,22 +16,24 @@
 	plotHeight = 3 * vg.Inch
 	plotWidth  = 8 * vg.Inch
 	barWidth   = 16
-	// legendShare is the room to the right of the bars, as a share of theirs.
+	// legendShare is the width of the space for the legend to the right of the bars, as
+	// a share of the width of the bars.
 	legendShare = 0.12
 )
 
-// plots returns the plots of a report as SVG elements; none without classes.
+// plots returns the plots of a report as SVG elements. A report without classes has no
+// plots.
 func (report Report) plots() ([]string, error) {
 	if len(report.Classes) == 0 {
 		return nil, nil
 	}
 	var drawn []string
-	for _, draw := range []func() (*plot.Plot, error){report.attainmentPlot, report.burnPlot, report.workPlot} {
+	for _, draw := range []func() (*plot.Plot, error){report.attainmentPlot, report.burnPlot, report.tokenPlot} {
 		plot, err := draw()
 		if err != nil {
 			return nil, fail("plot", Unplottable, "%w", err)
 		}
-		svg, err := render(plot)
+		svg, err := renderSVG(plot)
 		if err != nil {
 			return nil, fail("plot", Unplottable, "%w", err)
 		}
@@ -40,8 +42,8 @@
 	return drawn, nil
 }
 
-// render returns a plot as one SVG element, to stand within a page.
-func render(plot *plot.Plot) (string, error) {
+// renderSVG returns a plot as one SVG element that can be embedded in an HTML page.
+func renderSVG(plot *plot.Plot) (string, error) {
 	canvas := vgsvg.New(plotWidth, plotHeight)
 	plot.Draw(draw.New(canvas))
 	var buffer bytes.Buffer
@@ -69,14 +71,14 @@
 	return plot
 }
 
-// series is one row of bars, a value for each class.
-type series struct {
+// barSeries is a series of a bar chart, with one value for each class.
+type barSeries struct {
 	name  string
 	value func(ClassReport) float64
 }
 
-// addBars draws the series side by side.
-func (report Report) addBars(plot *plot.Plot, rows ...series) error {
+// addBars adds the series to a plot as grouped bars, next to each other for each class.
+func (report Report) addBars(plot *plot.Plot, rows ...barSeries) error {
 	for index, row := range rows {
 		var values plotter.Values
 		for _, class := range report.Classes {
@@ -95,38 +97,38 @@
 	return nil
 }
 
-// attainmentPlot compares attainment with target.
+// attainmentPlot shows the attainment and the target of each class.
 func (report Report) attainmentPlot() (*plot.Plot, error) {
 	plot := report.newPlot("Attainment in the longest window", "% of requests")
 	plot.Y.Min, plot.Y.Max = 0, 100
 	return plot, report.addBars(plot,
-		series{"attained", func(class ClassReport) float64 {
+		barSeries{"attained", func(class ClassReport) float64 {
 			if class.Attainment == nil {
 				return 0
 			}
 			return 100 * *class.Attainment
 		}},
-		series{"target", func(class ClassReport) float64 { return 100 * class.Target }},
+		barSeries{"target", func(class ClassReport) float64 { return 100 * class.Target }},
 	)
 }
 
-// burnPlot shows the burn rate of each window.
+// burnPlot shows the burn rate of each class in each window.
 func (report Report) burnPlot() (*plot.Plot, error) {
 	plot := report.newPlot("Burn rate (1 uses up the budget just in time)", "burn rate")
 	plot.Y.Min = 0
-	var rows []series
+	var rows []barSeries
 	for index, window := range report.Classes[0].Windows {
-		rows = append(rows, series{window.Name, func(class ClassReport) float64 { return class.Windows[index].BurnRate }})
+		rows = append(rows, barSeries{window.Name, func(class ClassReport) float64 { return class.Windows[index].BurnRate }})
 	}
 	return plot, report.addBars(plot, rows...)
 }
 
-// workPlot compares useful and wasted tokens.
-func (report Report) workPlot() (*plot.Plot, error) {
+// tokenPlot shows the useful and the wasted tokens of each class.
+func (report Report) tokenPlot() (*plot.Plot, error) {
 	plot := report.newPlot("Work since the nodes began to count", "tokens")
 	plot.Y.Min = 0
 	return plot, report.addBars(plot,
-		series{"useful", func(class ClassReport) float64 { return float64(class.Total.UsefulTokens) }},
-		series{"wasted", func(class ClassReport) float64 { return float64(class.Total.WastedTokens) }},
+		barSeries{"useful", func(class ClassReport) float64 { return float64(class.Total.UsefulTokens) }},
+		barSeries{"wasted", func(class ClassReport) float64 { return float64(class.Total.WastedTokens) }},
 	)
 }
--- a/reporter/reporter.go
+++ b/reporter/reporter.go
@@ -1,5 +1,6 @@
-// Package reporter makes the burn report: how each class stands against its
-// target, how fast its error budget goes, and how much work was wasted.
+// Package reporter builds the error-budget burn report from the snapshots of all nodes:
+// for each class the attainment of its service-level target, the burn rates of its error
+// budget, goodput and wasted work. Reports are written as text, JSON or HTML.
 package reporter
 
 import (
@@ -11,24 +12,24 @@
 	"limpetcleat/recorder"
 )
 
-// goodputWindow is the window over which goodput and waste are taken.
+// goodputWindow is the window over which goodput and the wasted share are computed.
 const goodputWindow = time.Hour
 
-// The types in this file are what operators read. Their fields are exported
-// because the JSON codec and the page's template need it.
+// The types in this file make up the report. Their fields are exported because
+// encoding/json and the HTML template require it.
 
 // Report is the burn report of the whole system.
 type Report struct {
 	// TakenAt is the time of the latest snapshot.
 	TakenAt time.Time `json:"takenAt"`
-	// Since is the earliest start of a node's counts. Nodes keep nothing when
-	// they are replaced, so the long windows may hold less than their length.
+	// Since is the earliest time at which a node began to count. A node that is replaced
+	// loses its counts, so the long windows may cover less time than their length.
 	Since time.Time `json:"since"`
-	// Nodes are those whose counts are in the report, sorted.
+	// Nodes lists the nodes whose counts are in the report, sorted by name.
 	Nodes []definer.VM `json:"nodes"`
-	// Missing are those that could not be asked, sorted.
+	// Missing lists the nodes that could not be queried, sorted.
 	Missing []definer.VM `json:"missing,omitempty"`
-	// Classes are in the order of their tiers.
+	// Classes are in the order in which they were passed to Build: that of their tiers.
 	Classes []ClassReport                                   `json:"classes"`
 	Control map[recorder.ControlKind]recorder.ControlCounts `json:"control"`
 }
@@ -38,23 +39,24 @@
 	Class     definer.ClassName `json:"class"`
 	Tier      int               `json:"tier"`
 	Protected bool              `json:"protected"`
-	// Target is the share of requests that must meet the targets below.
+	// Target is the share of counted requests that must meet all of Targets.
 	Target  float64 `json:"target"`
 	Targets Targets `json:"targets"`
-	// Attainment is the share that did, in the longest window; it is absent
-	// while there is no request to tell it from.
+	// Attainment is the share of counted requests that met Targets in the longest
+	// window; nil if no requests were counted.
 	Attainment *float64 `json:"attainment,omitempty"`
-	// BudgetLeft is the share of the error budget of the longest window that
-	// is left; below zero it is overdrawn.
+	// BudgetLeft is the share of the error budget of the longest window that is left. It
+	// is negative if the budget is exceeded.
 	BudgetLeft float64 `json:"budgetLeft"`
 	State      State   `json:"state"`
 	// Windows are ordered by length, the shortest first.
 	Windows []WindowReport `json:"windows"`
-	// Goodput and Waste are those of the last hour.
+	// Goodput covers the last hour.
 	Goodput Goodput `json:"goodput"`
-	// WastedShare is the share of tokens that were computed and discarded.
+	// WastedShare is the share of wasted tokens in the useful and wasted tokens of the
+	// last hour.
 	WastedShare float64 `json:"wastedShare"`
-	// Total holds the counts since the nodes began to count.
+	// Total holds the counts since each node began to count.
 	Total         recorder.Counts                    `json:"total"`
 	Refused       map[messenger.RefusalReason]uint64 `json:"refused"`
 	FirstToken    recorder.Distribution              `json:"firstToken"`
@@ -62,53 +64,57 @@
 	Duration      recorder.Distribution              `json:"duration"`
 }
 
-// Targets are the latency targets of a class, in milliseconds; 0 is none.
+// Targets holds the latency targets of a class in milliseconds; 0 means no target.
 type Targets struct {
 	FirstTokenMs    int64 `json:"firstTokenMs,omitempty"`
 	BetweenTokensMs int64 `json:"betweenTokensMs,omitempty"`
 	TotalMs         int64 `json:"totalMs,omitempty"`
 }
 
-// WindowReport tells of the last while of one class.
+// WindowReport holds the attainment, burn rate and counts of one class in one sliding
+// window.
 type WindowReport struct {
-	// Name is the length, such as "5m".
+	// Name is the length of the window, for example "5m".
 	Name    string `json:"name"`
 	Seconds int    `json:"seconds"`
-	// Attainment is absent while there is no request to tell it from.
+	// Attainment is the share of counted requests that met the targets; nil if no
+	// requests were counted.
 	Attainment *float64 `json:"attainment,omitempty"`
-	// BurnRate is 1 when the error budget goes exactly as fast as it may.
+	// BurnRate is the speed at which the error budget is used up; at 1 the budget lasts
+	// exactly for its period.
 	BurnRate float64 `json:"burnRate"`
 	recorder.Counts
 }
 
-// Goodput is completed useful work a second.
+// Goodput is the rate of complete requests and of their tokens.
 type Goodput struct {
 	RequestsPerSecond float64 `json:"requestsPerSecond"`
 	TokensPerSecond   float64 `json:"tokensPerSecond"`
 }
 
-// Build merges the snapshots of nodes into the report of the classes.
+// Build merges the snapshots of the nodes into a report on the given classes, in the
+// given order.
 func Build(snapshots []recorder.Snapshot, classes ...*definer.Class) Report {
 	report := Report{Control: make(map[recorder.ControlKind]recorder.ControlCounts)}
 	for _, snapshot := range snapshots {
-		report.take(snapshot)
+		report.addNode(snapshot)
 	}
 	slices.Sort(report.Nodes)
 	for _, class := range classes {
-		report.Classes = append(report.Classes, build(class, snapshots))
+		report.Classes = append(report.Classes, newClassReport(class, snapshots))
 	}
 	return report
 }
 
-// WithMissing returns the report with the names of nodes that could not be
-// asked.
+// WithMissing returns a copy of the report whose Missing lists the nodes that could not
+// be queried.
 func (report Report) WithMissing(nodes ...definer.VM) Report {
 	report.Missing = slices.Sorted(slices.Values(nodes))
 	return report
 }
 
-// take adds what concerns no single class.
-func (report *Report) take(snapshot recorder.Snapshot) {
+// addNode adds the parts of a node's snapshot that belong to no single class.
+func (report *Report) addNode(snapshot recorder.Snapshot) {
 	report.Nodes = append(report.Nodes, snapshot.Node)
 	if snapshot.TakenAt.After(report.TakenAt) {
 		report.TakenAt = snapshot.TakenAt
@@ -124,8 +130,8 @@
 	}
 }
 
-// build returns the report of one class.
-func build(class *definer.Class, snapshots []recorder.Snapshot) ClassReport {
+// newClassReport returns the report of one class.
+func newClassReport(class *definer.Class, snapshots []recorder.Snapshot) ClassReport {
 	report := ClassReport{
 		Class:     class.Name(),
 		Tier:      class.Tier(),
--- a/reporter/reporter_test.go
+++ b/reporter/reporter_test.go
@@ -19,7 +19,7 @@
 	"limpetcleat/reporter"
 )
 
-func classes(t *testing.T, name string, target float64) []*definer.Class {
+func buildClasses(t *testing.T, name string, target float64) []*definer.Class {
 	t.Helper()
 	configuration, err := definer.Build(1, definer.Document{Classes: []definer.ClassDocument{
 		{Name: name, Attainment: target, LongestWaitMs: 1000, FirstTokenMs: 300, Protected: true},
@@ -29,9 +29,9 @@
 	return configuration.Classes()
 }
 
-// snapshot returns that of a node up for an hour, with requests, of which some
-// missed, in each window.
-func snapshot(node, class string, requests, missed [5]uint64) recorder.Snapshot {
+// nodeSnapshot returns the snapshot of a node that has counted for an hour. requests and
+// missed hold the requests of each window and those of them that missed their targets.
+func nodeSnapshot(node, class string, requests, missed [5]uint64) recorder.Snapshot {
 	taken := time.Date(2026, 1, 2, 12, 0, 0, 0, time.UTC)
 	counted := recorder.ClassSnapshot{
 		Class:      definer.ClassName(class),
@@ -48,38 +48,39 @@
 	return recorder.Snapshot{Node: definer.VM(node), TakenAt: taken, Since: taken.Add(-time.Hour), Classes: []recorder.ClassSnapshot{counted}, Control: control}
 }
 
-func near(t *testing.T, got, want float64) {
+func assertNear(t *testing.T, got, want float64) {
 	t.Helper()
 	assert.Assert(t, math.Abs(got-want) < 1e-9, "%v is not %v", got, want)
 }
 
 func TestBuildMergesNodes(t *testing.T) {
 	report := reporter.Build([]recorder.Snapshot{
-		snapshot("entry-2", "desk", [5]uint64{10, 20, 3600, 3600, 3600}, [5]uint64{0, 0, 36, 36, 36}),
-		snapshot("entry-1", "desk", [5]uint64{10, 20, 3600, 3600, 3600}, [5]uint64{1, 0, 0, 0, 0}),
-	}, classes(t, "desk", 0.99)...)
+		nodeSnapshot("entry-2", "desk", [5]uint64{10, 20, 3600, 3600, 3600}, [5]uint64{0, 0, 36, 36, 36}),
+		nodeSnapshot("entry-1", "desk", [5]uint64{10, 20, 3600, 3600, 3600}, [5]uint64{1, 0, 0, 0, 0}),
+	}, buildClasses(t, "desk", 0.99)...)
 	assert.DeepEqual(t, report.Nodes, []definer.VM{"entry-1", "entry-2"})
 	assert.Equal(t, report.Control[recorder.MessageSent].Bytes, uint64(100))
 	class := report.Classes[0]
-	near(t, *class.Attainment, 0.995)
-	near(t, class.BudgetLeft, 0.5)
-	near(t, class.Windows[0].BurnRate, 5)
-	near(t, class.Windows[1].BurnRate, 0)
-	near(t, class.Windows[4].BurnRate, 0.5)
-	near(t, class.Goodput.RequestsPerSecond, 7164.0/3600)
-	near(t, class.Goodput.TokensPerSecond, 9*7164.0/3600)
-	near(t, class.WastedShare, 0.1)
+	assertNear(t, *class.Attainment, 0.995)
+	assertNear(t, class.BudgetLeft, 0.5)
+	assertNear(t, class.Windows[0].BurnRate, 5)
+	assertNear(t, class.Windows[1].BurnRate, 0)
+	assertNear(t, class.Windows[4].BurnRate, 0.5)
+	assertNear(t, class.Goodput.RequestsPerSecond, 7164.0/3600)
+	assertNear(t, class.Goodput.TokensPerSecond, 9*7164.0/3600)
+	assertNear(t, class.WastedShare, 0.1)
 	assert.Equal(t, class.FirstToken.Count, uint64(20))
 	assert.Equal(t, class.Refused[messenger.Shed], uint64(2))
 	assert.Assert(t, report.Classes[1].Attainment == nil)
-	near(t, report.Classes[1].BudgetLeft, 1)
+	assertNear(t, report.Classes[1].BudgetLeft, 1)
 }
 
 func TestStateTakesBothWindows(t *testing.T) {
 	cases := []struct {
 		name   string
 		target float64
-		// missed of 1000 in each of 5m, 30m, 1h, 6h and 3d.
+		// missed is the number of missed requests of 1000 in each of the windows 5m, 30m,
+		// 1h, 6h and 3d.
 		missed [5]uint64
 		want   reporter.State
 	}{
@@ -95,7 +96,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			requests := [5]uint64{1000, 1000, 1000, 1000, 1000}
-			report := reporter.Build([]recorder.Snapshot{snapshot("entry-1", "desk", requests, test.missed)}, classes(t, "desk", test.target)...)
+			report := reporter.Build([]recorder.Snapshot{nodeSnapshot("entry-1", "desk", requests, test.missed)}, buildClasses(t, "desk", test.target)...)
 			assert.Equal(t, report.Classes[0].State, test.want)
 		})
 	}
@@ -103,8 +104,8 @@
 
 func TestWriteText(t *testing.T) {
 	report := reporter.Build([]recorder.Snapshot{
-		snapshot("entry-1", "desk", [5]uint64{1000, 1000, 1000, 1000, 1000}, [5]uint64{200, 0, 200, 0, 5}),
-	}, classes(t, "desk", 0.99)...).WithMissing("entry-9", "entry-8")
+		nodeSnapshot("entry-1", "desk", [5]uint64{1000, 1000, 1000, 1000, 1000}, [5]uint64{200, 0, 200, 0, 5}),
+	}, buildClasses(t, "desk", 0.99)...).WithMissing("entry-9", "entry-8")
 	var output bytes.Buffer
 	assert.NilError(t, report.WriteText(&output))
 	for _, part := range []string{
@@ -120,7 +121,7 @@
 }
 
 func TestWriteJSON(t *testing.T) {
-	report := reporter.Build([]recorder.Snapshot{snapshot("entry-1", "desk", [5]uint64{1, 1, 1, 1, 1}, [5]uint64{})}, classes(t, "desk", 0.99)...)
+	report := reporter.Build([]recorder.Snapshot{nodeSnapshot("entry-1", "desk", [5]uint64{1, 1, 1, 1, 1}, [5]uint64{})}, buildClasses(t, "desk", 0.99)...)
 	var output bytes.Buffer
 	assert.NilError(t, report.WriteJSON(&output))
 	var back reporter.Report
@@ -137,8 +138,8 @@
 		classes   []*definer.Class
 		plots     int
 	}{
-		{"with counts", []recorder.Snapshot{snapshot(name, name, [5]uint64{9, 9, 9, 9, 9}, [5]uint64{1, 1, 1, 1, 1})}, classes(t, name, 0.99), 3},
-		{"before the first request", nil, classes(t, "desk", 0.99), 3},
+		{"with counts", []recorder.Snapshot{nodeSnapshot(name, name, [5]uint64{9, 9, 9, 9, 9}, [5]uint64{1, 1, 1, 1, 1})}, buildClasses(t, name, 0.99), 3},
+		{"before the first request", nil, buildClasses(t, "desk", 0.99), 3},
 		{"without classes", nil, nil, 0},
 	}
 	for _, test := range cases {
--- a/reporter/text.go
+++ b/reporter/text.go
@@ -12,7 +12,7 @@
 	"limpetcleat/definer"
 )
 
-// noValue stands for a number that cannot be told yet.
+// noValue is printed in place of a number that is not known yet.
 const noValue = "-"
 
 // WriteJSON writes the report as one JSON object.
@@ -22,7 +22,7 @@
 	return encoder.Encode(report)
 }
 
-// WriteText writes the report as tables.
+// WriteText writes the report as plain-text tables.
 func (report Report) WriteText(writer io.Writer) error {
 	var text bytes.Buffer
 	fmt.Fprintf(&text, "%s\n\n", report.heading())
@@ -36,40 +36,42 @@
 	return table.Flush()
 }
 
-// burnTable writes how the classes stand against their targets.
+// burnTable writes a table of the attainment, the burn rates and the state of each class.
 func (report Report) burnTable(text *bytes.Buffer) {
 	fmt.Fprintf(text, "class\ttier\ttarget\tattained\tbudget left\tburn %s\tstate\n", strings.Join(windowNames(report), "\tburn "))
 	for _, class := range report.Classes {
-		fmt.Fprintf(text, "%s\t%d\t%s\t%s\t%s\t%s\t%s\n", class.Class, class.Tier, percent(class.Target), share(class.Attainment), class.budget(), strings.Join(class.rates(), "\t"), class.State)
+		fmt.Fprintf(text, "%s\t%d\t%s\t%s\t%s\t%s\t%s\n", class.Class, class.Tier, percentText(class.Target), attainmentText(class.Attainment), class.budgetText(), strings.Join(class.burnRateTexts(), "\t"), class.State)
 	}
 }
 
-// workTable writes the goodput, the waste and the latencies of the classes.
+// workTable writes a table of the goodput, the wasted work and the latencies of each
+// class.
 func (report Report) workTable(text *bytes.Buffer) {
 	fmt.Fprintln(text, "class\trequests\tcomplete\tgoodput/s\ttokens/s\twasted\tretries\tfirst token p95\tbetween tokens p95\ttotal p95\trefused")
 	for _, class := range report.Classes {
 		fmt.Fprintf(text, "%s\t%d\t%d\t%.2f\t%.1f\t%s\t%d\t%s\t%s\t%s\t%s\n", class.Class, class.Total.Requests, class.Total.Complete,
-			class.Goodput.RequestsPerSecond, class.Goodput.TokensPerSecond, percent(class.WastedShare), class.Total.Retries,
-			latency(class.FirstToken.P95Ms, class.Targets.FirstTokenMs), latency(class.BetweenTokens.P95Ms, class.Targets.BetweenTokensMs),
-			latency(class.Duration.P95Ms, class.Targets.TotalMs), class.refusals())
+			class.Goodput.RequestsPerSecond, class.Goodput.TokensPerSecond, percentText(class.WastedShare), class.Total.Retries,
+			latencyText(class.FirstToken.P95Ms, class.Targets.FirstTokenMs), latencyText(class.BetweenTokens.P95Ms, class.Targets.BetweenTokensMs),
+			latencyText(class.Duration.P95Ms, class.Targets.TotalMs), class.refusalText())
 	}
 }
 
-// heading tells what the report covers.
+// heading returns the line that names the time and the nodes that the report covers.
 func (report Report) heading() string {
 	if len(report.Nodes) == 0 {
-		return "No node could be asked." + report.absence()
+		return "No node could be asked." + report.missingNotice()
 	}
 	return fmt.Sprintf("%s, counted since %s by %s: %s.%s", report.TakenAt.UTC().Format(time.RFC3339), report.Since.UTC().Format(time.RFC3339),
-		plural(len(report.Nodes), "node"), join(report.Nodes), report.absence())
+		plural(len(report.Nodes), "node"), joinNames(report.Nodes), report.missingNotice())
 }
 
-// absence names the nodes that the report is without.
-func (report Report) absence() string {
+// missingNotice returns the sentence that names the nodes in Missing, or "" if there are
+// none.
+func (report Report) missingNotice() string {
 	if len(report.Missing) == 0 {
 		return ""
 	}
-	return fmt.Sprintf(" Without %s that could not be asked: %s.", plural(len(report.Missing), "node"), join(report.Missing))
+	return fmt.Sprintf(" Without %s that could not be asked: %s.", plural(len(report.Missing), "node"), joinNames(report.Missing))
 }
 
 func plural(count int, noun string) string {
@@ -79,7 +81,7 @@
 	return fmt.Sprintf("%d %ss", count, noun)
 }
 
-func join(nodes []definer.VM) string {
+func joinNames(nodes []definer.VM) string {
 	names := make([]string, 0, len(nodes))
 	for _, node := range nodes {
 		names = append(names, string(node))
@@ -97,8 +99,8 @@
 	return names
 }
 
-// rates returns the burn rates of the windows.
-func (report ClassReport) rates() []string {
+// burnRateTexts returns the formatted burn rate of each window.
+func (report ClassReport) burnRateTexts() []string {
 	var rates []string
 	for _, window := range report.Windows {
 		if window.Attainment == nil {
@@ -110,15 +112,15 @@
 	return rates
 }
 
-func (report ClassReport) budget() string {
+func (report ClassReport) budgetText() string {
 	if report.Attainment == nil {
 		return noValue
 	}
-	return percent(report.BudgetLeft)
+	return percentText(report.BudgetLeft)
 }
 
-// refusals returns the reasons and their counts, most frequent first.
-func (report ClassReport) refusals() string {
+// refusalText returns the refusal reasons with their counts, the most frequent first.
+func (report ClassReport) refusalText() string {
 	var parts []string
 	for _, reason := range sortedReasons(report.Refused) {
 		parts = append(parts, fmt.Sprintf("%s %d", reason, report.Refused[reason]))
@@ -129,17 +131,18 @@
 	return strings.Join(parts, ", ")
 }
 
-func percent(share float64) string { return fmt.Sprintf("%.2f%%", share*100) }
+func percentText(share float64) string { return fmt.Sprintf("%.2f%%", share*100) }
 
-func share(attainment *float64) string {
+func attainmentText(attainment *float64) string {
 	if attainment == nil {
 		return noValue
 	}
-	return percent(*attainment)
+	return percentText(*attainment)
 }
 
-// latency returns a time and its target in milliseconds.
-func latency(ms float64, target int64) string {
+// latencyText formats a latency and its target, both in milliseconds; a latency of 0
+// means that there is no value, a target of 0 that there is no target.
+func latencyText(ms float64, target int64) string {
 	switch {
 	case ms == 0:
 		return noValue
