--- a/announcer/announcer_test.go
+++ b/announcer/announcer_test.go
@@ -82,7 +82,7 @@
 // tell merges one node's report of the scope into another node and returns the number of
 // announcements in it.
 func tell(now time.Time, from, to *announcer.Announcer, scope messenger.LoadScope) int {
-	told := from.Tell(now, scope)
+	told := from.NextReport(now, scope)
 	to.Learn(now, "peer", told)
 	return len(told)
 }
@@ -113,7 +113,7 @@
 	told := 0
 	for second := range 20 {
 		for _, scope := range []messenger.LoadScope{messenger.MemberLoad, messenger.GroupLoad, messenger.FleetLoad} {
-			told += len(member.Tell(at(float64(4+second)), scope))
+			told += len(member.NextReport(at(float64(4+second)), scope))
 		}
 	}
 	assert.Assert(t, told <= 6, "%d times", told)
@@ -181,7 +181,7 @@
 		{Upstream: "u", PerSecond: 1, Limited: true, Age: -time.Second},
 		{Upstream: definer.UpstreamName(make([]byte, 1000)), PerSecond: 1, Limited: true},
 	})
-	assert.Equal(t, len(known.Tell(at(1), messenger.MemberLoad)), 0)
+	assert.Equal(t, len(known.NextReport(at(1), messenger.MemberLoad)), 0)
 }
 
 // TestManyAnnouncementsAreBounded checks that reports stay small, and that all of many
@@ -211,7 +211,7 @@
 	for bench.Loop() {
 		step++
 		for _, scope := range []messenger.LoadScope{messenger.MemberLoad, messenger.GroupLoad, messenger.FleetLoad} {
-			known.Tell(at(1+float64(step)/10), scope)
+			known.NextReport(at(1+float64(step)/10), scope)
 		}
 	}
 }
--- a/announcer/telling.go
+++ b/announcer/telling.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// Tell returns the announcements for this node's next report of the scope.
-func (announcer *Announcer) Tell(now time.Time, scope messenger.LoadScope) []messenger.UpstreamAnnouncement {
+// NextReport returns the announcements for this node's next report of the scope.
+func (announcer *Announcer) NextReport(now time.Time, scope messenger.LoadScope) []messenger.UpstreamAnnouncement {
 	announcer.mutex.Lock()
 	defer announcer.mutex.Unlock()
 	announcer.refresh(now)
--- a/chronicler/chronicler.go
+++ b/chronicler/chronicler.go
@@ -54,9 +54,9 @@
 
 // Reading is the effect of an Excerpt or of an answer of the store on the log.
 type Reading[Entry any] struct {
-	// Whole reports whether All replaces all entries that were known before.
-	Whole bool
-	All   []Record[Entry]
+	// Full reports whether All replaces all entries that were known before.
+	Full bool
+	All  []Record[Entry]
 	// Records are the changes that were new, sorted by revision.
 	Records []Record[Entry]
 }
@@ -95,10 +95,10 @@
 	return Position{UpTo: chronicler.current.revision}
 }
 
-// Listed applies a list of all entries that the store had at the revision; a list older
+// ApplyList applies a list of all entries that the store had at the revision; a list older
 // than Known changes nothing. doubted says that the list was read soon after an outage and
 // is passed on to the removals that it shows.
-func (chronicler *Chronicler[Entry]) Listed(records []Record[Entry], revision uint64, doubted bool) Reading[Entry] {
+func (chronicler *Chronicler[Entry]) ApplyList(records []Record[Entry], revision uint64, doubted bool) Reading[Entry] {
 	chronicler.mutex.Lock()
 	defer chronicler.mutex.Unlock()
 	first := chronicler.current.revision == 0
@@ -108,17 +108,17 @@
 	chronicler.replacement = nil
 	changed := chronicler.current.replaceAll(records, revision, doubted)
 	if first {
-		return Reading[Entry]{Whole: true, All: chronicler.current.live()}
+		return Reading[Entry]{Full: true, All: chronicler.current.live()}
 	}
 	return Reading[Entry]{Records: changed}
 }
 
-// Watched applies the changes that the store made up to revision, in their order. They have
+// ApplyChanges applies the changes that the store made up to revision, in their order. They have
 // to begin after a revision up to which all changes are known. The revisions of removals are
 // not used, since the store may report that of the entry's last write. Each removal gets
 // the revision just before the next write instead, or the given one if no write follows.
 // That is never too early, so no node misses the removal.
-func (chronicler *Chronicler[Entry]) Watched(records []Record[Entry], revision uint64) Reading[Entry] {
+func (chronicler *Chronicler[Entry]) ApplyChanges(records []Record[Entry], revision uint64) Reading[Entry] {
 	records = slices.Clone(records)
 	latest := revision
 	for index, record := range slices.Backward(records) {
@@ -133,9 +133,9 @@
 	return Reading[Entry]{Records: chronicler.current.add(records, revision)}
 }
 
-// Told applies an excerpt from a peer. An excerpt that begins after what is known leaves a
+// ApplyExcerpt applies an excerpt from a peer. An excerpt that begins after what is known leaves a
 // gap and changes nothing.
-func (chronicler *Chronicler[Entry]) Told(excerpt Excerpt[Entry]) Reading[Entry] {
+func (chronicler *Chronicler[Entry]) ApplyExcerpt(excerpt Excerpt[Entry]) Reading[Entry] {
 	chronicler.mutex.Lock()
 	defer chronicler.mutex.Unlock()
 	current := chronicler.current
@@ -168,13 +168,13 @@
 		return Reading[Entry]{}
 	}
 	chronicler.current = replacement
-	return Reading[Entry]{Whole: true, All: replacement.live()}
+	return Reading[Entry]{Full: true, All: replacement.live()}
 }
 
-// Since returns the first records after the position, or from the beginning if removals
+// ExcerptAfter returns the first records after the position, or from the beginning if removals
 // since then were dropped. It returns at most limit records, but never divides those of one
 // revision. It reports false if there is nothing to send.
-func (chronicler *Chronicler[Entry]) Since(position Position, limit int) (Excerpt[Entry], bool) {
+func (chronicler *Chronicler[Entry]) ExcerptAfter(position Position, limit int) (Excerpt[Entry], bool) {
 	chronicler.mutex.Lock()
 	defer chronicler.mutex.Unlock()
 	current := chronicler.current
--- a/chronicler/chronicler_test.go
+++ b/chronicler/chronicler_test.go
@@ -72,7 +72,7 @@
 type view map[string]uint64
 
 func (view view) apply(reading Reading[int]) {
-	if reading.Whole {
+	if reading.Full {
 		clear(view)
 		for _, record := range reading.All {
 			view[record.Name] = record.Revision
@@ -122,19 +122,19 @@
 				truth[fakeStore.revision] = copyEntries(fakeStore.entries)
 			case 2:
 				node := random.IntN(nodes)
-				views[node].apply(chroniclers[node].Listed(fakeStore.list(), fakeStore.revision, false))
+				views[node].apply(chroniclers[node].ApplyList(fakeStore.list(), fakeStore.revision, false))
 			case 3:
 				node := random.IntN(nodes)
 				if revision := chroniclers[node].Known(); revision > 0 {
-					views[node].apply(chroniclers[node].Watched(fakeStore.watch(revision), fakeStore.revision))
+					views[node].apply(chroniclers[node].ApplyChanges(fakeStore.watch(revision), fakeStore.revision))
 				}
 			case 4:
 				sender, node := random.IntN(nodes), random.IntN(nodes)
 				if random.IntN(4) == 0 {
 					dropRemovals(chroniclers[sender].current)
 				}
-				if excerpt, ok := chroniclers[sender].Since(chroniclers[node].Position(), 1+random.IntN(5)); ok {
-					pending = append(pending, func() { views[node].apply(chroniclers[node].Told(excerpt)) })
+				if excerpt, ok := chroniclers[sender].ExcerptAfter(chroniclers[node].Position(), 1+random.IntN(5)); ok {
+					pending = append(pending, func() { views[node].apply(chroniclers[node].ApplyExcerpt(excerpt)) })
 				}
 			case 5:
 				if len(pending) > 0 {
@@ -150,11 +150,11 @@
 		if fakeStore.revision == 0 {
 			continue
 		}
-		views[0].apply(chroniclers[0].Listed(fakeStore.list(), fakeStore.revision, false))
+		views[0].apply(chroniclers[0].ApplyList(fakeStore.list(), fakeStore.revision, false))
 		for node := 1; node < nodes; node++ {
 			for range 100 {
-				if excerpt, ok := chroniclers[0].Since(chroniclers[node].Position(), 3); ok {
-					views[node].apply(chroniclers[node].Told(excerpt))
+				if excerpt, ok := chroniclers[0].ExcerptAfter(chroniclers[node].Position(), 3); ok {
+					views[node].apply(chroniclers[node].ApplyExcerpt(excerpt))
 				}
 			}
 			assert.Equal(t, chroniclers[node].Known(), fakeStore.revision, "seed %d", seed)
@@ -186,13 +186,13 @@
 // removed without end, and that a node that missed dropped removals gets all entries again.
 func TestRemovalsAreBounded(t *testing.T) {
 	chronicler := New[int]()
-	chronicler.Listed(nil, 1, false)
+	chronicler.ApplyList(nil, 1, false)
 	for revision := uint64(2); revision < 4*maxTombstones; revision += 2 {
 		name := fmt.Sprint(revision)
-		chronicler.Watched([]Record[int]{{Name: name, Revision: revision}, {Name: name, Revision: revision + 1, Removed: true}}, revision+1)
+		chronicler.ApplyChanges([]Record[int]{{Name: name, Revision: revision}, {Name: name, Revision: revision + 1, Removed: true}}, revision+1)
 	}
 	assert.Assert(t, len(chronicler.current.byName) <= maxTombstones+1)
-	excerpt, ok := chronicler.Since(Position{UpTo: 1}, 10)
+	excerpt, ok := chronicler.ExcerptAfter(Position{UpTo: 1}, 10)
 	assert.Assert(t, ok)
 	assert.Equal(t, excerpt.From, uint64(0))
 	assert.Assert(t, excerpt.Forgotten > 1)
@@ -202,11 +202,11 @@
 // of one revision, since the next excerpt would lack the others.
 func TestRemovalsSeenByOneListStayTogether(t *testing.T) {
 	chronicler := New[int]()
-	chronicler.Listed([]Record[int]{{Name: "a", Revision: 1}, {Name: "b", Revision: 2}, {Name: "c", Revision: 3}}, 3, false)
-	reading := chronicler.Listed([]Record[int]{{Name: "a", Revision: 1}}, 9, true)
+	chronicler.ApplyList([]Record[int]{{Name: "a", Revision: 1}, {Name: "b", Revision: 2}, {Name: "c", Revision: 3}}, 3, false)
+	reading := chronicler.ApplyList([]Record[int]{{Name: "a", Revision: 1}}, 9, true)
 	assert.Equal(t, len(reading.Records), 2)
 	assert.Assert(t, reading.Records[0].Doubted)
-	excerpt, _ := chronicler.Since(Position{}, 2)
+	excerpt, _ := chronicler.ExcerptAfter(Position{}, 2)
 	assert.Equal(t, len(excerpt.Records), 3)
 	assert.Equal(t, excerpt.To, uint64(9))
 }
--- a/claimer/claimer_test.go
+++ b/claimer/claimer_test.go
@@ -84,7 +84,7 @@
 	for range 1000 {
 		for len(testBench.calls) > 0 {
 			call := testBench.next()
-			testBench.writer.Answered(testBench.now, call.Bucket, testBench.do(call))
+			testBench.writer.HandleAnswer(testBench.now, call.Bucket, testBench.do(call))
 		}
 		if testBench.writer.Waiting() == 0 {
 			return
@@ -93,7 +93,7 @@
 		for bucket, at := range testBench.wake {
 			if !at.After(testBench.now) {
 				delete(testBench.wake, bucket)
-				testBench.writer.Fired(testBench.now, bucket)
+				testBench.writer.HandleTimer(testBench.now, bucket)
 			}
 		}
 	}
@@ -132,12 +132,12 @@
 	key := bucketKeys(2)
 	testBench.writer.Submit(testBench.now, newOperation(messenger.TakeClaim, key[0], "r1", 0))
 	read := testBench.next()
-	testBench.writer.Answered(testBench.now, read.Bucket, testBench.do(read))
+	testBench.writer.HandleAnswer(testBench.now, read.Bucket, testBench.do(read))
 	write := testBench.next()
 	testBench.now = testBench.now.Add(2 * stepTimeout)
 	testBench.writer.Submit(testBench.now, newOperation(messenger.TakeClaim, key[1], "r2", 0))
 	assert.Equal(t, testBench.verdict("r1"), messenger.ClaimVerdict(""))
-	testBench.writer.Answered(testBench.now, write.Bucket, testBench.do(write))
+	testBench.writer.HandleAnswer(testBench.now, write.Bucket, testBench.do(write))
 	testBench.settle()
 	assert.Equal(t, testBench.verdict("r1"), messenger.ClaimGranted)
 	assert.Equal(t, testBench.verdict("r2"), messenger.ClaimGranted)
@@ -167,7 +167,7 @@
 		assert.Equal(t, third.verdict(definer.RequestID("again-"+key)), messenger.ClaimReplay)
 	}
 	// Long after the retention, the records are dropped and their segments deleted.
-	third.now = third.now.Add(3 * DefaultKeep)
+	third.now = third.now.Add(3 * DefaultRetention)
 	for index, key := range bucketKeys(80)[60:] {
 		third.run(key, 0)
 		third.now = third.now.Add(time.Duration(index) * time.Second)
@@ -195,12 +195,12 @@
 						answer = Answer{Result: Lost}
 					}
 					if len(objects) < 2 || lost {
-						predecessor.writer.Answered(predecessor.now, call.Bucket, answer)
+						predecessor.writer.HandleAnswer(predecessor.now, call.Bucket, answer)
 					}
 					continue
 				}
 				predecessor.now = predecessor.now.Add(time.Second / 2)
-				predecessor.writer.Fired(predecessor.now, 3)
+				predecessor.writer.HandleTimer(predecessor.now, 3)
 			}
 		}
 		// The writer that created the segment ends here, or reads the segment back if
@@ -268,11 +268,11 @@
 func TestParseLocal(t *testing.T) {
 	local := NewLocal(definer.Member{VM: "vm.1", Incarnation: 7}, time.Unix(0, 0), 1)
 	issued := local.Issue(time.Unix(2, 0))
-	parsed, ok := ParseLocal(issued.String())
+	parsed, ok := ParseLocalKey(issued.String())
 	assert.Check(t, ok)
 	assert.Equal(t, parsed, issued)
 	for _, wrong := range []string{"", "local.", "local.a.1.2", "local.a.x.1.2", "local.a.1.x.2", "mine.a.1.2.3"} {
-		_, ok := ParseLocal(wrong)
+		_, ok := ParseLocalKey(wrong)
 		assert.Check(t, !ok, "%s", wrong)
 	}
 }
--- a/claimer/key.go
+++ b/claimer/key.go
@@ -43,13 +43,13 @@
 	return fmt.Sprintf("%s%s.%d.%d.%s", localPrefix, localKey.holder.VM, localKey.holder.Incarnation, localKey.issued.Milliseconds(), localKey.number)
 }
 
-// IsLocal reports whether a key has the prefix that is reserved for local keys.
-func IsLocal(key string) bool { return strings.HasPrefix(key, localPrefix) }
+// IsLocalKey reports whether a key has the prefix that is reserved for local keys.
+func IsLocalKey(key string) bool { return strings.HasPrefix(key, localPrefix) }
 
-// ParseLocal parses a key that a caller sent and reports whether it is a local key.
-func ParseLocal(key string) (LocalKey, bool) {
+// ParseLocalKey parses a key that a caller sent and reports whether it is a local key.
+func ParseLocalKey(key string) (LocalKey, bool) {
 	fields := strings.Split(strings.TrimPrefix(key, localPrefix), ".")
-	if !IsLocal(key) || len(fields) <= localFields {
+	if !IsLocalKey(key) || len(fields) <= localFields {
 		return LocalKey{}, false
 	}
 	rest := fields[len(fields)-localFields:]
--- a/claimer/record.go
+++ b/claimer/record.go
@@ -76,9 +76,9 @@
 	return size
 }
 
-// Keepable returns the answer if it is small enough to be stored with its claim, at
+// StorableAnswer returns the answer if it is small enough to be stored with its claim, at
 // most maxAnswerBytes, and nil otherwise.
-func Keepable(answer *messenger.KeptAnswer) *messenger.KeptAnswer {
+func StorableAnswer(answer *messenger.KeptAnswer) *messenger.KeptAnswer {
 	if answerSize(answer) > maxAnswerBytes {
 		return nil
 	}
--- a/claimer/writer.go
+++ b/claimer/writer.go
@@ -104,9 +104,9 @@
 
 // Shell performs the effects of a Writer.
 type Shell interface {
-	// CallPlatform starts a call; its answer must be passed to Writer.Answered.
+	// CallPlatform starts a call; its answer must be passed to Writer.HandleAnswer.
 	CallPlatform(call Call)
-	// WakeAt sets a timer that calls Writer.Fired for the bucket at the time.
+	// WakeAt sets a timer that calls Writer.HandleTimer for the bucket at the time.
 	WakeAt(bucket int, at time.Time)
 	// Settle passes on the verdict on a step, with the stored answer if it is to be
 	// replayed.
@@ -135,12 +135,12 @@
 	return func(writer *Writer) { writer.random = rand.New(rand.NewPCG(seed, 0)) }
 }
 
-// DefaultKeep is how long final records are kept unless SetKeep is called.
-const DefaultKeep = 10 * time.Minute
+// DefaultRetention is how long final records are kept unless SetRetention is called.
+const DefaultRetention = 10 * time.Minute
 
 // New returns a Writer without buckets, whose effects the shell performs.
 func New(shell Shell, options ...Option) *Writer {
-	writer := &Writer{shell: shell, retention: DefaultKeep, buckets: make(map[int]*bucket)}
+	writer := &Writer{shell: shell, retention: DefaultRetention, buckets: make(map[int]*bucket)}
 	WithSeed(1)(writer)
 	for _, option := range options {
 		option(writer)
@@ -148,8 +148,8 @@
 	return writer
 }
 
-// SetKeep sets how long final records are kept; the time must be positive.
-func (writer *Writer) SetKeep(retention time.Duration) { writer.retention = retention }
+// SetRetention sets how long final records are kept; the time must be positive.
+func (writer *Writer) SetRetention(retention time.Duration) { writer.retention = retention }
 
 // BucketOf returns the index of the bucket of a key, from 0 to Buckets-1.
 func BucketOf(keyHash string) int { return int(xxhash.Sum64String(keyHash) % Buckets) }
@@ -166,15 +166,15 @@
 	held.submit(now, operation)
 }
 
-// Answered handles the platform's answer to the outstanding call of a bucket.
-func (writer *Writer) Answered(now time.Time, index int, answer Answer) {
+// HandleAnswer handles the platform's answer to the outstanding call of a bucket.
+func (writer *Writer) HandleAnswer(now time.Time, index int, answer Answer) {
 	if held, ok := writer.buckets[index]; ok {
 		held.answered(now, answer)
 	}
 }
 
-// Fired handles the timer of a bucket that was set by Shell.WakeAt.
-func (writer *Writer) Fired(now time.Time, index int) {
+// HandleTimer handles the timer of a bucket that was set by Shell.WakeAt.
+func (writer *Writer) HandleTimer(now time.Time, index int) {
 	if held, ok := writer.buckets[index]; ok {
 		held.wakeTime = time.Time{}
 		held.advance(now)
--- a/decider/capacity_test.go
+++ b/decider/capacity_test.go
@@ -82,7 +82,7 @@
 	change := func() decider.ConfigurationFound {
 		version++
 		document.Rules[7].Then.DeadlineMs = int(version)
-		sums, sections, err := sectioner.Cut(document)
+		sums, sections, err := sectioner.Split(document)
 		assert.NilError(b, err)
 		return decider.ConfigurationFound{Head: decider.ConfigurationHead{Version: version, Sections: sums}, Contents: sections}
 	}
--- a/decider/claims.go
+++ b/decider/claims.go
@@ -127,7 +127,7 @@
 
 // begin starts a claim, or decides it at once.
 func (claims *claims) begin(event claimRequested) {
-	if claimer.IsLocal(event.key) {
+	if claimer.IsLocalKey(event.key) {
 		claims.beginLocal(event)
 		return
 	}
@@ -337,7 +337,7 @@
 		step = messenger.FreeClaim
 	case event.outcome == definer.Ran:
 		step = messenger.FinishClaim
-		answer = claimer.Keepable((*messenger.KeptAnswer)(event.answer))
+		answer = claimer.StorableAnswer((*messenger.KeptAnswer)(event.answer))
 	}
 	if claim.local {
 		claims.endLocal(claim, step, answer)
@@ -358,7 +358,7 @@
 // ended.
 func (core *core) claimRetention() time.Duration {
 	if core.configuration == nil || core.configuration.ClaimKeep() == 0 {
-		return claimer.DefaultKeep
+		return claimer.DefaultRetention
 	}
 	return max(core.configuration.ClaimKeep(), minClaimRetention)
 }
--- a/decider/claims_test.go
+++ b/decider/claims_test.go
@@ -284,7 +284,7 @@
 	world.send("a", "chosen", "org/mine/b")
 	world.Run(4 * time.Second)
 	offer := world.ends["chosen"].refusal.KeyOffer
-	assert.Check(t, claimer.IsLocal(offer))
+	assert.Check(t, claimer.IsLocalKey(offer))
 	world.send("b", "offered", "org/"+offer+"/b")
 	world.Run(3 * time.Second)
 	assert.Equal(t, world.resultOf("offered"), "answer")
--- a/decider/claims_world_test.go
+++ b/decider/claims_world_test.go
@@ -120,7 +120,7 @@
 	node := &node{decider: New(self, "dc", string(vm), WithBootstrapVMs(listed), WithSeed(uint64(len(vm))+uint64(incarnation))), timers: make(clock.Timers[TimerKey])}
 	world.nodes[vm] = node
 	world.carryOut(node, node.decider.Start(world.Now()))
-	sums, sections, err := sectioner.Cut(claimDocument())
+	sums, sections, err := sectioner.Split(claimDocument())
 	assert.NilError(t, err)
 	world.handle(node, ConfigurationFound{Head: ConfigurationHead{Version: 1, Sections: sums}, Contents: sections})
 	world.handle(node, VMsListed{VMs: listed})
--- a/decider/claimwriter.go
+++ b/decider/claimwriter.go
@@ -41,7 +41,7 @@
 func (claimWriter *claimWriter) handle(event Event) {
 	switch event := event.(type) {
 	case configurationChanged:
-		claimWriter.writer.SetKeep(claimWriter.claimRetention())
+		claimWriter.writer.SetRetention(claimWriter.claimRetention())
 	case membersChanged:
 		claimWriter.recordGone(event.gone)
 	case MessageReceived:
@@ -55,7 +55,7 @@
 			return
 		}
 		if bucket, err := strconv.Atoi(event.Key.ID); err == nil {
-			claimWriter.writer.Fired(claimWriter.now, bucket)
+			claimWriter.writer.HandleTimer(claimWriter.now, bucket)
 		}
 	}
 }
@@ -76,7 +76,7 @@
 		return
 	}
 	delete(claimWriter.calls, event.Call)
-	claimWriter.writer.Answered(claimWriter.now, bucket, claimer.Answer{
+	claimWriter.writer.HandleAnswer(claimWriter.now, bucket, claimer.Answer{
 		Result:  claimer.Result(event.Result),
 		Version: event.Version,
 		Value:   event.Value,
--- a/decider/cluster_test.go
+++ b/decider/cluster_test.go
@@ -113,7 +113,7 @@
 		nodes: make(map[definer.VM]*clusterNode), running: make(map[definer.UpstreamName]map[definer.AttemptID]bool),
 		peak: make(map[definer.DataCentre]int), arrived: make(map[definer.RequestID]time.Time), ended: make(map[definer.RequestID]string),
 	}
-	sums, sections, err := sectioner.Cut(clusterDocument(dataCentres))
+	sums, sections, err := sectioner.Split(clusterDocument(dataCentres))
 	assert.NilError(t, err)
 	cluster.head, cluster.data = ConfigurationHead{Version: 1, Sections: sums}, sections
 	for d := range dataCentres {
--- a/decider/deadline_test.go
+++ b/decider/deadline_test.go
@@ -21,7 +21,7 @@
 	const deadline, slack = time.Second, 500 * time.Millisecond
 	document := claimDocument()
 	document.Classes[0].LongestWaitMs = 60000
-	sums, sections, err := sectioner.Cut(document)
+	sums, sections, err := sectioner.Split(document)
 	assert.NilError(t, err)
 	now := time.Unix(1000, 0)
 	self := definer.Member{VM: "self", Incarnation: 1}
--- a/decider/fetcher.go
+++ b/decider/fetcher.go
@@ -204,7 +204,7 @@
 		return false
 	}
 	if answer.Base != "" {
-		sums = sectioner.Amend(configurer.head.Sections, answer.Changed, answer.Removed)
+		sums = sectioner.Apply(configurer.head.Sections, answer.Changed, answer.Removed)
 	}
 	if sectioner.Digest(sums) != answer.Digest {
 		return false
@@ -231,7 +231,7 @@
 	received := fetch.partial[piece.Hash]
 	whole := len(received) + len(piece.Data)
 	_, got := fetch.contents[piece.Hash]
-	if got || piece.Offset != len(received) || piece.Size > sectioner.MaxSection || whole > piece.Size || !fetch.hasSection(piece.Hash) {
+	if got || piece.Offset != len(received) || piece.Size > sectioner.MaxSectionBytes || whole > piece.Size || !fetch.hasSection(piece.Hash) {
 		return false
 	}
 	data := append(slices.Clip(received), piece.Data...)
--- a/decider/fleet_test.go
+++ b/decider/fleet_test.go
@@ -141,7 +141,7 @@
 func (fleet *fleet) applied(node *fleetNode, configuration *definer.Configuration) {
 	version := configuration.Version()
 	assert.Assert(fleet.t, version > node.version, "%s went from %d to %d", node.vm.Name, node.version, version)
-	sums, _, err := sectioner.Cut(configuration.Document())
+	sums, _, err := sectioner.Split(configuration.Document())
 	assert.NilError(fleet.t, err)
 	assert.Equal(fleet.t, sectioner.Digest(sums), fleet.accepted[version], "%s applied version %d", node.vm.Name, version)
 	node.version, node.appliedAt = version, fleet.Now()
@@ -150,7 +150,7 @@
 // store writes a version to the platform without any check and notifies the
 // nodes that watch it.
 func (fleet *fleet) store(version uint64, document definer.Document, accepted bool) {
-	sums, sections, err := sectioner.Cut(document)
+	sums, sections, err := sectioner.Split(document)
 	assert.NilError(fleet.t, err)
 	fleet.head, fleet.contents = decider.ConfigurationHead{Version: version, Sections: sums}, sections
 	if accepted {
--- a/decider/localclaims.go
+++ b/decider/localclaims.go
@@ -11,7 +11,7 @@
 // call to it, and to no one else.
 func (claims *claims) beginLocal(event claimRequested) {
 	decided := claimDecided{request: event.request, verdict: messenger.ClaimExpired}
-	key, ok := claimer.ParseLocal(event.key)
+	key, ok := claimer.ParseLocalKey(event.key)
 	switch {
 	case !ok:
 		decided.unused = true
--- a/decider/roster.go
+++ b/decider/roster.go
@@ -41,7 +41,7 @@
 	roster := &roster{core: core, listed: make(map[definer.VM]ListedVM)}
 	roster.detector = detector.New(core.self, core.dataCentre, core.address)
 	// A node without a configuration must not own shards yet.
-	roster.detector.Draining(time.Time{}, true)
+	roster.detector.SetDraining(time.Time{}, true)
 	roster.refresh()
 	return roster
 }
@@ -57,7 +57,7 @@
 		roster.setTimer(rosterComponent, rosterTick, roster.detector.Interval())
 	case configurationChanged, drainBegan:
 		draining := roster.core.draining || roster.configuration == nil
-		roster.apply(roster.detector.Draining(roster.now, draining))
+		roster.apply(roster.detector.SetDraining(roster.now, draining))
 	case drainEnded:
 		roster.apply(roster.detector.Leave(roster.now))
 	case VMsListed:
@@ -99,11 +99,11 @@
 	for _, outgoing := range output.Messages {
 		roster.emit(SendMessage{To: outgoing.To, Address: outgoing.Address, Message: roster.addVersion(outgoing.Message)})
 	}
-	for _, change := range output.Came {
+	for _, change := range output.Joined {
 		roster.log(EventMemberAlive, "vm", change.Member.VM, "incarnation", change.Member.Incarnation)
 	}
 	var gone []definer.Member
-	for _, change := range output.Gone {
+	for _, change := range output.Departed {
 		gone = append(gone, change.Member)
 		roster.log(EventMemberGone, "vm", change.Member.VM, "incarnation", change.Member.Incarnation)
 	}
@@ -242,7 +242,7 @@
 
 // neverMetOthers reports whether no other member was ever heard of, so that no
 // other can have owned anything.
-func (roster *roster) neverMetOthers() bool { return !roster.detector.Met() }
+func (roster *roster) neverMetOthers() bool { return !roster.detector.FoundPeers() }
 
 // expectsOthers reports whether the platform lists other VMs that may yet
 // answer.
--- a/decider/suspicions.go
+++ b/decider/suspicions.go
@@ -47,9 +47,9 @@
 func (suspicions *suspicions) handleAttemptEnd(request *request, event AttemptEnded) {
 	switch {
 	case event.UpstreamEnded && request.upstream != nil && !request.upstream.Leaving():
-		suspicions.quarantiner.Fell(suspicions.now, definer.UpstreamStart{Upstream: request.upstream.Name()}, request.identity)
+		suspicions.quarantiner.RecordCrash(suspicions.now, definer.UpstreamStart{Upstream: request.upstream.Name()}, request.identity)
 	case event.Result == AttemptComplete:
-		suspicions.quarantiner.Served(suspicions.now, request.identity)
+		suspicions.quarantiner.RecordServed(suspicions.now, request.identity)
 	}
 	suspicions.armNextTimer()
 }
@@ -126,7 +126,7 @@
 // newNotice returns the notice to members of the scope, or nil if there is
 // nothing to send.
 func (suspicions *suspicions) newNotice(scope messenger.LoadScope) *messenger.FallNotice {
-	falls := suspicions.quarantiner.Tell(suspicions.now, scope)
+	falls := suspicions.quarantiner.NextReport(suspicions.now, scope)
 	if len(falls) == 0 {
 		return nil
 	}
@@ -149,13 +149,13 @@
 func (requester *requester) holdOff(request *request) bool {
 	verdict := requester.suspicions.quarantiner.Check(requester.now, request.identity)
 	switch {
-	case verdict.Left == 0:
+	case verdict.HeldFor == 0:
 		return false
-	case verdict.Wait == 0:
-		requester.refuse(request, messenger.HeldOff, verdict.Left)
+	case verdict.RecheckAfter == 0:
+		requester.refuse(request, messenger.HeldOff, verdict.HeldFor)
 		return true
 	}
 	request.state = settling
-	requester.setAskTimer(request, verdict.Wait)
+	requester.setAskTimer(request, verdict.RecheckAfter)
 	return true
 }
--- a/detector/detector.go
+++ b/detector/detector.go
@@ -28,9 +28,9 @@
 // Detector's method.
 type Output struct {
 	Messages []Outgoing
-	// Came lists the members that became alive or restarted, Gone those that
+	// Joined lists the members that became alive or restarted, Departed those that
 	// left, failed or ended with a restart, as last known.
-	Came, Gone []messenger.MemberChange
+	Joined, Departed []messenger.MemberChange
 	// Changed reports whether the result of Members changed.
 	Changed bool
 	// Paused reports whether this process was suspended long enough that
@@ -117,8 +117,8 @@
 // Interval returns the time that should pass between two calls of Tick.
 func (detector *Detector) Interval() time.Duration { return detector.period() / ticksPerPeriod }
 
-// Met reports whether the node ever knew another member.
-func (detector *Detector) Met() bool { return detector.foundPeers }
+// FoundPeers reports whether the node ever knew another member.
+func (detector *Detector) FoundPeers() bool { return detector.foundPeers }
 
 // Start begins the detection and announces this node. Call it before Tick.
 func (detector *Detector) Start(now time.Time) Output {
@@ -182,9 +182,9 @@
 	return detector.flush()
 }
 
-// Draining sets whether this node drains, that is, neither owns shards nor takes
+// SetDraining sets whether this node drains, that is, neither owns shards nor takes
 // requests, and announces a change to the other members.
-func (detector *Detector) Draining(_ time.Time, draining bool) Output {
+func (detector *Detector) SetDraining(_ time.Time, draining bool) Output {
 	if detector.self.Draining != draining {
 		detector.self.Draining = draining
 		detector.output.Changed = true
--- a/detector/detector_test.go
+++ b/detector/detector_test.go
@@ -129,7 +129,7 @@
 	network := newNetwork(4, 2)
 	network.run(3 * time.Second)
 	leaver := network.nodes["dc0-vm1"]
-	network.process(leaver, leaver.detector.Draining(network.now, true))
+	network.process(leaver, leaver.detector.SetDraining(network.now, true))
 	took := network.runUntil(t, time.Second, func() bool {
 		for _, node := range network.nodes {
 			for _, member := range node.detector.Members() {
--- a/detector/gossip.go
+++ b/detector/gossip.go
@@ -133,10 +133,10 @@
 	was := live(before.State)
 	is := live(after.State)
 	if was && (!is || replaced) {
-		detector.output.Gone = append(detector.output.Gone, before)
+		detector.output.Departed = append(detector.output.Departed, before)
 	}
 	if is && (!was || replaced) {
-		detector.output.Came = append(detector.output.Came, after)
+		detector.output.Joined = append(detector.output.Joined, after)
 	}
 	if was != is || replaced {
 		detector.ring = ring{}
--- a/detector/network_test.go
+++ b/detector/network_test.go
@@ -72,7 +72,7 @@
 
 // process queues the messages of an output and records its other parts.
 func (network *network) process(from *node, output detector.Output) {
-	from.gone = append(from.gone, output.Gone...)
+	from.gone = append(from.gone, output.Departed...)
 	if output.Paused {
 		from.pausesNoticed++
 	}
--- a/editor/draft.go
+++ b/editor/draft.go
@@ -34,7 +34,7 @@
 	if len(change.Summary) > maxTextLength || len(editor.operator) > maxTextLength {
 		return nil, fail("edit", Invalid, "the summary and the operator's name are limited to %d bytes each", maxTextLength)
 	}
-	sums, sections, err := sectioner.Cut(document)
+	sums, sections, err := sectioner.Split(document)
 	if err != nil {
 		return nil, fail("edit", Invalid, "%w", err)
 	}
@@ -46,8 +46,8 @@
 		Summary:  change.Summary,
 	}, sums)
 	value, err := json.Marshal(head)
-	if err != nil || len(value) > sectioner.MaxSection {
-		return nil, fail("edit", Invalid, "the configuration head has %d bytes; the limit is %d", len(value), sectioner.MaxSection)
+	if err != nil || len(value) > sectioner.MaxSectionBytes {
+		return nil, fail("edit", Invalid, "the configuration head has %d bytes; the limit is %d", len(value), sectioner.MaxSectionBytes)
 	}
 	return &draft{head: head, value: value, document: document, sections: sections}, nil
 }
@@ -62,7 +62,7 @@
 	if _, err := matcher.New(definer.Rules(document)); err != nil {
 		faults = append(faults, err)
 	}
-	if _, _, err := sectioner.Cut(document); err != nil {
+	if _, _, err := sectioner.Split(document); err != nil {
 		faults = append(faults, err)
 	}
 	if len(faults) > 0 {
--- a/editor/editor_test.go
+++ b/editor/editor_test.go
@@ -299,7 +299,7 @@
 	assert.NilError(t, err)
 	needed := make(map[string]bool)
 	for number := newest.Number() - sectioner.MaxHistory; number <= newest.Number(); number++ {
-		sums, err := newest.Head().At(number)
+		sums, err := newest.Head().SectionsAt(number)
 		assert.NilError(t, err)
 		for _, sum := range sums {
 			needed[sum.Hash] = true
--- a/editor/load.go
+++ b/editor/load.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return definer.Document{}, err
 	}
-	sums, err := newest.head.At(number)
+	sums, err := newest.head.SectionsAt(number)
 	if err != nil {
 		return definer.Document{}, fail("loadAt", Empty, "%w", err)
 	}
--- a/editor/write.go
+++ b/editor/write.go
@@ -110,7 +110,7 @@
 	if err != nil {
 		return fail("settle", Unusable, "%w", err)
 	}
-	accepted, known := head.Has(draft.head.EditID, draft.head.Version)
+	accepted, known := head.FindEdit(draft.head.EditID, draft.head.Version)
 	switch {
 	case accepted:
 		draft.object = object.Version
--- a/entry.go
+++ b/entry.go
@@ -152,7 +152,7 @@
 	entry.quarantine = quarantiner.New(quarantiner.WithVerdicts(entry.journal.heldOff, entry.journal.released), quarantiner.WithCounts(settings.Suspecting))
 	self := definer.Member{VM: settings.VM, Incarnation: definer.Incarnation(time.Now().UnixNano())}
 	entry.messenger = messenger.New(self, settings.DataCentre, entry.receive, messenger.WithReports(entry.journal.report))
-	clock := timekeeper.New(timekeeper.System())
+	clock := timekeeper.New(timekeeper.SystemClock())
 	entry.informer = informer.New(entry.peer(), feeds, choice, entry.messenger, append(entry.informerOptions(), informer.WithIncarnation(self.Incarnation), informer.WithClock(clock))...)
 	entry.throttler = throttler.New(entry.peer(), entry.informer, entry.messenger, entry.announcer, entry.throttlerOptions()...)
 	entry.takeDuties(self, clock, choice)
@@ -185,7 +185,7 @@
 	if duties.Platform == nil {
 		return
 	}
-	entry.steward = steward.New(self, duties.Settings, steward.Parts{
+	entry.steward = steward.New(self, duties.Settings, steward.Dependencies{
 		Fleet: entry.informer, Clock: clock, Sender: entry.messenger, Shelf: duties.Shelf, Platform: duties.Platform,
 		Services: entry.informer, Engines: entry.informer.Upstreams(), Demand: choice, Log: entry.journal.event, Observe: duties.Observe,
 	})
@@ -194,7 +194,7 @@
 // begun counts a request that has begun at an upstream.
 func (entry *Entry) begun(organisation definer.OrganisationName) {
 	if entry.steward != nil {
-		entry.steward.Begun(organisation)
+		entry.steward.CountRequest(organisation)
 	}
 }
 
@@ -212,9 +212,9 @@
 
 // informerOptions returns those of the informer by the settings.
 func (entry *Entry) informerOptions() []informer.Option {
-	options := []informer.Option{informer.WithLog(entry.journal.event), informer.WithChanges(entry.upstreamChanged), informer.WithSuspicions(entry.quarantine), informer.WithAnnouncements(entry.announcer)}
+	options := []informer.Option{informer.WithLog(entry.journal.event), informer.WithUpstreamChanged(entry.upstreamChanged), informer.WithSuspicions(entry.quarantine), informer.WithAnnouncements(entry.announcer)}
 	if entry.settings.Asking != nil {
-		options = append(options, informer.WithAsking(entry.settings.Asking))
+		options = append(options, informer.WithAskingChanged(entry.settings.Asking))
 	}
 	if entry.settings.Delegation {
 		options = append(options, informer.WithDelegation(entry.settings.Revocation, entry.settings.First))
@@ -251,7 +251,7 @@
 	if !announcement.Leaving {
 		return
 	}
-	if change := entry.informer.Upstreams().Leave(start); change != nil {
+	if change := entry.informer.Upstreams().MarkLeaving(start); change != nil {
 		upstream := change.Upstream
 		entry.journal.event(logger.EventUpstreamChanged, "upstream", upstream.ID, "service", upstream.Service, "address", upstream.Address,
 			"dataCentre", upstream.DataCentre, "leaving", upstream.Leaving, "removed", false, "revision", upstream.Revision, "source", "itself")
@@ -263,9 +263,9 @@
 	if !change.Removed && change.Upstream.Incarnation > 0 {
 		entry.forwarder.UpstreamStarted(change.Upstream.Start())
 	}
-	if change.Earlier != nil {
-		entry.connector.Drop(change.Earlier.Address)
-		entry.announcer.Forget(change.Earlier.Start())
+	if change.Replaced != nil {
+		entry.connector.Drop(change.Replaced.Address)
+		entry.announcer.Forget(change.Replaced.Start())
 	}
 }
 
--- a/estimator/estimator.go
+++ b/estimator/estimator.go
@@ -105,9 +105,9 @@
 	lengthStatistics.newerSum = 0
 }
 
-// Output returns the expected number of output tokens of a new request. While fewer
+// ExpectedOutput returns the expected number of output tokens of a new request. While fewer
 // than trustedAnswers are known, defaultTokens stands for each missing one.
-func (estimator *Estimator) Output(class definer.ClassName, model string) float64 {
+func (estimator *Estimator) ExpectedOutput(class definer.ClassName, model string) float64 {
 	found, ok := estimator.lengths[key{class: class, model: model}]
 	if !ok {
 		return defaultTokens
@@ -116,10 +116,10 @@
 	return (found.olderSum + defaultTokens*doubt) / (found.olderCount + doubt)
 }
 
-// Remainder returns the expected number of further output tokens of a request that
+// ExpectedRemainder returns the expected number of further output tokens of a request that
 // has produced the given number, from the earlier answers that were longer. If too
 // few answers are known, or none was longer, it starts from defaultTokens.
-func (estimator *Estimator) Remainder(class definer.ClassName, model string, produced int) float64 {
+func (estimator *Estimator) ExpectedRemainder(class definer.ClassName, model string, produced int) float64 {
 	found, ok := estimator.lengths[key{class: class, model: model}]
 	if !ok || found.olderCount < trustedAnswers {
 		return remainder(defaultTokens, produced)
--- a/estimator/estimator_test.go
+++ b/estimator/estimator_test.go
@@ -41,9 +41,9 @@
 			for range 900 {
 				estimator.Learn(time.Unix(0, 0), "draft", "small", test.draw())
 			}
-			assertNear(t, "the output", estimator.Output("draft", "small"), test.mean, 0.15)
-			assertNear(t, "the remainder after 110", estimator.Remainder("draft", "small", 110), test.afterHundred, 0.2)
-			assertNear(t, "the remainder after more", estimator.Remainder("draft", "small", test.more), test.afterMore, 0.25)
+			assertNear(t, "the output", estimator.ExpectedOutput("draft", "small"), test.mean, 0.15)
+			assertNear(t, "the remainder after 110", estimator.ExpectedRemainder("draft", "small", 110), test.afterHundred, 0.2)
+			assertNear(t, "the remainder after more", estimator.ExpectedRemainder("draft", "small", test.more), test.afterMore, 0.25)
 		})
 	}
 }
@@ -62,7 +62,7 @@
 					estimator.Learn(now, "draft", "small", tokens)
 				}
 			}
-			assertNear(t, "the output", estimator.Output("draft", "small"), 100, 0.1)
+			assertNear(t, "the output", estimator.ExpectedOutput("draft", "small"), 100, 0.1)
 			assertNear(t, "the median", estimator.Quantile("draft", "small", 0.5), 100, 0.1)
 		})
 	}
@@ -70,11 +70,11 @@
 
 func TestUnknownLengthsHaveAUsualOne(t *testing.T) {
 	estimator := New()
-	assert.Equal(t, estimator.Output("draft", "small"), float64(defaultTokens))
-	assert.Equal(t, estimator.Remainder("draft", "small", 56), float64(200))
+	assert.Equal(t, estimator.ExpectedOutput("draft", "small"), float64(defaultTokens))
+	assert.Equal(t, estimator.ExpectedRemainder("draft", "small", 56), float64(200))
 	assert.Equal(t, estimator.Quantile("draft", "small", 0.9), float64(defaultTokens))
 	estimator.Learn(time.Unix(0, 0), "draft", "small", 10_000)
-	assert.Assert(t, estimator.Output("draft", "small") < 2000, "one answer does not decide")
+	assert.Assert(t, estimator.ExpectedOutput("draft", "small") < 2000, "one answer does not decide")
 	for index := range 2 * maxKeys {
 		estimator.Learn(time.Unix(0, 0), definer.ClassName(fmt.Sprint(index)), "small", 5)
 	}
@@ -90,8 +90,8 @@
 			estimator.Learn(time.Unix(0, 0), "draft", "small", tokens)
 		}
 		produced := rapid.IntRange(0, 1<<20).Draw(check, "produced")
-		assert.Assert(check, estimator.Remainder("draft", "small", produced) > 0)
-		assert.Assert(check, estimator.Output("draft", "small") >= 1)
+		assert.Assert(check, estimator.ExpectedRemainder("draft", "small", produced) > 0)
+		assert.Assert(check, estimator.ExpectedOutput("draft", "small") >= 1)
 		assert.Assert(check, estimator.Quantile("draft", "small", 0.5) <= estimator.Quantile("draft", "small", 0.95))
 	})
 }
--- a/exchanger/announcements.go
+++ b/exchanger/announcements.go
@@ -11,17 +11,19 @@
 // accept and whether they are about to stop, and exchanges it with peers. Its methods may
 // be called while the lock of the Exchanger is held.
 type Announcements interface {
-	// Tell returns the announcements for the next report of the scope.
-	Tell(now time.Time, scope messenger.LoadScope) []messenger.UpstreamAnnouncement
+	// NextReport returns the announcements for the next report of the scope.
+	NextReport(now time.Time, scope messenger.LoadScope) []messenger.UpstreamAnnouncement
 	// Learn stores the announcements in the report of a peer.
 	Learn(now time.Time, from definer.VM, announcements []messenger.UpstreamAnnouncement)
 }
 
-// unannounced is the default Announcements; it exchanges none.
-type unannounced struct{}
+// noAnnouncements is the default Announcements; it exchanges none.
+type noAnnouncements struct{}
 
-// Tell returns no announcements.
-func (unannounced) Tell(time.Time, messenger.LoadScope) []messenger.UpstreamAnnouncement { return nil }
+// NextReport returns no announcements.
+func (noAnnouncements) NextReport(time.Time, messenger.LoadScope) []messenger.UpstreamAnnouncement {
+	return nil
+}
 
 // Learn ignores the announcements.
-func (unannounced) Learn(time.Time, definer.VM, []messenger.UpstreamAnnouncement) {}
+func (noAnnouncements) Learn(time.Time, definer.VM, []messenger.UpstreamAnnouncement) {}
--- a/exchanger/benchmark_test.go
+++ b/exchanger/benchmark_test.go
@@ -40,7 +40,7 @@
 		candidates = append(candidates, &registrar.Upstream{ID: load.Upstream, Service: "pool", Slots: 12})
 	}
 	for range engines {
-		_, _ = choice.Choose(now, &selector.Demand{Service: "pool", Kind: "k", Candidates: candidates, Engine: true, PromptTokens: 2000, OutputTokens: 100, TimeLeft: time.Minute})
+		_, _ = choice.Choose(now, &selector.Demand{Service: "pool", Rule: "k", Candidates: candidates, Engine: true, PromptTokens: 2000, OutputTokens: 100, TimeLeft: time.Minute})
 	}
 	sent := 0
 	for b.Loop() {
--- a/exchanger/clock.go
+++ b/exchanger/clock.go
@@ -11,37 +11,37 @@
 // in, as precisely as the clocks of VMs allow. Its methods may be called while the lock
 // of the Exchanger is held.
 type Clock interface {
-	// Own returns the time by this VM's clock alone.
-	Own() time.Time
+	// VMTime returns the time by this VM's clock alone.
+	VMTime() time.Time
 	// Now returns the time estimated from the clocks of this VM and of the peers that
 	// report to it.
 	Now() time.Time
-	// Hear stores the time that a peer's own clock showed.
-	Hear(from definer.VM, shown time.Time)
-	// Follow stores the time as estimated by this node's aggregator.
-	Follow(estimated time.Time)
+	// RecordPeerClock stores the time that a peer's own clock showed.
+	RecordPeerClock(from definer.VM, shown time.Time)
+	// RecordAggregatorTime stores the time as estimated by this node's aggregator.
+	RecordAggregatorTime(estimated time.Time)
 }
 
-// unclocked is the default Clock; reports then carry no time.
-type unclocked struct{}
+// noClock is the default Clock; reports then carry no time.
+type noClock struct{}
 
-// Own returns the zero time.
-func (unclocked) Own() time.Time { return time.Time{} }
+// VMTime returns the zero time.
+func (noClock) VMTime() time.Time { return time.Time{} }
 
 // Now returns the zero time.
-func (unclocked) Now() time.Time { return time.Time{} }
+func (noClock) Now() time.Time { return time.Time{} }
 
-// Hear ignores the time.
-func (unclocked) Hear(definer.VM, time.Time) {}
+// RecordPeerClock ignores the time.
+func (noClock) RecordPeerClock(definer.VM, time.Time) {}
 
-// Follow ignores the time.
-func (unclocked) Follow(time.Time) {}
+// RecordAggregatorTime ignores the time.
+func (noClock) RecordAggregatorTime(time.Time) {}
 
 // setClock sets the time in a report. Reports between members and aggregators carry the
 // clock of the sender, reports of aggregators to their members the time estimated from
 // all clocks. The mutex is held.
 func (exchanger *Exchanger) setClock(report *messenger.LoadReport) {
-	shown := exchanger.clock.Own()
+	shown := exchanger.clock.VMTime()
 	if report.Scope == messenger.FleetLoad {
 		shown = exchanger.clock.Now()
 	}
@@ -57,8 +57,8 @@
 	}
 	shown := time.Unix(0, int64(report.Clock))
 	if report.Scope == messenger.FleetLoad {
-		exchanger.clock.Follow(shown)
+		exchanger.clock.RecordAggregatorTime(shown)
 		return
 	}
-	exchanger.clock.Hear(from, shown)
+	exchanger.clock.RecordPeerClock(from, shown)
 }
--- a/exchanger/compose.go
+++ b/exchanger/compose.go
@@ -65,7 +65,7 @@
 	}
 	exchanger.log(logger.EventAggregatorChanged, "to", aggregator.VM, "from", exchanger.aggregator,
 		"self", aggregator.VM == exchanger.self.VM, "peers", len(exchanger.peers), "groups", len(exchanger.groups))
-	exchanger.selector.Forget(exchanger.aggregator)
+	exchanger.selector.RemoveReport(exchanger.aggregator)
 	exchanger.fleetReport = receivedReport{}
 	exchanger.aggregator = aggregator.VM
 }
@@ -84,8 +84,8 @@
 // reportToAggregator returns the report to the aggregator of this node's group, or none
 // if this node is the aggregator. The mutex is held.
 func (exchanger *Exchanger) reportToAggregator(now time.Time) []outgoing {
-	falls := exchanger.suspicions.Tell(now, messenger.MemberLoad)
-	announcements := exchanger.announcements.Tell(now, messenger.MemberLoad)
+	falls := exchanger.suspicions.NextReport(now, messenger.MemberLoad)
+	announcements := exchanger.announcements.NextReport(now, messenger.MemberLoad)
 	if exchanger.aggregator == exchanger.self.VM {
 		exchanger.pendingReads.take(messenger.MemberLoad)
 		return nil
@@ -99,8 +99,8 @@
 // groups if this node is an aggregator, and in answer to the nodes that take it for one.
 // The mutex is held.
 func (exchanger *Exchanger) reportToGroups(now time.Time) []outgoing {
-	falls := exchanger.suspicions.Tell(now, messenger.GroupLoad)
-	announcements := exchanger.announcements.Tell(now, messenger.GroupLoad)
+	falls := exchanger.suspicions.NextReport(now, messenger.GroupLoad)
+	announcements := exchanger.announcements.NextReport(now, messenger.GroupLoad)
 	aggregators := exchanger.aggregatorTargets(now)
 	var askers []definer.VM
 	for vm, other := range exchanger.groupReports {
@@ -231,9 +231,9 @@
 	knowsNoPeers := positions.Peers.UpTo == 0
 	switch {
 	case knowsNoPeers || exchanger.isFirstLeader || exchanger.inOwnDataCentre(vm):
-		return exchanger.knowledge.Since(positions, LargeNews)
+		return exchanger.knowledge.MissingEntries(positions, LargeNews)
 	case exchanger.isLeader:
-		return exchanger.knowledge.Since(positions, SmallNews)
+		return exchanger.knowledge.MissingEntries(positions, SmallNews)
 	}
 	return nil
 }
@@ -256,8 +256,8 @@
 // reportToMembers returns a report to each member on the load of all other nodes. The
 // mutex is held.
 func (exchanger *Exchanger) reportToMembers(now time.Time) []outgoing {
-	falls := exchanger.suspicions.Tell(now, messenger.FleetLoad)
-	announcements := exchanger.announcements.Tell(now, messenger.FleetLoad)
+	falls := exchanger.suspicions.NextReport(now, messenger.FleetLoad)
+	announcements := exchanger.announcements.NextReport(now, messenger.FleetLoad)
 	messages := exchanger.introduceToMembers(now)
 	if len(exchanger.memberReports) == 0 {
 		exchanger.pendingReads.take(messenger.FleetLoad)
@@ -285,7 +285,7 @@
 // relative to when it received a report, or nil if the store has confirmed none. The
 // mutex is held.
 func (exchanger *Exchanger) confirmationFor(member receivedReport) *messenger.Confirmation {
-	version, at := exchanger.confirmations.Direct()
+	version, at := exchanger.confirmations.StoreConfirmation()
 	if at.IsZero() {
 		return nil
 	}
--- a/exchanger/exchanger.go
+++ b/exchanger/exchanger.go
@@ -70,7 +70,7 @@
 // expired reports whether the report is too old to count. A sender whose report has
 // expired is sent no report in return.
 func (received receivedReport) expired(now time.Time) bool {
-	return now.Sub(received.receivedAt) > selector.ReportLife
+	return now.Sub(received.receivedAt) > selector.ReportLifetime
 }
 
 // Option sets an optional property of an Exchanger.
@@ -152,8 +152,8 @@
 	// is the aggregator's name, this node's own if it is the aggregator.
 	fleetReport receivedReport
 	aggregator  definer.VM
-	// isLeader and isFirstLeader are Leads and First of the last Standing that was
-	// returned.
+	// isLeader and isFirstLeader are IsLeader and IsFirstLeader of the last Standing that
+	// was returned.
 	isLeader      bool
 	isFirstLeader bool
 	// pendingReads holds the readings to include in the next reports of each scope.
@@ -166,10 +166,10 @@
 		self:          self,
 		selector:      selector,
 		sender:        sender,
-		confirmations: unconfirmed{},
-		suspicions:    unsuspecting{},
-		announcements: unannounced{},
-		clock:         unclocked{},
+		confirmations: noConfirmations{},
+		suspicions:    noSuspicions{},
+		announcements: noAnnouncements{},
+		clock:         noClock{},
 		log:           func(int, ...any) {},
 		start:         time.Now(),
 		peers:         make(map[definer.VM]Peer),
@@ -242,15 +242,15 @@
 	return exchanger.nodes, exchanger.listLoaded
 }
 
-// Count returns the number of other nodes on the list.
-func (exchanger *Exchanger) Count() int {
+// PeerCount returns the number of other nodes on the list.
+func (exchanger *Exchanger) PeerCount() int {
 	exchanger.mutex.Lock()
 	defer exchanger.mutex.Unlock()
 	return len(exchanger.peers)
 }
 
-// Address returns the address of a peer and whether it is on the list.
-func (exchanger *Exchanger) Address(vm definer.VM) (address string, listed bool) {
+// PeerAddress returns the address of a peer and whether it is on the list.
+func (exchanger *Exchanger) PeerAddress(vm definer.VM) (address string, listed bool) {
 	exchanger.mutex.Lock()
 	defer exchanger.mutex.Unlock()
 	peer, listed := exchanger.peers[vm]
@@ -265,7 +265,7 @@
 	}
 	if exchanger.knowledge != nil && report.News != nil {
 		// Entries go first: the confirmation in the same report may rest on them.
-		exchanger.knowledge.Take(report.News)
+		exchanger.knowledge.Apply(report.News)
 	}
 	exchanger.addFirstPeer(Peer{VM: from.VM, DataCentre: dataCentre, Address: report.Address})
 	exchanger.receive(time.Now(), from, report)
@@ -311,7 +311,7 @@
 		exchanger.readClock(from, report)
 		exchanger.pendingReads.add(report.Reads, messenger.FleetLoad)
 	}
-	exchanger.selector.Learn(now, from, report, len(exchanger.peers))
+	exchanger.selector.ApplyReport(now, from, report, len(exchanger.peers))
 }
 
 // learnConfirmation passes on a confirmation by any peer; it is valid for every node. It
--- a/exchanger/exchanger_test.go
+++ b/exchanger/exchanger_test.go
@@ -32,7 +32,7 @@
 		{VM: "third", DataCentre: "north", Address: "third"},
 	})
 	exchange.Apply([]exchanger.PeerChange{{Peer: exchanger.Peer{VM: "gone"}, Removed: true}})
-	assert.Equal(t, exchange.Count(), 2)
+	assert.Equal(t, exchange.PeerCount(), 2)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
--- a/exchanger/fleet_test.go
+++ b/exchanger/fleet_test.go
@@ -51,7 +51,7 @@
 func (fleet *fleet) start(peer Peer) {
 	choice := selector.New(peer.DataCentre)
 	_, err := choice.Choose(fleet.now, &selector.Demand{
-		Service: "pool", Kind: "rule", Engine: true, PromptTokens: 100,
+		Service: "pool", Rule: "rule", Engine: true, PromptTokens: 100,
 		Candidates: []*registrar.Upstream{{ID: engine, Service: "pool", Slots: 8}},
 		Parts:      []selector.Part{{ID: "read-by-" + string(peer.VM), Tokens: 50}},
 	})
@@ -127,7 +127,7 @@
 
 // settleIntervals is long enough for nodes that do not respond to be skipped and for
 // their last reports to expire.
-const settleIntervals = int((replyTimeout + selector.ReportLife) / interval * 2)
+const settleIntervals = int((replyTimeout + selector.ReportLifetime) / interval * 2)
 
 func TestEachNodeKnowsOfAllOthers(t *testing.T) {
 	for _, sizes := range [][]int{{1}, {1, 1}, {2, 3, 2, 1}, {16, 17, 20, 18}, {78, 78, 78, 78, 78}} {
@@ -150,7 +150,7 @@
 	for _, reader := range fleet.order {
 		for _, peer := range fleet.order {
 			assignment, err := fleet.nodes[peer.VM].selector.Choose(fleet.now, &selector.Demand{
-				Service: "pool", Kind: "rule", Engine: true, PromptTokens: 100,
+				Service: "pool", Rule: "rule", Engine: true, PromptTokens: 100,
 				Candidates: []*registrar.Upstream{{ID: engine, Service: "pool", Slots: 8}},
 				Parts:      []selector.Part{{ID: "read-by-" + string(reader.VM), Tokens: 50}},
 			})
@@ -241,7 +241,7 @@
 	learnt  []time.Time
 }
 
-func (confirmations *confirmations) Direct() (uint64, time.Time) {
+func (confirmations *confirmations) StoreConfirmation() (uint64, time.Time) {
 	return confirmations.version, confirmations.at
 }
 
--- a/exchanger/knowledge.go
+++ b/exchanger/knowledge.go
@@ -7,12 +7,12 @@
 type Knowledge interface {
 	// Positions returns up to where the entries are known.
 	Positions() messenger.Positions
-	// Since returns the entries that a node at the positions lacks, as far as they fit
+	// MissingEntries returns the entries that a node at the positions lacks, as far as they fit
 	// into a message of the size, or nil if it lacks none. It may be called while the
 	// lock of the Exchanger is held.
-	Since(positions messenger.Positions, size NewsSize) *messenger.News
-	// Take stores the entries that a peer sent.
-	Take(news *messenger.News)
+	MissingEntries(positions messenger.Positions, size NewsSize) *messenger.News
+	// Apply stores the entries that a peer sent.
+	Apply(news *messenger.News)
 }
 
 // NewsSize says how many of the entries that a node lacks are sent in one message.
--- a/exchanger/knowledge_test.go
+++ b/exchanger/knowledge_test.go
@@ -17,14 +17,14 @@
 	return messenger.Positions{Peers: chronicler.Position{UpTo: knowledge.upTo}}
 }
 
-func (knowledge *fakeKnowledge) Since(positions messenger.Positions, _ NewsSize) *messenger.News {
+func (knowledge *fakeKnowledge) MissingEntries(positions messenger.Positions, _ NewsSize) *messenger.News {
 	if positions.Peers.UpTo >= knowledge.upTo {
 		return nil
 	}
 	return &messenger.News{Peers: &chronicler.Excerpt[messenger.PeerEntry]{From: positions.Peers.UpTo, To: knowledge.upTo}}
 }
 
-func (knowledge *fakeKnowledge) Take(news *messenger.News) {
+func (knowledge *fakeKnowledge) Apply(news *messenger.News) {
 	knowledge.upTo = max(knowledge.upTo, news.Peers.To)
 }
 
@@ -43,7 +43,7 @@
 func (fleet *fleet) stepWithNews(intervals int) {
 	fleet.onDelivery = func(to definer.VM, report *messenger.LoadReport) {
 		if report.News != nil {
-			fleet.nodes[to].knowledge.Take(report.News)
+			fleet.nodes[to].knowledge.Apply(report.News)
 			fleet.nodes[to].Replace(fleet.order)
 		}
 	}
@@ -103,12 +103,12 @@
 				continue
 			}
 			standing := node.Standing(fleet.now)
-			assert.Check(t, standing.Leads == (lead[peer.DataCentre] == peer.VM), "%s: %+v", peer.VM, standing)
-			assert.Check(t, standing.Heard, "%s", peer.VM)
-			if standing.First {
+			assert.Check(t, standing.IsLeader == (lead[peer.DataCentre] == peer.VM), "%s: %+v", peer.VM, standing)
+			assert.Check(t, standing.HasReports, "%s", peer.VM)
+			if standing.IsFirstLeader {
 				firsts++
 			}
-			if standing.Aggregates && peer.DataCentre == "1" {
+			if standing.IsAggregator && peer.DataCentre == "1" {
 				other, taken := ranks[standing.Rank]
 				assert.Check(t, !taken, "%s and %s have rank %d", other, peer.VM, standing.Rank)
 				ranks[standing.Rank] = peer.VM
--- a/exchanger/precedence.go
+++ b/exchanger/precedence.go
@@ -29,8 +29,8 @@
 	Seniors []Peer
 	// Audience are the nodes that are sent the state of a duty.
 	Audience []Peer
-	// Listed is the number of nodes on the list, this one included.
-	Listed int
+	// NodeCount is the number of nodes on the list, this one included.
+	NodeCount int
 }
 
 // Precedence returns the rank of this node. Each node derives it from the list of nodes
@@ -43,7 +43,7 @@
 	own := exchanger.groups[exchanger.ownGroup]
 	aggregator := exchanger.aggregatorOf(now, own)
 	aggregates := aggregator.VM == exchanger.self.VM
-	precedence := Precedence{Eligible: aggregates, Listed: len(exchanger.peers) + 1}
+	precedence := Precedence{Eligible: aggregates, NodeCount: len(exchanger.peers) + 1}
 	before, others := exchanger.otherAggregators(now, passedOver)
 	precedence.Rank = before
 	if aggregates {
--- a/exchanger/standing.go
+++ b/exchanger/standing.go
@@ -7,18 +7,18 @@
 
 // Standing is the role of a node among those that query the store on behalf of others.
 type Standing struct {
-	// Leads is set for the leader of a data centre, which queries the store for it: the
+	// IsLeader is set for the leader of a data centre, which queries the store for it: the
 	// aggregator of the first of its groups that has one.
-	Leads bool
-	// Aggregates is set for the aggregator of a group.
-	Aggregates bool
-	// First is set for a leader if no data centre that sorts before its own has one.
-	First bool
+	IsLeader bool
+	// IsAggregator is set for the aggregator of a group.
+	IsAggregator bool
+	// IsFirstLeader is set for a leader if no data centre that sorts before its own has one.
+	IsFirstLeader bool
 	// Rank is the position among the aggregators: leaders come first, by data centre,
 	// then the other aggregators of each data centre.
 	Rank int
-	// Heard is set while this node receives reports of peers.
-	Heard bool
+	// HasReports is set while this node receives reports of peers.
+	HasReports bool
 }
 
 // Standing returns the role of this node. Each node derives it from the list of nodes and
@@ -29,16 +29,16 @@
 	defer exchanger.mutex.Unlock()
 	exchanger.dropExpired(now)
 	standing := Standing{
-		Aggregates: exchanger.aggregatorOf(now, exchanger.groups[exchanger.ownGroup]).VM == exchanger.self.VM,
-		Heard:      exchanger.fleetReport.report != nil || len(exchanger.memberReports)+len(exchanger.groupReports) > 0,
+		IsAggregator: exchanger.aggregatorOf(now, exchanger.groups[exchanger.ownGroup]).VM == exchanger.self.VM,
+		HasReports:   exchanger.fleetReport.report != nil || len(exchanger.memberReports)+len(exchanger.groupReports) > 0,
 	}
 	present := func(group group) bool { return exchanger.isPresent(now, group) }
 	before, earlier := exchanger.precedingGroups()
-	standing.Leads = standing.Aggregates && len(exchanger.peers) > 0 && !slices.ContainsFunc(earlier, present)
-	standing.First = standing.Leads && !slices.ContainsFunc(before, present)
-	exchanger.isLeader, exchanger.isFirstLeader = standing.Leads, standing.First
+	standing.IsLeader = standing.IsAggregator && len(exchanger.peers) > 0 && !slices.ContainsFunc(earlier, present)
+	standing.IsFirstLeader = standing.IsLeader && !slices.ContainsFunc(before, present)
+	exchanger.isLeader, exchanger.isFirstLeader = standing.IsLeader, standing.IsFirstLeader
 	standing.Rank = countDataCentres(before)
-	if !standing.Leads {
+	if !standing.IsLeader {
 		standing.Rank = countDataCentres(exchanger.groups) + len(earlier)
 	}
 	return standing
--- a/exchanger/suspicion_test.go
+++ b/exchanger/suspicion_test.go
@@ -142,11 +142,11 @@
 			world.start(late)
 			world.start(first)
 			for _, node := range []*member{late, first} {
-				assert.Equal(t, node.suspects.Check(world.now, identityOf("guilty 0")).Left, time.Duration(0))
+				assert.Equal(t, node.suspects.Check(world.now, identityOf("guilty 0")).HeldFor, time.Duration(0))
 			}
 			world.play(propagationBound, func() {})
 			for _, node := range []*member{late, first} {
-				assert.Assert(t, node.suspects.Check(world.now, identityOf("guilty 0")).Left > 0, "%s", node.peer.VM)
+				assert.Assert(t, node.suspects.Check(world.now, identityOf("guilty 0")).HeldFor > 0, "%s", node.peer.VM)
 			}
 		})
 	}
@@ -166,12 +166,12 @@
 				identity := identityOf(fmt.Sprint("guilty ", count))
 				teller := world.pick()
 				for _, upstream := range world.upstreams[:crashesUntilHeld] {
-					teller.suspects.Fell(world.now, upstream.start, identity)
+					teller.suspects.RecordCrash(world.now, upstream.start, identity)
 				}
 				told := world.now
 				world.play(time.Duration(400+world.random.IntN(25)*4)*time.Millisecond, func() {
 					for _, node := range world.nodes {
-						if node.suspects.Doubts(identity) < crashesUntilHeld {
+						if node.suspects.UnclearedCrashes(identity) < crashesUntilHeld {
 							all = max(all, world.now.Sub(told))
 						}
 					}
--- a/exchanger/world_test.go
+++ b/exchanger/world_test.go
@@ -221,16 +221,16 @@
 		switch {
 		case run.upstream.start != run.start:
 			// The upstream has crashed during the run.
-			run.node.suspects.Fell(world.now, run.start, run.identity)
+			run.node.suspects.RecordCrash(world.now, run.start, run.identity)
 		case run.ends.After(world.now):
 			left = append(left, run)
 		case run.crashes:
 			world.end(run.upstream)
 			outcome := world.guilty[run.identity]
 			outcome.crashes = append(outcome.crashes, world.now)
-			run.node.suspects.Fell(world.now, run.start, run.identity)
+			run.node.suspects.RecordCrash(world.now, run.start, run.identity)
 		default:
-			run.node.suspects.Served(world.now, run.identity)
+			run.node.suspects.RecordServed(world.now, run.identity)
 			world.served++
 		}
 	}
@@ -249,11 +249,11 @@
 	key := refusalKey{node, identity}
 	outcome := world.guilty[identity]
 	verdict := node.suspects.Check(world.now, identity)
-	if verdict.Wait > 0 {
+	if verdict.RecheckAfter > 0 {
 		world.waiting = append(world.waiting, waiting{node, identity, takes})
 		return
 	}
-	if verdict.Left > 0 {
+	if verdict.HeldFor > 0 {
 		if outcome == nil {
 			world.refuse(key)
 		}
@@ -291,7 +291,7 @@
 
 // identityOf returns the identity of a request with the given text.
 func identityOf(text string) definer.RequestIdentity {
-	return quarantiner.Identify(&quarantiner.Subject{Target: text})
+	return quarantiner.Identify(&quarantiner.RequestParts{Target: text})
 }
 
 // load describes requests that crash their upstreams, each sent by several callers at
--- a/follower/confirmer.go
+++ b/follower/confirmer.go
@@ -29,9 +29,9 @@
 	return &Confirmer{holder: holder, confirmedByStore: confirmedByStore, onNewer: onNewer}
 }
 
-// Direct returns the version in force and the time up to which the store itself has
+// StoreConfirmation returns the version in force and the time up to which the store itself has
 // confirmed it. Both are zero while no configuration is in force.
-func (confirmer *Confirmer) Direct() (uint64, time.Time) {
+func (confirmer *Confirmer) StoreConfirmation() (uint64, time.Time) {
 	// The time is read before the version: a version that comes into force in
 	// between is newer than the one that the time is about.
 	at := confirmer.confirmedByStore()
@@ -63,15 +63,15 @@
 // Confirmed returns the time up to which the configuration in force is known to have
 // been the newest, from the store or from peers.
 func (confirmer *Confirmer) Confirmed() time.Time {
-	confirmedByPeers, confirmedByStore := confirmer.ByPeers(), confirmer.confirmedByStore()
+	confirmedByPeers, confirmedByStore := confirmer.ConfirmedByPeers(), confirmer.confirmedByStore()
 	if confirmedByPeers.After(confirmedByStore) {
 		return confirmedByPeers
 	}
 	return confirmedByStore
 }
 
-// ByPeers returns the time up to which peers have confirmed the configuration.
-func (confirmer *Confirmer) ByPeers() time.Time {
+// ConfirmedByPeers returns the time up to which peers have confirmed the configuration.
+func (confirmer *Confirmer) ConfirmedByPeers() time.Time {
 	confirmer.mutex.Lock()
 	defer confirmer.mutex.Unlock()
 	return confirmer.confirmedByPeers
--- a/follower/duty.go
+++ b/follower/duty.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// Look requests a lookup: a follower that is off duty lists until it has the newer
-// version that WithWanted tells of.
-func (duty *Duty) Look() {
+// RequestLookup requests a lookup: a follower that is off duty lists until it has the newer
+// version that WithNewerKnown reports.
+func (duty *Duty) RequestLookup() {
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
 	if !duty.lookupRequested {
--- a/follower/duty_test.go
+++ b/follower/duty_test.go
@@ -153,11 +153,11 @@
 			store := test.store
 			wanted := func() bool { return store.holds() < 9 }
 			runOffDuty(t, store, func(_ *follower.Follower[uint64, uint64], duty *follower.Duty) {
-				duty.Look()
+				duty.RequestLookup()
 				time.Sleep(3 * time.Second)
 				assert.DeepEqual(t, store.calls(), test.want)
 				store.locked(func() { assert.Assert(t, store.readings[0].Stale) })
-			}, follower.WithWanted[uint64, uint64](wanted))
+			}, follower.WithNewerKnown[uint64, uint64](wanted))
 		})
 	}
 }
@@ -167,14 +167,14 @@
 func TestOldAnswersAreNotTakenForWhatTheStoreSaysNow(t *testing.T) {
 	store := &dutyStore{old: 3, current: 9, late: 2 * time.Second}
 	runOffDuty(t, store, func(following *follower.Follower[uint64, uint64], duty *follower.Duty) {
-		duty.Look()
+		duty.RequestLookup()
 		time.Sleep(100 * time.Millisecond)
 		store.locked(func() { store.failing = true })
 		duty.Set(true)
 		time.Sleep(4 * time.Second)
 		assert.Assert(t, following.Confirmed().IsZero(), "confirmed up to %v", following.Confirmed())
 		assert.Assert(t, following.Failing())
-	}, follower.WithWanted[uint64, uint64](func() bool { return true }))
+	}, follower.WithNewerKnown[uint64, uint64](func() bool { return true }))
 }
 
 // TestPauseEndsWhenOthersRelyOnTheNode checks that a node in a long pause after
@@ -204,5 +204,5 @@
 		duty.Set(true)
 		time.Sleep(short)
 		assert.Assert(t, following.Healthy() && len(store.calls()) > asked)
-	}, follower.WithLongestPause[uint64, uint64](func() time.Duration { return time.Duration(longest.Load()) }))
+	}, follower.WithMaxPause[uint64, uint64](func() time.Duration { return time.Duration(longest.Load()) }))
 }
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -59,7 +59,7 @@
 )
 
 // Feed reads one kind of entries from the store. Its calls last until they are answered
-// or their context ends, and report the progress of their answers to ArrivalsOf the
+// or their context ends, and report the progress of their answers to AnswerProgressOf the
 // context. Their errors are of type Error.
 type Feed[Entry, Change any] interface {
 	// List returns all entries that can be decoded, and the store's revision.
@@ -178,11 +178,11 @@
 	return follower.failing
 }
 
-// Hurry ends a watch that has been waiting for minInterruptAge, so that the next call
-// shows whether the store answers. Callers use it when they learn from elsewhere that
+// InterruptWatch ends a watch that has been waiting for minInterruptAge, so that the next
+// call shows whether the store answers. Callers use it when they learn from elsewhere that
 // the watch may hang or that there is a newer version. A call whose answer is coming in
-// continues. Hurry is safe for concurrent use.
-func (follower *Follower[Entry, Change]) Hurry() { follower.caller.interruptWatch() }
+// continues. InterruptWatch is safe for concurrent use.
+func (follower *Follower[Entry, Change]) InterruptWatch() { follower.caller.interruptWatch() }
 
 // Done returns a channel that is closed when Run has returned.
 func (follower *Follower[Entry, Change]) Done() <-chan struct{} { return follower.done }
--- a/follower/link_test.go
+++ b/follower/link_test.go
@@ -167,9 +167,9 @@
 		if err := timer.Sleep(ctx, time.Until(store.reserve())); err != nil {
 			return follower.Fail("pass", follower.Lost, "%w", err)
 		}
-		follower.ArrivalsOf(ctx).Arrived(linkPiece)
+		follower.AnswerProgressOf(ctx).Arrived(linkPiece)
 	}
-	follower.ArrivalsOf(ctx).Received()
+	follower.AnswerProgressOf(ctx).Received()
 	store.mutex.Lock()
 	reading := store.reading
 	store.mutex.Unlock()
@@ -225,7 +225,7 @@
 	})
 }
 
-// TestHurryLeavesAnAnswerThatComesIn checks that Hurry does not make the follower
+// TestHurryLeavesAnAnswerThatComesIn checks that InterruptWatch does not make the follower
 // request an answer again that is being received.
 func TestHurryLeavesAnAnswerThatComesIn(t *testing.T) {
 	withLinkStore(t, 10*time.Second, func(t *testing.T, store *linkStore, following *follower.Follower[uint64, uint64]) {
@@ -234,7 +234,7 @@
 		store.write()
 		for range 8 {
 			time.Sleep(100 * time.Millisecond)
-			following.Hurry()
+			following.InterruptWatch()
 		}
 		time.Sleep(100 * time.Millisecond)
 		synctest.Wait()
@@ -325,7 +325,7 @@
 		for range 12 {
 			store.write()
 			time.Sleep(330 * time.Millisecond)
-			following.Hurry()
+			following.InterruptWatch()
 		}
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
@@ -333,7 +333,7 @@
 	})
 }
 
-// TestCatchesUpAfterAnyTrouble applies delays, outages, changes and calls of Hurry in
+// TestCatchesUpAfterAnyTrouble applies delays, outages, changes and calls of InterruptWatch in
 // random, overlapping order. Whatever came before, the newest version is in force 4 s
 // after the store has recovered, and no more than 4 calls were ever open.
 func TestCatchesUpAfterAnyTrouble(t *testing.T) {
@@ -351,7 +351,7 @@
 				case 3:
 					store.write()
 				case 4:
-					following.Hurry()
+					following.InterruptWatch()
 				}
 				time.Sleep(time.Duration(random.Int64N(int64(1500 * time.Millisecond))))
 			}
--- a/follower/option.go
+++ b/follower/option.go
@@ -22,10 +22,10 @@
 	return func(follower *Follower[Entry, Change]) { follower.wait = wait }
 }
 
-// WithGather sets the pause between an answer with changes and the next watch, so that
+// WithGatherPause sets the pause between an answer with changes and the next watch, so that
 // one call returns a series of changes: each call is billed. Changes may be late by the
 // pause. By default there is none.
-func WithGather[Entry, Change any](gatherPause time.Duration) Option[Entry, Change] {
+func WithGatherPause[Entry, Change any](gatherPause time.Duration) Option[Entry, Change] {
 	return func(follower *Follower[Entry, Change]) { follower.gatherPause = gatherPause }
 }
 
@@ -42,15 +42,16 @@
 	return func(follower *Follower[Entry, Change]) { follower.position = position }
 }
 
-// WithWanted sets the function that reports, while the node is off duty, whether there
-// is a newer version than the sink holds. Duty.Look starts the lookup of that version.
-func WithWanted[Entry, Change any](newerKnown func() bool) Option[Entry, Change] {
+// WithNewerKnown sets the function that reports, while the node is off duty, whether there
+// is a newer version than the sink holds. Duty.RequestLookup starts
+// the lookup of that version.
+func WithNewerKnown[Entry, Change any](newerKnown func() bool) Option[Entry, Change] {
 	return func(follower *Follower[Entry, Change]) { follower.newerKnown = newerKnown }
 }
 
-// WithLongestPause sets the bound of the pause after failures, which doubles. The
+// WithMaxPause sets the bound of the pause after failures, which doubles. The
 // default is maxBackoff.
-func WithLongestPause[Entry, Change any](maxPause func() time.Duration) Option[Entry, Change] {
+func WithMaxPause[Entry, Change any](maxPause func() time.Duration) Option[Entry, Change] {
 	return func(follower *Follower[Entry, Change]) { follower.maxPause = maxPause }
 }
 
--- a/forwarder/attempt.go
+++ b/forwarder/attempt.go
@@ -252,7 +252,7 @@
 	attempt.assignment.End(now, selector.Answered)
 	success := answer.Status >= http.StatusOK && answer.Status < http.StatusMultipleChoices
 	if success && answer.Delimited {
-		attempt.exchange.forwarder.quarantine.Served(now, attempt.exchange.result.Identity)
+		attempt.exchange.forwarder.quarantine.RecordServed(now, attempt.exchange.result.Identity)
 	}
 }
 
--- a/forwarder/fall.go
+++ b/forwarder/fall.go
@@ -19,7 +19,7 @@
 	}
 	finding := forwarder.examiner.Examine(now, upstream.Start(), upstream.Address, cause)
 	if finding.Ended() && attempt.beganRecently(now) {
-		forwarder.quarantine.Fell(finding.At, upstream.Start(), attempt.exchange.result.Identity)
+		forwarder.quarantine.RecordCrash(finding.At, upstream.Start(), attempt.exchange.result.Identity)
 	}
 	return finding.Presence
 }
@@ -33,7 +33,7 @@
 // isListed reports whether this incarnation of an upstream is listed as one that may be sent
 // requests.
 func (forwarder *Forwarder) isListed(upstream *registrar.Upstream) bool {
-	for _, listed := range forwarder.directory.Of(upstream.Service) {
+	for _, listed := range forwarder.directory.Upstreams(upstream.Service) {
 		if listed.Start() == upstream.Start() {
 			return true
 		}
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -51,10 +51,10 @@
 
 // Directory lists upstreams.
 type Directory interface {
-	// Of returns the upstreams of a service that may be sent requests.
-	Of(service definer.PoolName) []*registrar.Upstream
-	// Known reports whether the list has been read yet.
-	Known() bool
+	// Upstreams returns the upstreams of a service that may be sent requests.
+	Upstreams(service definer.PoolName) []*registrar.Upstream
+	// Loaded reports whether the list has been read yet.
+	Loaded() bool
 }
 
 // Forwarder is an http.Handler that serves callers by sending their requests to upstreams. It
@@ -198,7 +198,7 @@
 // Ready reports whether requests can be served: the configuration is known and was confirmed
 // recently, the upstreams are known, and shutdown has not begun.
 func (forwarder *Forwarder) Ready(now time.Time) bool {
-	known := forwarder.configuration.Table() != nil && forwarder.directory.Known()
+	known := forwarder.configuration.Table() != nil && forwarder.directory.Loaded()
 	return known && !forwarder.closing.Load() && forwarder.confirmed(now)
 }
 
--- a/forwarder/heldoff.go
+++ b/forwarder/heldoff.go
@@ -12,11 +12,11 @@
 func (exchange *exchange) isHeldOff(ctx context.Context) bool {
 	for {
 		verdict := exchange.forwarder.quarantine.Check(time.Now(), exchange.result.Identity)
-		exchange.holdLeft = verdict.Left
-		if verdict.Left == 0 || verdict.Wait == 0 {
-			return verdict.Left > 0
+		exchange.holdLeft = verdict.HeldFor
+		if verdict.HeldFor == 0 || verdict.RecheckAfter == 0 {
+			return verdict.HeldFor > 0
 		}
-		if timer.Sleep(ctx, verdict.Wait) != nil {
+		if timer.Sleep(ctx, verdict.RecheckAfter) != nil {
 			return false
 		}
 	}
--- a/forwarder/passage.go
+++ b/forwarder/passage.go
@@ -73,7 +73,7 @@
 		return Malformed
 	case forwarder.refusing.Load():
 		return Stopping
-	case table == nil || !forwarder.directory.Known():
+	case table == nil || !forwarder.directory.Loaded():
 		return Unconfigured
 	}
 	exchange.result.Version = table.Version()
@@ -90,7 +90,7 @@
 
 // identify computes the identity that all attempts of the same request share.
 func (exchange *exchange) identify() {
-	exchange.result.Identity = quarantiner.Identify(&quarantiner.Subject{
+	exchange.result.Identity = quarantiner.Identify(&quarantiner.RequestParts{
 		Organisation: exchange.result.Organisation,
 		Method:       exchange.request.Method,
 		Host:         exchange.request.Host,
@@ -308,9 +308,9 @@
 func (exchange *exchange) choose() (*selector.Assignment, error) {
 	demand := &selector.Demand{
 		Service:       exchange.service.Name,
-		Kind:          exchange.rule.Name,
+		Rule:          exchange.rule.Name,
 		Tier:          exchange.rule.Tier,
-		Candidates:    exchange.forwarder.directory.Of(exchange.service.Name),
+		Candidates:    exchange.forwarder.directory.Upstreams(exchange.service.Name),
 		Tried:         exchange.tried,
 		Engine:        exchange.service.Engine,
 		CacheTokens:   exchange.service.CacheTokens,
--- a/forwarder/refused_test.go
+++ b/forwarder/refused_test.go
@@ -26,7 +26,7 @@
 			})
 			assert.NilError(t, err)
 			assignment, err := harness.selector.Choose(time.Now(), &selector.Demand{
-				Service: "pool", Kind: "once", Engine: true, Candidates: harness.upstreams,
+				Service: "pool", Rule: "once", Engine: true, Candidates: harness.upstreams,
 				Parts: []selector.Part{{ID: "p1", Tokens: 800}}, PromptTokens: 820,
 			})
 			assert.NilError(t, err)
--- a/forwarder/world_test.go
+++ b/forwarder/world_test.go
@@ -60,8 +60,8 @@
 func (harness *harness) Table() *router.Table { return harness.table }
 func (harness *harness) Confirmed() time.Time { return harness.confirmed }
 func (harness *harness) Healthy() bool        { return harness.healthy }
-func (harness *harness) Known() bool          { return true }
-func (harness *harness) Of(definer.PoolName) []*registrar.Upstream {
+func (harness *harness) Loaded() bool         { return true }
+func (harness *harness) Upstreams(definer.PoolName) []*registrar.Upstream {
 	harness.mutex.Lock()
 	defer harness.mutex.Unlock()
 	return harness.upstreams
--- a/informer/delegation.go
+++ b/informer/delegation.go
@@ -91,21 +91,21 @@
 	}
 	standing := informer.exchanger.Standing(now)
 	situation := delegator.Situation{
-		Leads:            standing.Leads,
-		First:            standing.First,
-		Aggregates:       standing.Aggregates,
+		Leads:            standing.IsLeader,
+		First:            standing.IsFirstLeader,
+		Aggregates:       standing.IsAggregator,
 		Rank:             standing.Rank,
-		HearsPeers:       standing.Heard,
+		HearsPeers:       standing.HasReports,
 		Confirmed:        informer.Confirmed(),
-		ConfirmedByPeers: informer.confirmer.ByPeers(),
+		ConfirmedByPeers: informer.confirmer.ConfirmedByPeers(),
 	}
 	informer.retryDelayLimit.Store(int64(delegator.MaxRetryDelay(situation)))
 	informer.keepsFresh.Store(informer.delegator.KeepsFresh(now, situation))
 	asks := informer.delegator.Asks(now, situation)
 	if asks != informer.duties.configurations.On() {
 		informer.askingChanged(asks)
-		informer.log(logger.EventStoreAsker, "asks", asks, "leads", standing.Leads, "aggregates", standing.Aggregates,
-			"rank", standing.Rank, "heard", standing.Heard, "confirmedAgoMs", now.Sub(situation.Confirmed).Milliseconds())
+		informer.log(logger.EventStoreAsker, "asks", asks, "leads", standing.IsLeader, "aggregates", standing.IsAggregator,
+			"rank", standing.Rank, "heard", standing.HasReports, "confirmedAgoMs", now.Sub(situation.Confirmed).Milliseconds())
 	}
 	informer.duties.configurations.Set(asks)
 	informer.duties.entries.Set(asks && !informer.configurations.Failing())
@@ -150,18 +150,18 @@
 // is valid for all nodes.
 type confirmationRelay struct{ informer *Informer }
 
-// Direct returns the newest known version and the latest time at which it was confirmed;
-// the time is zero if it never was. A version that a peer confirmed and that this node
+// StoreConfirmation returns the newest known version and the latest time at which it was
+// confirmed; the time is zero if it never was. A version that a peer confirmed and that this node
 // still lacks is forwarded too, since other nodes may fetch it sooner. A confirmation by
 // the store itself counts only while the lists of upstreams and nodes are followed as
 // well: a node that relies on this node's confirmation leaves reading those lists to it.
-func (relay confirmationRelay) Direct() (uint64, time.Time) {
+func (relay confirmationRelay) StoreConfirmation() (uint64, time.Time) {
 	informer := relay.informer
 	if confirmation := informer.peerConfirmation.Load(); confirmation.version > informer.version() {
 		return confirmation.version, confirmation.at
 	}
 	// The time is read before the version: a version applied in between is newer.
-	at := informer.confirmer.ByPeers()
+	at := informer.confirmer.ConfirmedByPeers()
 	if direct := informer.configurations.Confirmed(); direct.After(at) && informer.upstreams.Healthy() && informer.peers.Healthy() {
 		at = direct
 	}
--- a/informer/following.go
+++ b/informer/following.go
@@ -65,8 +65,8 @@
 func (informer *Informer) followConfigurations(feed follower.Feed[router.Definition, router.Definition]) {
 	informer.configurations = follower.New(feed, configurationSink{informer},
 		follower.WithDuty[router.Definition, router.Definition](informer.duties.configurations),
-		follower.WithWanted[router.Definition, router.Definition](informer.wantsConfiguration),
-		follower.WithLongestPause[router.Definition, router.Definition](informer.maxRetryDelay),
+		follower.WithNewerKnown[router.Definition, router.Definition](informer.wantsConfiguration),
+		follower.WithMaxPause[router.Definition, router.Definition](informer.maxRetryDelay),
 		follower.WithWait[router.Definition, router.Definition](informer.configurationWait),
 		follower.WithReports[router.Definition, router.Definition](informer.handleConfigurationOutage, informer.logRecovery("configuration")))
 	informer.confirmer = follower.NewConfirmer(informer.holder, informer.configurations.Confirmed, informer.handleNewerVersion)
@@ -81,9 +81,9 @@
 	informer.peers = follower.New(feed, sink,
 		follower.WithDuty[exchanger.Peer, exchanger.PeerChange](informer.duties.entries),
 		follower.WithPosition[exchanger.Peer, exchanger.PeerChange](informer.knowledge.knownPeers),
-		follower.WithLongestPause[exchanger.Peer, exchanger.PeerChange](informer.maxRetryDelay),
+		follower.WithMaxPause[exchanger.Peer, exchanger.PeerChange](informer.maxRetryDelay),
 		follower.WithWait[exchanger.Peer, exchanger.PeerChange](func() time.Duration { return peerWait }),
-		follower.WithGather[exchanger.Peer, exchanger.PeerChange](peerGather),
+		follower.WithGatherPause[exchanger.Peer, exchanger.PeerChange](peerGather),
 		follower.WithReports[exchanger.Peer, exchanger.PeerChange](informer.logOutage("peers"), informer.logRecovery("peers")))
 }
 
@@ -96,9 +96,9 @@
 	informer.upstreams = follower.New(feed, sink,
 		follower.WithDuty[registrar.Upstream, registrar.Change](informer.duties.entries),
 		follower.WithPosition[registrar.Upstream, registrar.Change](informer.knowledge.knownUpstreams),
-		follower.WithLongestPause[registrar.Upstream, registrar.Change](informer.maxRetryDelay),
+		follower.WithMaxPause[registrar.Upstream, registrar.Change](informer.maxRetryDelay),
 		follower.WithWait[registrar.Upstream, registrar.Change](func() time.Duration { return upstreamWait }),
-		follower.WithGather[registrar.Upstream, registrar.Change](upstreamGather),
+		follower.WithGatherPause[registrar.Upstream, registrar.Change](upstreamGather),
 		follower.WithReports[registrar.Upstream, registrar.Change](informer.logOutage("upstreams"), informer.logRecovery("upstreams")))
 }
 
@@ -107,9 +107,9 @@
 	for _, change := range changes {
 		upstream := change.Upstream
 		informer.upstreamChanged(change)
-		if change.Earlier != nil {
+		if change.Replaced != nil {
 			informer.log(logger.EventUpstreamRestarted, "upstream", upstream.ID, "incarnation", upstream.Incarnation,
-				"earlier", change.Earlier.Incarnation, "address", upstream.Address, "earlierAddress", change.Earlier.Address)
+				"earlier", change.Replaced.Incarnation, "address", upstream.Address, "earlierAddress", change.Replaced.Address)
 		}
 		informer.log(logger.EventUpstreamChanged, "upstream", upstream.ID, "service", upstream.Service,
 			"address", upstream.Address, "dataCentre", upstream.DataCentre, "leaving", upstream.Leaving,
@@ -130,7 +130,7 @@
 	switch {
 	case informer.delegator != nil && informer.keepsFresh.Load():
 		return informer.delegator.WatchWait()
-	case informer.delegator == nil && time.Since(informer.confirmer.ByPeers()) >= maxConfirmationAge:
+	case informer.delegator == nil && time.Since(informer.confirmer.ConfirmedByPeers()) >= maxConfirmationAge:
 		return follower.DefaultWait
 	}
 	return confirmedWait
@@ -141,7 +141,7 @@
 func (informer *Informer) endStaleWatch(now time.Time) {
 	age := now.Sub(informer.confirmer.Confirmed())
 	if informer.delegator == nil && age >= maxConfirmationAge || informer.keepsFresh.Load() && age >= informer.delegator.MaxAge() {
-		informer.configurations.Hurry()
+		informer.configurations.InterruptWatch()
 	}
 }
 
@@ -150,7 +150,7 @@
 func (informer *Informer) handleConfigurationOutage(outage follower.Outage) {
 	informer.logOutage("configuration")(outage)
 	if outage.Failures <= 1 {
-		informer.upstreams.Hurry()
+		informer.upstreams.InterruptWatch()
 	}
 }
 
@@ -163,7 +163,7 @@
 	if isNewer && informer.peerConfirmation.CompareAndSwap(current, &peerConfirmation{newer, at}) && newer > current.version {
 		informer.log(logger.EventConfigurationBehind, "newer", newer, "confirmedAgoMs", time.Since(informer.Confirmed()).Milliseconds(), "storeHealthy", informer.Healthy())
 	}
-	informer.configurations.Hurry()
+	informer.configurations.InterruptWatch()
 }
 
 func (informer *Informer) logOutage(feed string) func(follower.Outage) {
--- a/informer/informer.go
+++ b/informer/informer.go
@@ -135,14 +135,14 @@
 	return func(informer *Informer) { informer.clock = clock }
 }
 
-// WithAsking sets the function that is called when this node starts or stops reading the
+// WithAskingChanged sets the function that is called when this node starts or stops reading the
 // store.
-func WithAsking(asking func(asks bool)) Option {
+func WithAskingChanged(asking func(asks bool)) Option {
 	return func(informer *Informer) { informer.askingChanged = asking }
 }
 
-// WithChanges sets the function that is called for each change of the list of upstreams.
-func WithChanges(changed func(change registrar.Change)) Option {
+// WithUpstreamChanged sets the function that is called for each change of the list of upstreams.
+func WithUpstreamChanged(changed func(change registrar.Change)) Option {
 	return func(informer *Informer) { informer.upstreamChanged = changed }
 }
 
@@ -225,7 +225,7 @@
 
 // receivePart handles a part of a configuration that this node requested.
 func (informer *Informer) receivePart(from definer.Member, part *messenger.DefinitionPart) {
-	if address, listed := informer.exchanger.Address(from.VM); listed && informer.knowledge != nil {
+	if address, listed := informer.exchanger.PeerAddress(from.VM); listed && informer.knowledge != nil {
 		informer.runStep(address, informer.fetcher.addPart(time.Now(), part))
 	}
 }
@@ -240,7 +240,7 @@
 }
 
 // CountPeers returns how many other nodes are listed.
-func (informer *Informer) CountPeers() int { return informer.exchanger.Count() }
+func (informer *Informer) CountPeers() int { return informer.exchanger.PeerCount() }
 
 // Precedence returns this node's position among the nodes that may take on a duty which
 // one node holds at a time.
@@ -279,7 +279,7 @@
 			peerReadDone = nil
 			informer.updateDuties(time.Now())
 		case now := <-ticker.C:
-			changes, _ := informer.registrar.Sweep(now)
+			changes, _ := informer.registrar.RemoveLapsed(now)
 			informer.publishChanges(changes, "lapsed")
 			informer.updateDuties(now)
 			informer.endStaleWatch(now)
--- a/informer/knowledge.go
+++ b/informer/knowledge.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// Since returns the entries that a node at the positions lacks, or nil if it lacks none.
-func (knowledge *knowledge) Since(positions messenger.Positions, size exchanger.NewsSize) *messenger.News {
+// MissingEntries returns the entries that a node at the positions lacks, or nil if it lacks none.
+func (knowledge *knowledge) MissingEntries(positions messenger.Positions, size exchanger.NewsSize) *messenger.News {
 	upstreams, peers := maxUpstreams, maxPeers
 	if size == exchanger.SmallNews {
 		upstreams, peers = maxSmallNews, maxSmallNews
@@ -82,8 +82,8 @@
 	return news
 }
 
-// Take applies the entries that a peer sent.
-func (knowledge *knowledge) Take(news *messenger.News) {
+// Apply applies the entries that a peer sent.
+func (knowledge *knowledge) Apply(news *messenger.News) {
 	knowledge.upstreams.applyExcerpt(news.Upstreams)
 	knowledge.peers.applyExcerpt(news.Peers)
 }
@@ -91,7 +91,7 @@
 // applyUpstreams applies changes of the upstreams to the registrar.
 func (informer *Informer) applyUpstreams(reading chronicler.Reading[messenger.UpstreamEntry]) {
 	now := time.Now()
-	if reading.Whole {
+	if reading.Full {
 		list := make([]registrar.Upstream, 0, len(reading.All))
 		for _, record := range reading.All {
 			list = append(list, upstreamOf(record))
@@ -125,7 +125,7 @@
 
 // applyPeers applies changes of the nodes to the exchanger.
 func (informer *Informer) applyPeers(reading chronicler.Reading[messenger.PeerEntry]) {
-	if reading.Whole {
+	if reading.Full {
 		list := make([]exchanger.Peer, 0, len(reading.All))
 		for _, record := range reading.All {
 			list = append(list, peerOf(record))
--- a/informer/ledger.go
+++ b/informer/ledger.go
@@ -23,25 +23,25 @@
 
 // applyList replaces the entries by those that the store held at the revision.
 func (replica *replica[Entry]) applyList(records []chronicler.Record[Entry], revision uint64, doubted bool) {
-	replica.update(func() chronicler.Reading[Entry] { return replica.chronicler.Listed(records, revision, doubted) })
+	replica.update(func() chronicler.Reading[Entry] { return replica.chronicler.ApplyList(records, revision, doubted) })
 }
 
 // applyChanges applies changes that a watch on the store returned.
 func (replica *replica[Entry]) applyChanges(records []chronicler.Record[Entry], revision uint64) {
-	replica.update(func() chronicler.Reading[Entry] { return replica.chronicler.Watched(records, revision) })
+	replica.update(func() chronicler.Reading[Entry] { return replica.chronicler.ApplyChanges(records, revision) })
 }
 
 // applyExcerpt applies the entries that a peer sent; a nil excerpt is ignored.
 func (replica *replica[Entry]) applyExcerpt(excerpt *chronicler.Excerpt[Entry]) {
 	if excerpt != nil {
-		replica.update(func() chronicler.Reading[Entry] { return replica.chronicler.Told(*excerpt) })
+		replica.update(func() chronicler.Reading[Entry] { return replica.chronicler.ApplyExcerpt(*excerpt) })
 	}
 }
 
 func (replica *replica[Entry]) update(read func() chronicler.Reading[Entry]) {
 	replica.mutex.Lock()
 	defer replica.mutex.Unlock()
-	if reading := read(); reading.Whole || len(reading.Records) > 0 {
+	if reading := read(); reading.Full || len(reading.Records) > 0 {
 		replica.sink(reading)
 	}
 }
@@ -49,7 +49,7 @@
 // since returns the entries that a node at the position lacks, limited to the given
 // number of records, or nil if it lacks none.
 func (replica *replica[Entry]) since(position chronicler.Position, most int) *chronicler.Excerpt[Entry] {
-	excerpt, ok := replica.chronicler.Since(position, most)
+	excerpt, ok := replica.chronicler.ExcerptAfter(position, most)
 	if !ok {
 		return nil
 	}
--- a/informer/ledger_test.go
+++ b/informer/ledger_test.go
@@ -18,14 +18,14 @@
 func newNode() (*Informer, *[]registrar.Change) {
 	var changes []registrar.Change
 	informer := New(exchanger.Peer{VM: "a", DataCentre: "west", Address: "a"}, Feeds{}, selector.New("west"), nil,
-		WithDelegation(revocation, false), WithChanges(func(change registrar.Change) { changes = append(changes, change) }))
+		WithDelegation(revocation, false), WithUpstreamChanged(func(change registrar.Change) { changes = append(changes, change) }))
 	return informer, &changes
 }
 
 // usableUpstreams returns the upstreams that the node may use.
 func (informer *Informer) usableUpstreams() []definer.UpstreamName {
 	var names []definer.UpstreamName
-	for _, upstream := range informer.registrar.Of(pool) {
+	for _, upstream := range informer.registrar.Upstreams(pool) {
 		names = append(names, upstream.ID)
 	}
 	return names
@@ -45,7 +45,7 @@
 	receiver, changes := newNode()
 	sink := upstreamReplicaSink{source.knowledge.upstreams}
 	transfer := func() {
-		receiver.knowledge.Take(source.knowledge.Since(receiver.knowledge.Positions(), exchanger.LargeNews))
+		receiver.knowledge.Apply(source.knowledge.MissingEntries(receiver.knowledge.Positions(), exchanger.LargeNews))
 	}
 	assertUpstreams := func(names ...definer.UpstreamName) {
 		t.Helper()
@@ -65,14 +65,14 @@
 	sink.Apply([]registrar.Change{{Upstream: upstream("u2", 2, unchanged), Removed: true}}, follower.Reading{Revision: 6, Outage: true})
 	transfer()
 	assertUpstreams("u2", "u3")
-	later := time.Now().Add(registrar.LapsePatience)
-	source.registrar.Sweep(later)
-	receiver.registrar.Sweep(later)
+	later := time.Now().Add(registrar.LapseDelay)
+	source.registrar.RemoveLapsed(later)
+	receiver.registrar.RemoveLapsed(later)
 	assertUpstreams("u3")
 
 	again := upstream("u3", 8, func(upstream *registrar.Upstream) { upstream.Incarnation = 7 })
 	sink.Apply([]registrar.Change{{Upstream: again}}, follower.Reading{Revision: 8})
 	transfer()
 	assert.Equal(t, (*changes)[len(*changes)-1].Upstream.Incarnation, definer.Incarnation(7))
-	assert.Assert(t, source.knowledge.Since(receiver.knowledge.Positions(), exchanger.SmallNews) == nil, "there is nothing more to send")
+	assert.Assert(t, source.knowledge.MissingEntries(receiver.knowledge.Positions(), exchanger.SmallNews) == nil, "there is nothing more to send")
 }
--- a/informer/sharing.go
+++ b/informer/sharing.go
@@ -41,7 +41,7 @@
 	if version <= informer.version() || informer.duties.configurations.On() && !informer.configurations.Failing() {
 		return
 	}
-	address, listed := informer.exchanger.Address(from)
+	address, listed := informer.exchanger.PeerAddress(from)
 	next := informer.fetcher.requestVersion(time.Now(), version)
 	if !listed {
 		next.ask = nil
@@ -53,7 +53,7 @@
 // the address, or applies the fetched configuration.
 func (informer *Informer) runStep(address string, next fetchStep) {
 	if next.readStore {
-		informer.duties.configurations.Look()
+		informer.duties.configurations.RequestLookup()
 	}
 	if next.ask != nil {
 		informer.sender.Send(context.Background(), address, next.ask)
@@ -64,7 +64,7 @@
 	definition, err := decode(next.encoded, next.version)
 	if err != nil {
 		informer.log(logger.EventTableRejected, "cause", err)
-		informer.duties.configurations.Look()
+		informer.duties.configurations.RequestLookup()
 		return
 	}
 	informer.holder.Apply([]router.Definition{definition}, follower.Reading{})
--- a/informer/world_test.go
+++ b/informer/world_test.go
@@ -320,7 +320,7 @@
 		age := now.Sub(node.informer.Confirmed())
 		assert.Assert(cluster.t, age < 4700*time.Millisecond, "%s was last confirmed %v ago", vm, age)
 		listed := make(map[string]bool)
-		for _, upstream := range node.informer.Upstreams().Of(pool) {
+		for _, upstream := range node.informer.Upstreams().Upstreams(pool) {
 			listed[string(upstream.ID)] = true
 		}
 		for name, change := range upstreams {
--- a/limiter/limiter.go
+++ b/limiter/limiter.go
@@ -85,8 +85,8 @@
 	limiter.states = kept
 }
 
-// Observe adapts the limit of the upstream to the outcome of one attempt. Use must
-// be called first with the number of requests that ran.
+// Observe adapts the limit of the upstream to the outcome of one attempt.
+// ObserveConcurrency must be called first with the number of requests that ran.
 func (limiter *Limiter) Observe(now time.Time, upstream *definer.Upstream, class *definer.Class, observation messenger.Observation) {
 	found := limiter.stateOf(upstream)
 	if observation.Failed {
@@ -108,9 +108,9 @@
 	}
 }
 
-// Use records how many requests ran on the upstream when one of them ended. It
+// ObserveConcurrency records how many requests ran on the upstream when one of them ended. It
 // must be called before Observe for that request.
-func (limiter *Limiter) Use(upstream *definer.Upstream, running int) {
+func (limiter *Limiter) ObserveConcurrency(upstream *definer.Upstream, running int) {
 	limiter.stateOf(upstream).running = running
 }
 
--- a/limiter/limiter_test.go
+++ b/limiter/limiter_test.go
@@ -27,7 +27,7 @@
 func serve(limiter *Limiter, upstream *definer.Upstream, class *definer.Class, now *time.Time, length time.Duration, observe func(running int) messenger.Observation) int {
 	for end := now.Add(length); now.Before(end); *now = now.Add(100 * time.Millisecond) {
 		running := limiter.Limit(upstream)
-		limiter.Use(upstream, running)
+		limiter.ObserveConcurrency(upstream, running)
 		limiter.Observe(*now, upstream, class, observe(running))
 	}
 	return limiter.Limit(upstream)
@@ -88,7 +88,7 @@
 	upstream, class := buildUpstream(t, 8, 16)
 	limiter, now := New(), time.Unix(0, 0)
 	for range 1000 {
-		limiter.Use(upstream, 2)
+		limiter.ObserveConcurrency(upstream, 2)
 		limiter.Observe(now, upstream, class, engineObservation(time.Millisecond)(2))
 	}
 	assert.Equal(t, limiter.Limit(upstream), 8)
--- a/meter/duties.go
+++ b/meter/duties.go
@@ -19,7 +19,7 @@
 func (meter *Meter) Duties(status steward.Status) {
 	meter.duty(steward.UsageDuty, &status.Usage.DutyStatus)
 	meter.duty(steward.ScalingDuty, &status.Scaling.DutyStatus)
-	meter.scope.Gauge(toldMetric).Update(float64(status.Usage.ToldUntil))
+	meter.scope.Gauge(toldMetric).Update(float64(status.Usage.ReportedUntil))
 	for outcome, count := range map[string]int{"whole": status.Usage.Whole, "partial": status.Usage.Partial, "skipped": status.Usage.Skipped} {
 		meter.scope.Tagged(map[string]string{"outcome": outcome}).Gauge(windowsMetric).Update(float64(count))
 	}
--- a/node.go
+++ b/node.go
@@ -207,6 +207,6 @@
 		node.recorder.Control(recorder.PlatformCall, 1, len(action.Value))
 		node.platform.Call(action)
 	case decider.WatchPlatform:
-		node.platform.Hold(action.Watch)
+		node.platform.SetWatching(action.Watch)
 	}
 }
--- a/operator/duties.go
+++ b/operator/duties.go
@@ -80,7 +80,7 @@
 func dutiesOf(status steward.Status) Duties {
 	duties := Duties{
 		Usage: holderOf(&status.Usage.DutyStatus), Scaling: holderOf(&status.Scaling.DutyStatus),
-		ToldUntil: uint64(status.Usage.ToldUntil), Whole: status.Usage.Whole, Partial: status.Usage.Partial, Skipped: status.Usage.Skipped,
+		ToldUntil: uint64(status.Usage.ReportedUntil), Whole: status.Usage.Whole, Partial: status.Usage.Partial, Skipped: status.Usage.Skipped,
 	}
 	for _, report := range status.Usage.Reports {
 		duties.Reports = append(duties.Reports, DutyReport{
--- a/operator/duties_test.go
+++ b/operator/duties_test.go
@@ -20,7 +20,7 @@
 	entry := operator.NewEntry(quarantiner.New(), (&journal{}).log)
 	entry.ServeDuties(func() steward.Status {
 		return steward.Status{
-			Usage: steward.UsageStatus{DutyStatus: steward.DutyStatus{Holder: "n2", Token: 7}, ToldUntil: 90, Whole: 3, Partial: 1},
+			Usage: steward.UsageStatus{DutyStatus: steward.DutyStatus{Holder: "n2", Token: 7}, ReportedUntil: 90, Whole: 3, Partial: 1},
 			Scaling: steward.ScalingStatus{
 				DutyStatus: steward.DutyStatus{Holds: true, Holder: "n1", Token: 9},
 				Decisions:  []steward.Decision{{Order: steward.Order{Service: "pool", DataCentre: "west", Spot: true, Count: 12}, Token: 9, Need: 40, Busy: 13.5, Failure: errors.New("none are to be had")}},
--- a/operator/entry_test.go
+++ b/operator/entry_test.go
@@ -19,9 +19,9 @@
 // once.
 func TestHeldOffIsShownAndLifted(t *testing.T) {
 	quarantine, journal := quarantiner.New(), &journal{}
-	identity := quarantiner.Identify(&quarantiner.Subject{Target: "/a"})
+	identity := quarantiner.Identify(&quarantiner.RequestParts{Target: "/a"})
 	for _, upstream := range []definer.UpstreamName{"u1", "u2", "u3"} {
-		quarantine.Fell(time.Now(), definer.UpstreamStart{Upstream: upstream}, identity)
+		quarantine.RecordCrash(time.Now(), definer.UpstreamStart{Upstream: upstream}, identity)
 	}
 	server := httptest.NewServer(operator.NewEntry(quarantine, journal.log).Handler())
 	t.Cleanup(server.Close)
@@ -42,6 +42,6 @@
 	assert.Equal(t, len(journal.numbers), 0)
 	assert.NilError(t, client.Lift(context.Background(), identity.String())[0].Failure())
 	assert.DeepEqual(t, journal.numbers, []int{logger.EventRequestLifted})
-	assert.Equal(t, quarantine.Check(time.Now(), identity).Left, time.Duration(0))
+	assert.Equal(t, quarantine.Check(time.Now(), identity).HeldFor, time.Duration(0))
 	assert.Equal(t, len(client.HeldOff(context.Background())[0].Value()), 0)
 }
--- a/option.go
+++ b/option.go
@@ -41,8 +41,8 @@
 	Start(ctx context.Context)
 	// Call carries out one call; a decider.PlatformAnswered event follows.
 	Call(call decider.CallPlatform)
-	// Hold tells whether to watch the configuration and the list of VMs.
-	Hold(hold bool)
+	// SetWatching sets whether to watch the configuration and the list of VMs.
+	SetWatching(hold bool)
 	// Done is closed once every call has ended.
 	Done() <-chan struct{}
 }
--- a/quarantiner/identity.go
+++ b/quarantiner/identity.go
@@ -14,9 +14,9 @@
 // version for one of its own.
 const identityVersion = "limpetcleat request 1"
 
-// Subject holds the parts of a request that its identity is computed from. Two requests with
+// RequestParts holds the parts of a request that its identity is computed from. Two requests with
 // equal parts are the same request.
-type Subject struct {
+type RequestParts struct {
 	// Organisation is the caller's organisation. Requests without an API key have none and share
 	// the empty organisation.
 	Organisation definer.OrganisationName
@@ -30,7 +30,7 @@
 // Identify returns the identity of a request. Each part is preceded by its length in the hash,
 // and the organisation is derived from the API key, so that no caller can forge the identity of
 // another organisation's request.
-func Identify(subject *Subject) definer.RequestIdentity {
+func Identify(subject *RequestParts) definer.RequestIdentity {
 	sum := sha256.New()
 	write(sum, identityVersion)
 	write(sum, string(subject.Organisation))
--- a/quarantiner/identity_test.go
+++ b/quarantiner/identity_test.go
@@ -9,8 +9,8 @@
 	"limpetcleat/quarantiner"
 )
 
-func subject() quarantiner.Subject {
-	return quarantiner.Subject{Organisation: "guild", Method: "POST", Host: "h.example", Target: "/a/b?c=d", Body: []byte("text")}
+func subject() quarantiner.RequestParts {
+	return quarantiner.RequestParts{Organisation: "guild", Method: "POST", Host: "h.example", Target: "/a/b?c=d", Body: []byte("text")}
 }
 
 // TestIdentityIsSharedByAllVersions compares the identity of one request with a fixed value:
@@ -24,20 +24,20 @@
 func TestIdentityTellsRequestsApart(t *testing.T) {
 	cases := []struct {
 		name   string
-		change func(subject *quarantiner.Subject)
+		change func(subject *quarantiner.RequestParts)
 		same   bool
 	}{
-		{"nothing", func(*quarantiner.Subject) {}, true},
-		{"the spelling of the host", func(subject *quarantiner.Subject) { subject.Host = "H.Example" }, true},
-		{"the organisation", func(subject *quarantiner.Subject) { subject.Organisation = "other" }, false},
-		{"the method", func(subject *quarantiner.Subject) { subject.Method = "PUT" }, false},
-		{"the host", func(subject *quarantiner.Subject) { subject.Host = "i.example" }, false},
-		{"the query", func(subject *quarantiner.Subject) { subject.Target = "/a/b?c=e" }, false},
-		{"the body", func(subject *quarantiner.Subject) { subject.Body = []byte("texts") }, false},
-		{"a byte moved from body to target", func(subject *quarantiner.Subject) {
+		{"nothing", func(*quarantiner.RequestParts) {}, true},
+		{"the spelling of the host", func(subject *quarantiner.RequestParts) { subject.Host = "H.Example" }, true},
+		{"the organisation", func(subject *quarantiner.RequestParts) { subject.Organisation = "other" }, false},
+		{"the method", func(subject *quarantiner.RequestParts) { subject.Method = "PUT" }, false},
+		{"the host", func(subject *quarantiner.RequestParts) { subject.Host = "i.example" }, false},
+		{"the query", func(subject *quarantiner.RequestParts) { subject.Target = "/a/b?c=e" }, false},
+		{"the body", func(subject *quarantiner.RequestParts) { subject.Body = []byte("texts") }, false},
+		{"a byte moved from body to target", func(subject *quarantiner.RequestParts) {
 			subject.Target, subject.Body = "/a/b?c=dt", []byte("ext")
 		}, false},
-		{"an organisation whose name goes on in the method", func(subject *quarantiner.Subject) {
+		{"an organisation whose name goes on in the method", func(subject *quarantiner.RequestParts) {
 			subject.Organisation, subject.Method = "guildPO", "ST"
 		}, false},
 	}
--- a/quarantiner/quarantiner.go
+++ b/quarantiner/quarantiner.go
@@ -112,11 +112,11 @@
 
 // Verdict states whether a request may be sent.
 type Verdict struct {
-	// Left is how much longer the request is held off at most; 0 means that it may be sent.
-	Left time.Duration
-	// Wait is the time after which to check again, while a clearing fact may still arrive; 0
+	// HeldFor is how much longer the request is held off at most; 0 means that it may be sent.
+	HeldFor time.Duration
+	// RecheckAfter is the time after which to check again, while a clearing fact may still arrive; 0
 	// means that a request that is held off is refused.
-	Wait time.Duration
+	RecheckAfter time.Duration
 }
 
 // Check returns the verdict on a request. It counts a refusal if the request is held off without
@@ -129,20 +129,20 @@
 		return Verdict{}
 	}
 	clearance := max(clearanceWait-now.Sub(suspect.heldSince), 0)
-	verdict := Verdict{Left: MaxHold - now.Sub(suspect.latestUnclearedCrash()), Wait: min(clearance, verdictPollInterval)}
-	if verdict.Left <= 0 {
+	verdict := Verdict{HeldFor: MaxHold - now.Sub(suspect.latestUnclearedCrash()), RecheckAfter: min(clearance, verdictPollInterval)}
+	if verdict.HeldFor <= 0 {
 		quarantiner.release(now, suspect, Expired)
 		return Verdict{}
 	}
-	if verdict.Wait == 0 {
+	if verdict.RecheckAfter == 0 {
 		suspect.refused++
 	}
 	return verdict
 }
 
-// Doubts returns how many crashes a request may have caused: those known under it that it is not
-// cleared of.
-func (quarantiner *Quarantiner) Doubts(identity definer.RequestIdentity) int {
+// UnclearedCrashes returns how many crashes a request may have caused: those known under it that
+// it is not cleared of.
+func (quarantiner *Quarantiner) UnclearedCrashes(identity definer.RequestIdentity) int {
 	quarantiner.mutex.Lock()
 	defer quarantiner.mutex.Unlock()
 	if suspect, ok := quarantiner.suspects[identity]; ok {
@@ -155,7 +155,7 @@
 // within the attempt. It may not if one more crash would reach the threshold at which it is held
 // off.
 func (quarantiner *Quarantiner) MayRepeat(identity definer.RequestIdentity) bool {
-	return quarantiner.Doubts(identity) < holdThreshold-1
+	return quarantiner.UnclearedCrashes(identity) < holdThreshold-1
 }
 
 // SuspectCount returns the number of suspects: requests under which an upstream has crashed.
@@ -172,8 +172,8 @@
 	return len(quarantiner.pending) > 0
 }
 
-// Fell records that an upstream has crashed with a request of this node on it.
-func (quarantiner *Quarantiner) Fell(now time.Time, start definer.UpstreamStart, identity definer.RequestIdentity) {
+// RecordCrash records that an upstream has crashed with a request of this node on it.
+func (quarantiner *Quarantiner) RecordCrash(now time.Time, start definer.UpstreamStart, identity definer.RequestIdentity) {
 	quarantiner.mutex.Lock()
 	defer quarantiner.mutex.Unlock()
 	if quarantiner.addFact(now, identity, &crash{start: start, at: now}, true) {
@@ -181,9 +181,9 @@
 	}
 }
 
-// Served records that an upstream has completed a request of this node, which clears the request
-// of all known crashes.
-func (quarantiner *Quarantiner) Served(now time.Time, identity definer.RequestIdentity) {
+// RecordServed records that an upstream has completed a request of this node, which clears the
+// request of all known crashes.
+func (quarantiner *Quarantiner) RecordServed(now time.Time, identity definer.RequestIdentity) {
 	quarantiner.mutex.Lock()
 	defer quarantiner.mutex.Unlock()
 	quarantiner.served.note(now, identity)
--- a/quarantiner/quarantiner_test.go
+++ b/quarantiner/quarantiner_test.go
@@ -19,7 +19,7 @@
 
 // identity returns the identity of a request with the name as its target.
 func identity(name string) definer.RequestIdentity {
-	return quarantiner.Identify(&quarantiner.Subject{Target: name})
+	return quarantiner.Identify(&quarantiner.RequestParts{Target: name})
 }
 
 // start returns the upstream process of a number.
@@ -44,12 +44,12 @@
 	now := startTime()
 	for _, step := range steps {
 		now = startTime().Add(step.at)
-		node.Tell(now, messenger.MemberLoad) // Nodes report continuously.
+		node.NextReport(now, messenger.MemberLoad) // Nodes report continuously.
 		for _, request := range step.requests {
-			node.Fell(now, start(step.ended), identity(string(request)))
+			node.RecordCrash(now, start(step.ended), identity(string(request)))
 		}
 		for _, request := range step.served {
-			node.Served(now, identity(string(request)))
+			node.RecordServed(now, identity(string(request)))
 		}
 		for _, request := range step.lifted {
 			node.Lift(now, identity(string(request)))
@@ -85,10 +85,10 @@
 		t.Run(test.name, func(t *testing.T) {
 			node := quarantiner.New()
 			now := applySteps(node, test.steps)
-			node.Tell(now, messenger.MemberLoad) // Expires old facts.
+			node.NextReport(now, messenger.MemberLoad) // Expires old facts.
 			held := ""
 			for _, request := range "ghij" {
-				if left := node.Check(now, identity(string(request))).Left; left > 0 {
+				if left := node.Check(now, identity(string(request))).HeldFor; left > 0 {
 					assert.Assert(t, left <= quarantiner.MaxHold)
 					held += string(request)
 				}
@@ -104,21 +104,21 @@
 	node := quarantiner.New()
 	unknown := definer.UpstreamStart{Upstream: "u"}
 	for count, want := range []int{1, 1, 2, 2, 3} {
-		node.Fell(startTime().Add(time.Duration(count)*600*time.Millisecond), unknown, identity("g"))
-		assert.Equal(t, node.Doubts(identity("g")), want, "%d", count)
+		node.RecordCrash(startTime().Add(time.Duration(count)*600*time.Millisecond), unknown, identity("g"))
+		assert.Equal(t, node.UnclearedCrashes(identity("g")), want, "%d", count)
 	}
-	assert.Assert(t, node.Check(startTime().Add(3*time.Second), identity("g")).Left > 0)
+	assert.Assert(t, node.Check(startTime().Add(3*time.Second), identity("g")).HeldFor > 0)
 }
 
 // TestListTellsOperators checks what operators see of a request that is held off.
 func TestListTellsOperators(t *testing.T) {
 	node := quarantiner.New()
 	now := startTime()
-	node.Fell(now, start(1), identity("g"))
+	node.RecordCrash(now, start(1), identity("g"))
 	node.Learn(now.Add(time.Second), "peer", messenger.FleetLoad, []messenger.UpstreamFall{
 		{Upstream: "u2", Incarnation: 1, Age: 100 * time.Millisecond, Suspects: []definer.RequestIdentity{identity("g"), identity("i")}},
 	})
-	node.Fell(now.Add(2*time.Second), start(3), identity("g"))
+	node.RecordCrash(now.Add(2*time.Second), start(3), identity("g"))
 	node.Check(now.Add(3*time.Second), identity("g"))
 	list := node.List(now.Add(4 * time.Second))
 	assert.Equal(t, len(list), 2)
@@ -136,7 +136,7 @@
 	held, suspected := 0, 0
 	node := quarantiner.New(quarantiner.WithCounts(func(nowHeld, nowSuspected int) { held, suspected = nowHeld, nowSuspected }))
 	for number := range 3 {
-		node.Fell(startTime(), start(number), identity("g"))
+		node.RecordCrash(startTime(), start(number), identity("g"))
 	}
 	for number := range 20_000 {
 		node.Learn(startTime(), "peer", messenger.MemberLoad, []messenger.UpstreamFall{
@@ -145,9 +145,9 @@
 	}
 	assert.Assert(t, suspected <= 4096, "%d", suspected)
 	assert.Equal(t, held, 1)
-	assert.Assert(t, node.Check(startTime(), identity("g")).Left > 0)
+	assert.Assert(t, node.Check(startTime(), identity("g")).HeldFor > 0)
 	told := 0
-	for _, fall := range node.Tell(startTime(), messenger.MemberLoad) {
+	for _, fall := range node.NextReport(startTime(), messenger.MemberLoad) {
 		told += len(fall.Suspects) + len(fall.Cleared)
 	}
 	assert.Equal(t, told, 256)
@@ -158,10 +158,10 @@
 func BenchmarkRequest(bench *testing.B) {
 	node := quarantiner.New()
 	for number := range 4096 {
-		node.Fell(startTime(), start(number), identity(fmt.Sprint(number)))
+		node.RecordCrash(startTime(), start(number), identity(fmt.Sprint(number)))
 	}
 	body := make([]byte, 800)
-	asked := &quarantiner.Subject{Organisation: "guild", Method: "POST", Host: "h.example", Target: "/a/b", Body: body}
+	asked := &quarantiner.RequestParts{Organisation: "guild", Method: "POST", Host: "h.example", Target: "/a/b", Body: body}
 	bench.ReportAllocs()
 	count := 0
 	for bench.Loop() {
@@ -170,7 +170,7 @@
 		now := startTime().Add(time.Duration(count) * time.Second / 2100)
 		identity := quarantiner.Identify(asked)
 		node.Check(now, identity)
-		node.Served(now, identity)
+		node.RecordServed(now, identity)
 	}
 }
 
@@ -183,10 +183,10 @@
 	runtime.ReadMemStats(&before)
 	node := quarantiner.New()
 	for number := range 3 * 4096 {
-		node.Fell(startTime(), start(number/20), identity(fmt.Sprint(number)))
+		node.RecordCrash(startTime(), start(number/20), identity(fmt.Sprint(number)))
 	}
 	for number := range 5 * 2100 {
-		node.Served(startTime().Add(time.Duration(number)*time.Second/2100), identity(fmt.Sprint("served ", number)))
+		node.RecordServed(startTime().Add(time.Duration(number)*time.Second/2100), identity(fmt.Sprint("served ", number)))
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
@@ -199,13 +199,13 @@
 func BenchmarkCheckAmongSuspects(bench *testing.B) {
 	node := quarantiner.New()
 	for number := range 4096 {
-		node.Fell(startTime(), start(number), identity(fmt.Sprint(number)))
+		node.RecordCrash(startTime(), start(number), identity(fmt.Sprint(number)))
 	}
 	asked := identity("other")
 	bench.ReportAllocs()
 	for bench.Loop() {
 		node.Check(startTime(), asked)
-		node.Served(startTime(), asked)
+		node.RecordServed(startTime(), asked)
 	}
 }
 
@@ -214,7 +214,7 @@
 func BenchmarkLearnAmongSuspects(bench *testing.B) {
 	node := quarantiner.New()
 	for number := range 4096 {
-		node.Fell(startTime(), start(number), identity(fmt.Sprint(number)))
+		node.RecordCrash(startTime(), start(number), identity(fmt.Sprint(number)))
 	}
 	fall := messenger.UpstreamFall{Incarnation: 1}
 	for number := range 20 {
@@ -225,6 +225,6 @@
 		count++
 		fall.Upstream = definer.UpstreamName(fmt.Sprint("v", count))
 		node.Learn(startTime(), "peer", messenger.FleetLoad, []messenger.UpstreamFall{fall})
-		node.Tell(startTime(), messenger.FleetLoad)
+		node.NextReport(startTime(), messenger.FleetLoad)
 	}
 }
--- a/quarantiner/telling.go
+++ b/quarantiner/telling.go
@@ -58,9 +58,9 @@
 	}
 }
 
-// Tell returns the facts for this node's next report of the scope. Once every refreshInterval it
-// also expires old facts and refreshes known ones.
-func (quarantiner *Quarantiner) Tell(now time.Time, scope messenger.LoadScope) []messenger.UpstreamFall {
+// NextReport returns the facts for this node's next report of the scope. Once every
+// refreshInterval it also expires old facts and refreshes known ones.
+func (quarantiner *Quarantiner) NextReport(now time.Time, scope messenger.LoadScope) []messenger.UpstreamFall {
 	quarantiner.mutex.Lock()
 	defer quarantiner.mutex.Unlock()
 	if now.Sub(quarantiner.refreshedAt) >= refreshInterval {
--- a/quarantiner/telling_test.go
+++ b/quarantiner/telling_test.go
@@ -17,9 +17,9 @@
 func TestFactsAreToldTwiceAndThenAgain(t *testing.T) {
 	node := quarantiner.New()
 	now := startTime()
-	node.Tell(now, messenger.MemberLoad)
-	node.Fell(now, start(1), identity("g"))
-	tells := func(scope messenger.LoadScope) int { return len(node.Tell(now, scope)) }
+	node.NextReport(now, messenger.MemberLoad)
+	node.RecordCrash(now, start(1), identity("g"))
+	tells := func(scope messenger.LoadScope) int { return len(node.NextReport(now, scope)) }
 	for _, scope := range []messenger.LoadScope{messenger.MemberLoad, messenger.GroupLoad, messenger.FleetLoad} {
 		assert.Equal(t, tells(scope), 1)
 		assert.Equal(t, tells(scope), 1)
@@ -27,7 +27,7 @@
 	}
 	now = now.Add(time.Second)
 	assert.Equal(t, tells(messenger.MemberLoad), 0, "a single crash is not refreshed")
-	node.Fell(now, start(2), identity("g"))
+	node.RecordCrash(now, start(2), identity("g"))
 	assert.Equal(t, tells(messenger.MemberLoad), 1)
 	assert.Equal(t, tells(messenger.MemberLoad), 1)
 	for range 3 {
@@ -55,9 +55,9 @@
 	for _, test := range cases {
 		node := quarantiner.New()
 		node.Learn(startTime(), "peer", test.from, fall)
-		assert.Equal(t, len(node.Tell(startTime(), messenger.MemberLoad)), test.up, "%v", test.from)
-		assert.Equal(t, len(node.Tell(startTime(), messenger.GroupLoad)), test.over, "%v", test.from)
-		assert.Equal(t, len(node.Tell(startTime(), messenger.FleetLoad)), test.down, "%v", test.from)
+		assert.Equal(t, len(node.NextReport(startTime(), messenger.MemberLoad)), test.up, "%v", test.from)
+		assert.Equal(t, len(node.NextReport(startTime(), messenger.GroupLoad)), test.over, "%v", test.from)
+		assert.Equal(t, len(node.NextReport(startTime(), messenger.FleetLoad)), test.down, "%v", test.from)
 	}
 }
 
@@ -67,16 +67,16 @@
 func TestClearingIsTold(t *testing.T) {
 	serving, holding := quarantiner.New(), quarantiner.New()
 	now := startTime()
-	serving.Served(now, identity("i"))
+	serving.RecordServed(now, identity("i"))
 	for number := range 3 {
-		holding.Fell(now, start(number), identity("i"))
+		holding.RecordCrash(now, start(number), identity("i"))
 	}
-	assert.Assert(t, holding.Check(now, identity("i")).Left > 0)
-	serving.Learn(now, "holding", messenger.MemberLoad, holding.Tell(now, messenger.MemberLoad))
-	assert.Equal(t, serving.Check(now, identity("i")).Left, time.Duration(0))
-	holding.Learn(now, "serving", messenger.FleetLoad, serving.Tell(now, messenger.FleetLoad))
-	assert.Equal(t, holding.Check(now, identity("i")).Left, time.Duration(0))
-	assert.Equal(t, holding.Doubts(identity("i")), 0)
+	assert.Assert(t, holding.Check(now, identity("i")).HeldFor > 0)
+	serving.Learn(now, "holding", messenger.MemberLoad, holding.NextReport(now, messenger.MemberLoad))
+	assert.Equal(t, serving.Check(now, identity("i")).HeldFor, time.Duration(0))
+	holding.Learn(now, "serving", messenger.FleetLoad, serving.NextReport(now, messenger.FleetLoad))
+	assert.Equal(t, holding.Check(now, identity("i")).HeldFor, time.Duration(0))
+	assert.Equal(t, holding.UnclearedCrashes(identity("i")), 0)
 }
 
 // TestWrongReportsAreIgnored checks that invalid reports of a peer change nothing.
@@ -97,7 +97,7 @@
 			node := quarantiner.New()
 			node.Learn(startTime(), "peer", messenger.MemberLoad, []messenger.UpstreamFall{test.fall})
 			assert.Equal(t, len(node.List(startTime())), 0)
-			assert.Equal(t, len(node.Tell(startTime(), messenger.MemberLoad)), 0)
+			assert.Equal(t, len(node.NextReport(startTime(), messenger.MemberLoad)), 0)
 		})
 	}
 }
@@ -114,14 +114,14 @@
 			node := rapid.SampledFrom(nodes).Draw(t, "node")
 			name := rapid.SampledFrom(names).Draw(t, "request")
 			if rapid.IntRange(0, 5).Draw(t, "what") == 0 {
-				node.Served(now, identity(name))
+				node.RecordServed(now, identity(name))
 				continue
 			}
-			node.Fell(now, start(rapid.IntRange(1, 12).Draw(t, "upstream")), identity(name))
+			node.RecordCrash(now, start(rapid.IntRange(1, 12).Draw(t, "upstream")), identity(name))
 		}
 		for range 8 {
 			for from := range nodes {
-				told := nodes[from].Tell(now, messenger.MemberLoad)
+				told := nodes[from].NextReport(now, messenger.MemberLoad)
 				for to := range nodes {
 					if to != from {
 						nodes[to].Learn(now, definer.VM(rune('0'+from)), messenger.MemberLoad, told)
@@ -130,10 +130,10 @@
 			}
 		}
 		for _, name := range names {
-			held := nodes[0].Check(now, identity(name)).Left > 0
+			held := nodes[0].Check(now, identity(name)).HeldFor > 0
 			for _, node := range nodes[1:] {
-				assert.Equal(t, node.Check(now, identity(name)).Left > 0, held, name)
-				assert.Equal(t, node.Doubts(identity(name)), nodes[0].Doubts(identity(name)), name)
+				assert.Equal(t, node.Check(now, identity(name)).HeldFor > 0, held, name)
+				assert.Equal(t, node.UnclearedCrashes(identity(name)), nodes[0].UnclearedCrashes(identity(name)), name)
 			}
 		}
 	})
@@ -158,7 +158,7 @@
 		for range 3 {
 			first.Learn(startTime(), "peer", messenger.MemberLoad, []messenger.UpstreamFall{fall})
 		}
-		told := first.Tell(startTime(), messenger.MemberLoad)
+		told := first.NextReport(startTime(), messenger.MemberLoad)
 		second.Learn(startTime(), "peer", messenger.MemberLoad, told)
 		assert.Equal(t, len(second.List(startTime())) <= len(first.List(startTime())), true)
 		for _, suspicion := range first.List(startTime()) {
--- a/registrar/registrar.go
+++ b/registrar/registrar.go
@@ -13,11 +13,11 @@
 	"limpetcleat/definer"
 )
 
-// LapsePatience is how long an upstream stays registered when it is missing after an
+// LapseDelay is how long an upstream stays registered when it is missing after an
 // outage of the platform. According to the platform, entries that expired during the
 // outage are back within about 2 s. Requests must not reach an upstream that has gone
 // later than 2 s after the outage; 1.7 s leaves a margin.
-const LapsePatience = 1700 * time.Millisecond
+const LapseDelay = 1700 * time.Millisecond
 
 // maxLeavingStarts is the number of starts known to be leaving from which those that
 // are not registered are dropped.
@@ -55,9 +55,9 @@
 	// Upstream is the entry; if Removed is set, only its ID is read.
 	Upstream Upstream
 	Removed  bool
-	// Earlier is the entry of the earlier start if the change is a restart, otherwise
+	// Replaced is the entry of the earlier start if the change is a restart, otherwise
 	// nil.
-	Earlier *Upstream
+	Replaced *Upstream
 }
 
 // Registrar is the registry of upstreams. It is safe for concurrent use.
@@ -89,16 +89,16 @@
 	}
 }
 
-// Known reports whether a whole list was taken in yet.
-func (registrar *Registrar) Known() bool {
+// Loaded reports whether a whole list was taken in yet.
+func (registrar *Registrar) Loaded() bool {
 	registrar.mutex.RLock()
 	defer registrar.mutex.RUnlock()
 	return registrar.loaded
 }
 
-// Of returns the upstreams of a service that may get requests, sorted by ID. The
+// Upstreams returns the upstreams of a service that may get requests, sorted by ID. The
 // caller must not modify the slice.
-func (registrar *Registrar) Of(service definer.PoolName) []*Upstream {
+func (registrar *Registrar) Upstreams(service definer.PoolName) []*Upstream {
 	registrar.mutex.RLock()
 	defer registrar.mutex.RUnlock()
 	return registrar.byService[service]
@@ -106,7 +106,7 @@
 
 // Replace replaces the registered upstreams by a whole list and returns the changes.
 // With outage, which says that the platform was unreachable until now, missing
-// upstreams that are not leaving stay for LapsePatience.
+// upstreams that are not leaving stay for LapseDelay.
 func (registrar *Registrar) Replace(now time.Time, list []Upstream, outage bool) []Change {
 	registrar.mutex.Lock()
 	defer registrar.mutex.Unlock()
@@ -132,7 +132,7 @@
 
 // Apply applies changes in order and returns those that took effect. With outage,
 // which says that an outage of the platform ended recently, removed upstreams that are
-// not leaving stay for LapsePatience.
+// not leaving stay for LapseDelay.
 func (registrar *Registrar) Apply(now time.Time, changes []Change, outage bool) []Change {
 	registrar.mutex.Lock()
 	defer registrar.mutex.Unlock()
@@ -150,9 +150,9 @@
 	return applied
 }
 
-// Leave records that a start of an upstream announced that it is leaving. It returns
+// MarkLeaving records that a start of an upstream announced that it is leaving. It returns
 // nil if that was known, or if the start is not registered.
-func (registrar *Registrar) Leave(start definer.UpstreamStart) *Change {
+func (registrar *Registrar) MarkLeaving(start definer.UpstreamStart) *Change {
 	registrar.mutex.Lock()
 	defer registrar.mutex.Unlock()
 	registrar.recordLeaving(start)
@@ -188,15 +188,15 @@
 	return registrar.remove(upstream.ID)
 }
 
-// Sweep removes the upstreams that have been missing for LapsePatience. It returns the
+// RemoveLapsed removes the upstreams that have been missing for LapseDelay. It returns the
 // removals and the time of the next one, zero if none is due.
-func (registrar *Registrar) Sweep(now time.Time) ([]Change, time.Time) {
+func (registrar *Registrar) RemoveLapsed(now time.Time) ([]Change, time.Time) {
 	registrar.mutex.Lock()
 	defer registrar.mutex.Unlock()
 	var changes []Change
 	var next time.Time
 	for id, since := range registrar.missingSince {
-		due := since.Add(LapsePatience)
+		due := since.Add(LapseDelay)
 		if !due.After(now) {
 			changes = append(changes, registrar.remove(id)...)
 			continue
@@ -233,7 +233,7 @@
 	registrar.upstreams[upstream.ID] = &upstream
 	change := Change{Upstream: upstream}
 	if known.Incarnation > 0 && known.Incarnation < upstream.Incarnation {
-		change.Earlier = known
+		change.Replaced = known
 	}
 	return []Change{change}
 }
--- a/registrar/registrar_test.go
+++ b/registrar/registrar_test.go
@@ -16,7 +16,7 @@
 
 func serviceIDs(list *registrar.Registrar) []definer.UpstreamName {
 	var found []definer.UpstreamName
-	for _, upstream := range list.Of("s") {
+	for _, upstream := range list.Upstreams("s") {
 		found = append(found, upstream.ID)
 	}
 	return found
@@ -24,9 +24,9 @@
 
 func TestApplyFollowsTheList(t *testing.T) {
 	list := registrar.New()
-	assert.Assert(t, !list.Known())
+	assert.Assert(t, !list.Loaded())
 	list.Replace(time.Time{}, []registrar.Upstream{entry("b", 1, false), entry("a", 2, false)}, false)
-	assert.Assert(t, list.Known())
+	assert.Assert(t, list.Loaded())
 	assert.DeepEqual(t, serviceIDs(list), []definer.UpstreamName{"a", "b"})
 
 	list.Apply(time.Time{}, []registrar.Change{{Upstream: entry("a", 5, true)}}, false)
@@ -66,9 +66,9 @@
 			list := registrar.New()
 			list.Apply(time.Time{}, []registrar.Change{{Upstream: test.known}}, false)
 			changes := list.Apply(time.Time{}, []registrar.Change{{Upstream: test.found}}, false)
-			assert.Equal(t, list.Of("s")[0].Incarnation, test.stands)
+			assert.Equal(t, list.Upstreams("s")[0].Incarnation, test.stands)
 			assert.Equal(t, len(changes) > 0, test.changed)
-			assert.Equal(t, test.changed && changes[0].Earlier != nil, test.restarted)
+			assert.Equal(t, test.changed && changes[0].Replaced != nil, test.restarted)
 		})
 	}
 }
@@ -97,10 +97,10 @@
 	list.Replace(start, nil, true)
 	assert.DeepEqual(t, serviceIDs(list), []definer.UpstreamName{"a", "b"})
 	list.Apply(start, []registrar.Change{{Upstream: entry("b", 9, false)}, {Upstream: entry("a", 1, false), Removed: true}}, true)
-	changes, next := list.Sweep(start.Add(registrar.LapsePatience - 1))
+	changes, next := list.RemoveLapsed(start.Add(registrar.LapseDelay - 1))
 	assert.Equal(t, len(changes), 0)
-	assert.Equal(t, next, start.Add(registrar.LapsePatience))
-	changes, next = list.Sweep(start.Add(registrar.LapsePatience))
+	assert.Equal(t, next, start.Add(registrar.LapseDelay))
+	changes, next = list.RemoveLapsed(start.Add(registrar.LapseDelay))
 	assert.Equal(t, len(changes), 1)
 	assert.Assert(t, next.IsZero())
 	assert.DeepEqual(t, serviceIDs(list), []definer.UpstreamName{"b"})
@@ -117,13 +117,13 @@
 		return upstream
 	}
 	first := definer.UpstreamStart{Upstream: "a", Incarnation: 7}
-	assert.Assert(t, list.Leave(definer.UpstreamStart{Upstream: "late", Incarnation: 1}) == nil)
+	assert.Assert(t, list.MarkLeaving(definer.UpstreamStart{Upstream: "late", Incarnation: 1}) == nil)
 	list.Replace(time.Time{}, []registrar.Upstream{startedAt("a", 1, 7), startedAt("b", 2, 7), startedAt("late", 3, 1)}, false)
 	assert.DeepEqual(t, serviceIDs(list), []definer.UpstreamName{"a", "b"})
 
-	change := list.Leave(first)
+	change := list.MarkLeaving(first)
 	assert.Assert(t, change != nil && change.Upstream.Leaving && !change.Removed)
-	assert.Assert(t, list.Leave(first) == nil, "it was known")
+	assert.Assert(t, list.MarkLeaving(first) == nil, "it was known")
 	assert.DeepEqual(t, serviceIDs(list), []definer.UpstreamName{"b"})
 	list.Apply(time.Time{}, []registrar.Change{{Upstream: startedAt("a", 5, 7)}}, false)
 	list.Apply(time.Time{}, []registrar.Change{{Upstream: startedAt("a", 6, 0)}}, false)
@@ -141,7 +141,7 @@
 func TestAWordOutlivesAnUnknownStart(t *testing.T) {
 	list := registrar.New()
 	list.Replace(time.Time{}, []registrar.Upstream{entry("a", 1, false)}, false)
-	list.Leave(definer.UpstreamStart{Upstream: "a"})
+	list.MarkLeaving(definer.UpstreamStart{Upstream: "a"})
 	withStart := entry("a", 2, false)
 	withStart.Incarnation = 7
 	list.Apply(time.Time{}, []registrar.Change{{Upstream: withStart}}, false)
@@ -154,9 +154,9 @@
 func TestDepartingIsBounded(t *testing.T) {
 	list := registrar.New()
 	list.Replace(time.Time{}, []registrar.Upstream{entry("a", 1, false)}, false)
-	list.Leave(definer.UpstreamStart{Upstream: "a"})
+	list.MarkLeaving(definer.UpstreamStart{Upstream: "a"})
 	for number := range 10_000 {
-		list.Leave(definer.UpstreamStart{Upstream: "gone", Incarnation: definer.Incarnation(number + 1)})
+		list.MarkLeaving(definer.UpstreamStart{Upstream: "gone", Incarnation: definer.Incarnation(number + 1)})
 	}
 	list.Apply(time.Time{}, []registrar.Change{{Upstream: entry("a", 2, false)}}, false)
 	assert.Equal(t, len(serviceIDs(list)), 0)
--- a/scheduler/estimator.go
+++ b/scheduler/estimator.go
@@ -8,11 +8,11 @@
 
 // Estimator predicts how many tokens a request will produce.
 type Estimator interface {
-	// Output returns the expected number of output tokens.
-	Output(class definer.ClassName, model string) float64
-	// Remainder returns the expected number of further output tokens of a request
+	// ExpectedOutput returns the expected number of output tokens.
+	ExpectedOutput(class definer.ClassName, model string) float64
+	// ExpectedRemainder returns the expected number of further output tokens of a request
 	// that has produced the given number.
-	Remainder(class definer.ClassName, model string, produced int) float64
+	ExpectedRemainder(class definer.ClassName, model string, produced int) float64
 	// Learn records the length of one finished answer, in tokens.
 	Learn(now time.Time, class definer.ClassName, model string, tokens int)
 }
@@ -23,12 +23,12 @@
 // fixedEstimator expects the same output of every request.
 type fixedEstimator struct{}
 
-// Output returns defaultOutput.
-func (fixedEstimator) Output(definer.ClassName, string) float64 { return defaultOutput }
+// ExpectedOutput returns defaultOutput.
+func (fixedEstimator) ExpectedOutput(definer.ClassName, string) float64 { return defaultOutput }
 
-// Remainder returns the difference to defaultOutput, or the number of tokens produced
+// ExpectedRemainder returns the difference to defaultOutput, or the number of tokens produced
 // once defaultOutput is reached.
-func (fixedEstimator) Remainder(_ definer.ClassName, _ string, produced int) float64 {
+func (fixedEstimator) ExpectedRemainder(_ definer.ClassName, _ string, produced int) float64 {
 	if produced < defaultOutput {
 		return float64(defaultOutput - produced)
 	}
--- a/scheduler/limiter.go
+++ b/scheduler/limiter.go
@@ -16,13 +16,13 @@
 	Observe(now time.Time, upstream *definer.Upstream, class *definer.Class, observation messenger.Observation)
 }
 
-// UseLimiter is a Limiter that is also told how many requests ran on an upstream when
+// ConcurrencyLimiter is a Limiter that is also told how many requests ran on an upstream when
 // one of them ended.
-type UseLimiter interface {
+type ConcurrencyLimiter interface {
 	Limiter
-	// Use records the number of running requests, the one that ended included; it is
+	// ObserveConcurrency records the number of running requests, the one that ended included; it is
 	// called before Observe.
-	Use(upstream *definer.Upstream, running int)
+	ObserveConcurrency(upstream *definer.Upstream, running int)
 }
 
 // fixedLimiter gives each upstream the slots of its configuration.
--- a/scheduler/meter.go
+++ b/scheduler/meter.go
@@ -48,7 +48,7 @@
 	}
 	output := float64(ask.OutputTokens)
 	if ask.OutputTokens <= 0 {
-		output = scheduler.estimator.Output(ask.Class.Name(), ask.Model)
+		output = scheduler.estimator.ExpectedOutput(ask.Class.Name(), ask.Model)
 	}
 	return promptTokenCost*float64(ask.PromptTokens) + max(output, 1)
 }
@@ -59,7 +59,7 @@
 	if scheduler.servesServices() {
 		return 1
 	}
-	return max(scheduler.estimator.Remainder(ask.Class.Name(), ask.Model, produced), 1)
+	return max(scheduler.estimator.ExpectedRemainder(ask.Class.Name(), ask.Model, produced), 1)
 }
 
 // learn records the slot time and the observation of a grant and returns the work that
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -143,8 +143,8 @@
 }
 
 func (scheduler *Scheduler) observe(now time.Time, ended *grant, running int, observation messenger.Observation) {
-	if limiter, ok := scheduler.limiter.(UseLimiter); ok {
-		limiter.Use(ended.upstream.definition, running)
+	if limiter, ok := scheduler.limiter.(ConcurrencyLimiter); ok {
+		limiter.ObserveConcurrency(ended.upstream.definition, running)
 	}
 	ended.upstream.breaker.observe(now, observation.Failed)
 	ended.upstream.backOff(now, observation.Backoff, observation.Failed)
--- a/sectioner/difference.go
+++ b/sectioner/difference.go
@@ -45,9 +45,9 @@
 	return changed, removed
 }
 
-// Amend applies the result of Difference to base: it returns the sections of next, in
-// the order of Cut.
-func Amend(base, changed []messenger.SectionSum, removed []string) []messenger.SectionSum {
+// Apply applies the result of Difference to base: it returns the sections of next, in
+// the order of Split.
+func Apply(base, changed []messenger.SectionSum, removed []string) []messenger.SectionSum {
 	var next []messenger.SectionSum
 	for _, sum := range base {
 		same := func(other messenger.SectionSum) bool { return other.Name == sum.Name }
@@ -62,7 +62,7 @@
 	return next
 }
 
-// rank returns the position of a section's group in the order of Cut.
+// rank returns the position of a section's group in the order of Split.
 func rank(name string) int {
 	switch {
 	case name == classesSection:
--- a/sectioner/head.go
+++ b/sectioner/head.go
@@ -29,7 +29,7 @@
 // encoding/json.
 type Head struct {
 	Edit
-	// Sections lists the sections of the version in the order of Cut.
+	// Sections lists the sections of the version in the order of Split.
 	Sections []Entry `json:"sections"`
 	// History holds earlier edits, the latest first.
 	History []Edit `json:"history,omitempty"`
@@ -176,9 +176,9 @@
 	return reachable
 }
 
-// At returns the sections of this version or of an earlier one, by applying the Undos of
+// SectionsAt returns the sections of this version or of an earlier one, by applying the Undos of
 // the edits since. The error is of kind Incomplete if the version is not in the history.
-func (head *Head) At(version uint64) ([]messenger.SectionSum, error) {
+func (head *Head) SectionsAt(version uint64) ([]messenger.SectionSum, error) {
 	sums := head.Sums()
 	edits := append([]Edit{head.Edit}, head.History...)
 	for _, edit := range edits {
@@ -194,15 +194,15 @@
 				changed = append(changed, messenger.SectionSum(entry))
 			}
 		}
-		sums = Amend(sums, changed, removed)
+		sums = Apply(sums, changed, removed)
 	}
 	return nil, fail("at", Incomplete, "version %d is not among the last %d versions", version, len(edits))
 }
 
-// Has reports whether an edit is that of this head or in its history. The result known
+// FindEdit reports whether an edit is that of this head or in its history. The result known
 // is false if the edit is not found but could be older than the history; version is the
 // version that the edit made, if it was accepted.
-func (head *Head) Has(editID string, version uint64) (found, known bool) {
+func (head *Head) FindEdit(editID string, version uint64) (found, known bool) {
 	oldest := head.Version
 	for _, edit := range append([]Edit{head.Edit}, head.History...) {
 		if edit.EditID == editID {
--- a/sectioner/sectioner.go
+++ b/sectioner/sectioner.go
@@ -29,8 +29,8 @@
 	// distributed by the hash of their names; with 1,900 organisations each section holds
 	// about 30.
 	organisationBuckets = 64
-	// MaxSection is the largest size of a section in bytes.
-	MaxSection = 1 << 20
+	// MaxSectionBytes is the largest size of a section in bytes.
+	MaxSectionBytes = 1 << 20
 )
 
 // Kind classifies an Error.
@@ -42,7 +42,7 @@
 	// Incomplete means that a section of a version is missing or does not match its hash,
 	// or that the history does not hold the version.
 	Incomplete Kind = "incomplete"
-	// TooLarge means that a section is larger than MaxSection, the most that the platform
+	// TooLarge means that a section is larger than MaxSectionBytes, the most that the platform
 	// stores.
 	TooLarge Kind = "tooLarge"
 )
@@ -54,10 +54,10 @@
 	return failer.New("sectioner."+operation, kind, format, values...)
 }
 
-// Cut splits a document into sections and returns their names with their hashes, and
+// Split splits a document into sections and returns their names with their hashes, and
 // their contents, both in the same fixed order. Equal documents have equal hashes. The
 // error joins the errors of all sections that are Malformed or TooLarge.
-func Cut(document definer.Document) ([]messenger.SectionSum, []messenger.Section, error) {
+func Split(document definer.Document) ([]messenger.SectionSum, []messenger.Section, error) {
 	builder := &builder{}
 	builder.add(classesSection, document.Classes)
 	for index, pool := range document.Pools {
@@ -86,8 +86,8 @@
 	if err != nil {
 		builder.errs = append(builder.errs, fail("cut", Malformed, "section %s: %w", name, err))
 	}
-	if len(data) > MaxSection {
-		builder.errs = append(builder.errs, fail("cut", TooLarge, "section %s has %d bytes; at most %d are allowed", name, len(data), MaxSection))
+	if len(data) > MaxSectionBytes {
+		builder.errs = append(builder.errs, fail("cut", TooLarge, "section %s has %d bytes; at most %d are allowed", name, len(data), MaxSectionBytes))
 	}
 	hash := Hash(data)
 	builder.sums = append(builder.sums, messenger.SectionSum{Name: name, Hash: hash})
@@ -119,7 +119,7 @@
 	})
 }
 
-// Join reverses Cut: it checks each section against its hash and returns the document,
+// Join reverses Split: it checks each section against its hash and returns the document,
 // with its organisations sorted by name. The error is of kind Incomplete or Malformed.
 func Join(sums []messenger.SectionSum, sections []messenger.Section) (definer.Document, error) {
 	var document definer.Document
--- a/sectioner/sectioner_test.go
+++ b/sectioner/sectioner_test.go
@@ -27,20 +27,20 @@
 	return document
 }
 
-// TestCutJoinDifferenceAndAmend checks with random documents that Join reverses Cut, and
-// that Amend applies what Difference returns.
+// TestCutJoinDifferenceAndAmend checks with random documents that Join reverses Split,
+// and that Apply applies what Difference returns.
 func TestCutJoinDifferenceAndAmend(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	base := []messenger.SectionSum{}
 	for range 200 {
 		document := randomDocument(random)
-		sums, sections, err := sectioner.Cut(document)
+		sums, sections, err := sectioner.Split(document)
 		assert.NilError(t, err)
 		joined, err := sectioner.Join(sums, sections)
 		assert.NilError(t, err)
 		assert.DeepEqual(t, joined, document)
 		changed, removed := sectioner.Difference(base, sums)
-		assert.DeepEqual(t, sectioner.Amend(base, changed, removed), sums)
+		assert.DeepEqual(t, sectioner.Apply(base, changed, removed), sums)
 		base = sums
 	}
 }
@@ -48,7 +48,7 @@
 // TestJoinRefusesWhatIsNotWhole checks the kind of error for sections that are missing,
 // altered, not JSON or of an unknown name.
 func TestJoinRefusesWhatIsNotWhole(t *testing.T) {
-	sums, sections, err := sectioner.Cut(randomDocument(rand.New(rand.NewPCG(3, 4))))
+	sums, sections, err := sectioner.Split(randomDocument(rand.New(rand.NewPCG(3, 4))))
 	assert.NilError(t, err)
 	cases := []struct {
 		name  string
@@ -84,8 +84,8 @@
 // TestCutTellsAllSectionsThatAreTooLarge checks that the error names every section that
 // is too large, not only the first.
 func TestCutTellsAllSectionsThatAreTooLarge(t *testing.T) {
-	long := strings.Repeat("x", sectioner.MaxSection)
-	_, _, err := sectioner.Cut(definer.Document{
+	long := strings.Repeat("x", sectioner.MaxSectionBytes)
+	_, _, err := sectioner.Split(definer.Document{
 		Classes: []definer.ClassDocument{{Name: long}},
 		Rules:   []definer.RuleDocument{{Name: long}},
 	})
--- a/selector/benchmark_test.go
+++ b/selector/benchmark_test.go
@@ -32,7 +32,7 @@
 			report.Loads = append(report.Loads, messenger.UpstreamLoad{Upstream: list[index].ID, InFlight: 1, Tokens: 4000, Unread: 900})
 		}
 		report.Reads = []messenger.PartsRead{{Upstream: list[node].ID, Parts: []string{fmt.Sprintf("s%d", node)}}}
-		chooser.Learn(now, definer.VM(fmt.Sprintf("node%d", node)), report, nodes)
+		chooser.ApplyReport(now, definer.VM(fmt.Sprintf("node%d", node)), report, nodes)
 	}
 	b.ResetTimer()
 	for index := range b.N {
--- a/selector/choice.go
+++ b/selector/choice.go
@@ -40,7 +40,7 @@
 		return choice
 	}
 	service := selector.service(demand.Service)
-	ruleWork := service.partition.rule(demand.Kind)
+	ruleWork := service.partition.rule(demand.Rule)
 	ruleWork.tier = demand.Tier
 	if ruleWork.since.IsZero() {
 		ruleWork.since = now
@@ -140,7 +140,7 @@
 		promptTokens:  demand.PromptTokens,
 		cacheLifetime: choice.cacheLifetime,
 		sentAt:        now,
-		rule:          demand.Kind,
+		rule:          demand.Rule,
 		engine:        demand.Engine,
 		tier:          demand.Tier,
 		awaitsPermit:  state.limited,
--- a/selector/demand.go
+++ b/selector/demand.go
@@ -15,9 +15,9 @@
 
 // Demand describes a request for which an upstream is to be chosen.
 type Demand struct {
-	// Service and Kind are the names of the service and of the rule.
+	// Service and Rule are the names of the service and of the rule.
 	Service definer.PoolName
-	Kind    string
+	Rule    string
 	// Tier is the rule's priority; 0 is the highest.
 	Tier int
 	// Candidates are the upstreams of the service that may be sent requests.
--- a/selector/division.go
+++ b/selector/division.go
@@ -171,7 +171,7 @@
 	}
 	boundary := math.Min(math.Max(math.Round(longEngines(long, short, count)), 1), count-1)
 	divided := short.side(count - boundary)
-	length := meanLength(kinds[demand.Kind])
+	length := meanLength(kinds[demand.Rule])
 	if length == 0 {
 		length = float64(demand.PromptTokens) // It is the first request of its rule.
 	}
--- a/selector/load_test.go
+++ b/selector/load_test.go
@@ -37,7 +37,7 @@
 	for _, tokensPerMillisecond := range []int{13, 40, 120} {
 		t.Run(fmt.Sprint(tokensPerMillisecond), func(t *testing.T) {
 			chooser, now := selector.New("west"), start()
-			prompt := &selector.Demand{Service: "pool", Kind: "k", Candidates: list, Engine: true, PromptTokens: 12000}
+			prompt := &selector.Demand{Service: "pool", Rule: "k", Candidates: list, Engine: true, PromptTokens: 12000}
 			took := time.Duration(12000/tokensPerMillisecond) * time.Millisecond
 			for step := range 120 {
 				now = now.Add(5 * time.Second)
--- a/selector/others.go
+++ b/selector/others.go
@@ -7,9 +7,9 @@
 	"limpetcleat/messenger"
 )
 
-// ReportLife is how long a peer's report counts. Reports are sent ten times a second; a longer
+// ReportLifetime is how long a peer's report counts. Reports are sent ten times a second; a longer
 // gap means that the peer has stopped or is disconnected.
-const ReportLife = 1500 * time.Millisecond
+const ReportLifetime = 1500 * time.Millisecond
 
 // minReportedShare is the part of all peers whose load must be known for the load of an
 // upstream to count as complete; it is below 1 because a listed peer may be down.
@@ -81,10 +81,10 @@
 	}
 }
 
-// expire removes the reports older than ReportLife.
+// expire removes the reports older than ReportLifetime.
 func (peerReports *peerReports) expire(now time.Time) {
 	for vm, report := range peerReports.reports {
-		if now.Sub(report.receivedAt) > ReportLife {
+		if now.Sub(report.receivedAt) > ReportLifetime {
 			peerReports.remove(vm)
 		}
 	}
@@ -147,8 +147,8 @@
 	return load
 }
 
-// Learn applies a report from a peer; peers is the number of all peers.
-func (selector *Selector) Learn(now time.Time, from definer.VM, report *messenger.LoadReport, peers int) {
+// ApplyReport applies a report from a peer; peers is the number of all peers.
+func (selector *Selector) ApplyReport(now time.Time, from definer.VM, report *messenger.LoadReport, peers int) {
 	selector.mutex.Lock()
 	defer selector.mutex.Unlock()
 	selector.peerReports.peers = peers
@@ -169,9 +169,9 @@
 	}
 }
 
-// Busy returns how many engines of a service are occupied by the work of this node and its
+// BusyEngines returns how many engines of a service are occupied by the work of this node and its
 // peers, including the work that waits.
-func (selector *Selector) Busy(now time.Time, name definer.PoolName) float64 {
+func (selector *Selector) BusyEngines(now time.Time, name definer.PoolName) float64 {
 	selector.mutex.Lock()
 	defer selector.mutex.Unlock()
 	selector.peerReports.expire(now)
@@ -182,8 +182,8 @@
 	return busy
 }
 
-// Forget removes the report of a peer.
-func (selector *Selector) Forget(from definer.VM) {
+// RemoveReport removes the report of a peer.
+func (selector *Selector) RemoveReport(from definer.VM) {
 	selector.mutex.Lock()
 	defer selector.mutex.Unlock()
 	selector.peerReports.remove(from)
--- a/selector/restart_test.go
+++ b/selector/restart_test.go
@@ -87,7 +87,7 @@
 			list := restartedPool(pool(1), 0, 20)
 			chooser := selector.New("west")
 			choose(t, chooser, start(), engineDemand(list, "k", "other", 50)).End(start(), selector.Abandoned)
-			chooser.Learn(start(), "peer", &messenger.LoadReport{
+			chooser.ApplyReport(start(), "peer", &messenger.LoadReport{
 				Nodes: 1,
 				Loads: []messenger.UpstreamLoad{{Upstream: "u0", Incarnation: test.told, InFlight: 3, Heard: time.Millisecond, HasHeard: true}},
 				Reads: []messenger.PartsRead{{Upstream: "u0", Incarnation: test.told, Parts: []string{"s"}}},
--- a/selector/saturation_test.go
+++ b/selector/saturation_test.go
@@ -23,7 +23,7 @@
 // addLoad sends an engine a request with that many prompt tokens, which does not begin.
 func addLoad(t *testing.T, chooser *selector.Selector, upstream *registrar.Upstream, tokens int) {
 	t.Helper()
-	busy := &selector.Demand{Service: "pool", Kind: "other", Candidates: []*registrar.Upstream{upstream}, Engine: true, PromptTokens: tokens}
+	busy := &selector.Demand{Service: "pool", Rule: "other", Candidates: []*registrar.Upstream{upstream}, Engine: true, PromptTokens: tokens}
 	choose(t, chooser, start(), busy)
 }
 
@@ -102,7 +102,7 @@
 func TestFullSlotsAreAWait(t *testing.T) {
 	for _, lasts := range []time.Duration{100 * time.Millisecond, 20 * time.Second} {
 		chooser, list, now := selector.New("west"), pool(1), start()
-		short := &selector.Demand{Service: "pool", Kind: "other", Candidates: list, Engine: true, PromptTokens: 10}
+		short := &selector.Demand{Service: "pool", Rule: "other", Candidates: list, Engine: true, PromptTokens: 10}
 		for range 100 {
 			assignment := choose(t, chooser, now, short)
 			assignment.RecordFirstEvent(now)
@@ -128,7 +128,7 @@
 			long.Tier = 1
 			choose(t, chooser, now, long)
 			if step%2 == 0 {
-				short := &selector.Demand{Service: "pool", Kind: "short", Tier: tier, Candidates: list, Engine: true, PromptTokens: prompts}
+				short := &selector.Demand{Service: "pool", Rule: "short", Tier: tier, Candidates: list, Engine: true, PromptTokens: prompts}
 				side = basisField(choose(t, chooser, now, short), "side")
 			}
 		}
--- a/selector/selector_test.go
+++ b/selector/selector_test.go
@@ -29,7 +29,7 @@
 // beyond the shared parts.
 func engineDemand(list []*registrar.Upstream, kind, subject string, own int) *selector.Demand {
 	return &selector.Demand{
-		Service: "pool", Kind: kind, Candidates: list, Engine: true, Idempotent: true,
+		Service: "pool", Rule: kind, Candidates: list, Engine: true, Idempotent: true,
 		Parts:        []selector.Part{{ID: "all", Tokens: 100}, {ID: subject, Tokens: 2000}},
 		PromptTokens: 2100 + own,
 	}
@@ -90,7 +90,7 @@
 	assignment := choose(t, elsewhere, start(), engineDemand(rest, "k", "s", 50))
 	assignment.RecordFirstEvent(start())
 	chooser := selector.New("west")
-	chooser.Learn(start(), "peer", elsewhere.Report(start()), 1)
+	chooser.ApplyReport(start(), "peer", elsewhere.Report(start()), 1)
 	assert.Equal(t, choose(t, chooser, start(), engineDemand(list, "k", "s", 50)).Upstream().ID, assignment.Upstream().ID)
 	// A read is reported once, and cached parts expire.
 	assert.Equal(t, len(elsewhere.Report(start()).Reads), 0)
@@ -211,7 +211,7 @@
 	report := node.Report(start())
 	assert.Equal(t, len(report.Reads), 1)
 	assert.DeepEqual(t, report.Reads[0].Parts, []string{"all", "s"})
-	peer.Learn(start(), "node", report, 1)
+	peer.ApplyReport(start(), "node", report, 1)
 	assert.Equal(t, choose(t, peer, start(), engineDemand(list, "k", "s", 50)).Upstream().ID, sent.Upstream().ID)
 	assert.Equal(t, len(peer.Report(start()).Reads), 0, "all peers know of the reads")
 	again := choose(t, node, start().Add(time.Second), engineDemand(list, "k", "s", 50))
@@ -234,7 +234,7 @@
 	list := pool(6)
 	node := selector.New("west")
 	report := &messenger.LoadReport{Nodes: 1, Reads: []messenger.PartsRead{{Upstream: "u3", Parts: []string{"s"}}}}
-	node.Learn(start(), "peer", report, 1)
+	node.ApplyReport(start(), "peer", report, 1)
 	assert.Equal(t, choose(t, node, start(), engineDemand(list, "k", "s", 50)).Upstream().ID, definer.UpstreamName("u3"))
 }
 
@@ -244,7 +244,7 @@
 	list := pool(2)
 	list[1].DataCentre = "east"
 	demand := func(list []*registrar.Upstream) *selector.Demand {
-		return &selector.Demand{Service: "pool", Kind: "k", Candidates: list, Engine: true}
+		return &selector.Demand{Service: "pool", Rule: "k", Candidates: list, Engine: true}
 	}
 	busy := selector.New("west")
 	for range 2 {
@@ -263,7 +263,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			chooser := selector.New("west")
-			chooser.Learn(start(), "peer", busy.Report(start()), test.peers)
+			chooser.ApplyReport(start(), "peer", busy.Report(start()), test.peers)
 			assert.Equal(t, choose(t, chooser, start().Add(test.age), demand(list)).Upstream().ID, test.chosen)
 		})
 	}
--- a/server/arrival.go
+++ b/server/arrival.go
@@ -73,7 +73,7 @@
 		},
 		Key:      key,
 		BodyHash: hex.EncodeToString(bodyHash),
-		Identity: quarantiner.Identify(&quarantiner.Subject{
+		Identity: quarantiner.Identify(&quarantiner.RequestParts{
 			Organisation: caller.organisation, Method: request.Method, Target: request.URL.RequestURI(),
 			Body: bodyHash, // The body itself need not be hashed twice.
 		}),
--- a/sifter/sifter.go
+++ b/sifter/sifter.go
@@ -42,10 +42,10 @@
 	return &Sifter{log: log, setCount: setCount, entries: make(map[entryKey]map[uint64]bool)}
 }
 
-// Unreadable records that an entry cannot be decoded, with the cause, and logs this if
+// MarkUnreadable records that an entry cannot be decoded, with the cause, and logs this if
 // the content has not been logged yet. The number content identifies the entry's
 // content, for example its hash or revision.
-func (sifter *Sifter) Unreadable(feed, name string, content uint64, cause error) {
+func (sifter *Sifter) MarkUnreadable(feed, name string, content uint64, cause error) {
 	sifter.mutex.Lock()
 	defer sifter.mutex.Unlock()
 	key := entryKey{feed, name}
@@ -65,8 +65,8 @@
 	sifter.log(logger.EventEntryUnreadable, "feed", feed, "name", name, "cause", cause)
 }
 
-// Readable records that an entry can be decoded or has been removed.
-func (sifter *Sifter) Readable(feed, name string) {
+// MarkReadable records that an entry can be decoded or has been removed.
+func (sifter *Sifter) MarkReadable(feed, name string) {
 	sifter.mutex.Lock()
 	defer sifter.mutex.Unlock()
 	if _, known := sifter.entries[entryKey{feed, name}]; known {
@@ -75,9 +75,9 @@
 	}
 }
 
-// Listed records the names of all entries of a feed; tracked entries of the feed that
+// RetainListed records the names of all entries of a feed; tracked entries of the feed that
 // are not among them are forgotten.
-func (sifter *Sifter) Listed(feed string, names map[string]bool) {
+func (sifter *Sifter) RetainListed(feed string, names map[string]bool) {
 	sifter.mutex.Lock()
 	defer sifter.mutex.Unlock()
 	before := len(sifter.entries)
--- a/sifter/sifter_test.go
+++ b/sifter/sifter_test.go
@@ -28,21 +28,21 @@
 	recorder := &recorder{}
 	sifter := recorder.sifter()
 	cause := errors.New("no address")
-	sifter.Unreadable("upstreams", "a", 1, cause)
-	sifter.Unreadable("upstreams", "a", 1, cause)
-	sifter.Unreadable("upstreams", "a", 2, cause)
-	sifter.Unreadable("upstreams", "b", 1, cause)
-	sifter.Unreadable("peers", "a", 1, cause)
-	sifter.Unreadable("upstreams", "", 5, cause)
+	sifter.MarkUnreadable("upstreams", "a", 1, cause)
+	sifter.MarkUnreadable("upstreams", "a", 1, cause)
+	sifter.MarkUnreadable("upstreams", "a", 2, cause)
+	sifter.MarkUnreadable("upstreams", "b", 1, cause)
+	sifter.MarkUnreadable("peers", "a", 1, cause)
+	sifter.MarkUnreadable("upstreams", "", 5, cause)
 	assert.DeepEqual(t, recorder.names, []string{"a", "a", "b", "a", ""})
 	assert.Equal(t, recorder.count, 4)
 
-	sifter.Readable("upstreams", "a")
-	sifter.Readable("upstreams", "never seen")
+	sifter.MarkReadable("upstreams", "a")
+	sifter.MarkReadable("upstreams", "never seen")
 	assert.Equal(t, recorder.count, 3)
-	sifter.Listed("upstreams", map[string]bool{"b": true})
+	sifter.RetainListed("upstreams", map[string]bool{"b": true})
 	assert.Equal(t, recorder.count, 2, "b is listed, and the peer belongs to another feed")
-	sifter.Unreadable("upstreams", "a", 1, cause)
+	sifter.MarkUnreadable("upstreams", "a", 1, cause)
 	assert.Equal(t, len(recorder.names), 6, "a was forgotten when it became readable, so it is logged again")
 }
 
@@ -52,11 +52,11 @@
 	recorder := &recorder{}
 	sifter := recorder.sifter()
 	for content := range uint64(1000) {
-		sifter.Unreadable("upstreams", "a", content, errors.New("bytes"))
+		sifter.MarkUnreadable("upstreams", "a", content, errors.New("bytes"))
 	}
 	assert.Equal(t, len(recorder.names), 8)
 	for index := range 10_000 {
-		sifter.Unreadable("upstreams", fmt.Sprint(index), 1, errors.New("bytes"))
+		sifter.MarkUnreadable("upstreams", fmt.Sprint(index), 1, errors.New("bytes"))
 	}
 	assert.Equal(t, recorder.count, 4096)
 }
--- a/simulator/exchange.go
+++ b/simulator/exchange.go
@@ -26,7 +26,7 @@
 		reports = append(reports, report)
 	}
 	for index, node := range world.nodes {
-		node.selector.Learn(world.now, fleet, world.others(loads, kinds, reads, reports[index]), len(world.nodes)-1)
+		node.selector.ApplyReport(world.now, fleet, world.others(loads, kinds, reads, reports[index]), len(world.nodes)-1)
 	}
 }
 
--- a/simulator/simulator.go
+++ b/simulator/simulator.go
@@ -223,7 +223,7 @@
 	request.node = world.nodes[world.random.IntN(len(world.nodes))]
 	candidates := world.readable()
 	assignment, err := request.node.selector.Choose(world.now, &selector.Demand{
-		Service: "pool", Kind: class.Name, Tier: class.Tier, Candidates: candidates, Engine: true, Parts: request.parts,
+		Service: "pool", Rule: class.Name, Tier: class.Tier, Candidates: candidates, Engine: true, Parts: request.parts,
 		PromptTokens: request.prompt, OutputTokens: request.output, CacheTokens: world.pattern.Settings.CacheTokens,
 		Objective: class.Objective, TimeLeft: request.deadline.Sub(world.now), Idempotent: true,
 		Deferrable: class.Deferrable,
--- a/steward/doc.go
+++ b/steward/doc.go
@@ -28,9 +28,9 @@
 // Platform carries out the calls of the holder of a duty. Errors are of package
 // leaseholder.
 type Platform interface {
-	// Tell reports the usage of a window. The error is of kind Outdated if another node has
+	// ReportUsage reports the usage of a window. The error is of kind Outdated if another node has
 	// acted under a newer grant, Refused if nothing was done, else Unanswered.
-	Tell(ctx context.Context, grant Grant, usage *Settled) error
+	ReportUsage(ctx context.Context, grant Grant, usage *SettledWindow) error
 	// Order sets a target number of engines. The error is of kind Outdated if another node
 	// has acted under a newer grant, Unavailable if the platform has no engines to give,
 	// Refused if nothing was done, else Unanswered.
@@ -54,16 +54,16 @@
 
 // Directory lists engines.
 type Directory interface {
-	// Of returns the engines of a service that accept work.
-	Of(service definer.PoolName) []*registrar.Upstream
-	// Known reports whether the list of engines has been read.
-	Known() bool
+	// Upstreams returns the engines of a service that accept work.
+	Upstreams(service definer.PoolName) []*registrar.Upstream
+	// Loaded reports whether the list of engines has been read.
+	Loaded() bool
 }
 
 // Demand measures the load on engines.
 type Demand interface {
-	// Busy returns how many engines of a service the work of all nodes occupies.
-	Busy(now time.Time, service definer.PoolName) float64
+	// BusyEngines returns how many engines of a service the work of all nodes occupies.
+	BusyEngines(now time.Time, service definer.PoolName) float64
 }
 
 // Fleet orders the nodes for taking on duties.
@@ -84,21 +84,21 @@
 	Send(ctx context.Context, address string, message messenger.Message)
 }
 
-// Settled is the final usage of a window. Its counts never change once it is in the store, so
-// each repetition of a report has the same content.
-type Settled struct {
+// SettledWindow is the final usage of a window. Its counts never change once it is in the store,
+// so each repetition of a report has the same content.
+type SettledWindow struct {
 	Window   tallier.Window                      `json:"window"`
 	Requests map[definer.OrganisationName]uint64 `json:"requests"`
-	// Whole is set if every known process had reported all its counts.
-	Whole bool `json:"whole"`
-	// Told is set once the platform has accepted the report.
-	Told bool `json:"told"`
+	// Complete is set if every known process had reported all its counts.
+	Complete bool `json:"whole"`
+	// Reported is set once the platform has accepted the report.
+	Reported bool `json:"told"`
 }
 
 // Book is the record of the usage duty in the store: the recently settled windows, the oldest
 // first.
 type Book struct {
-	Settled []Settled `json:"settled"`
+	Settled []SettledWindow `json:"settled"`
 }
 
 // lastWindow returns the newest settled window, or false if there is none.
@@ -111,10 +111,10 @@
 
 // unreported returns the settled windows that the platform is not known to have accepted, the
 // oldest first.
-func (book *Book) unreported() []*Settled {
-	var unreported []*Settled
+func (book *Book) unreported() []*SettledWindow {
+	var unreported []*SettledWindow
 	for index := range book.Settled {
-		if !book.Settled[index].Told {
+		if !book.Settled[index].Reported {
 			unreported = append(unreported, &book.Settled[index])
 		}
 	}
--- a/steward/engines_test.go
+++ b/steward/engines_test.go
@@ -79,18 +79,18 @@
 // Table returns the configuration.
 func (engines *engines) Table() *router.Table { return engines.table }
 
-// Known reports that the list of engines has been read.
-func (engines *engines) Known() bool { return true }
+// Loaded reports that the list of engines has been read.
+func (engines *engines) Loaded() bool { return true }
 
-// Busy returns how many engines the load occupies.
-func (engines *engines) Busy(time.Time, definer.PoolName) float64 {
+// BusyEngines returns how many engines the load occupies.
+func (engines *engines) BusyEngines(time.Time, definer.PoolName) float64 {
 	engines.mutex.Lock()
 	defer engines.mutex.Unlock()
 	return engines.busy
 }
 
-// Of returns the engines that accept work.
-func (engines *engines) Of(definer.PoolName) []*registrar.Upstream {
+// Upstreams returns the engines that accept work.
+func (engines *engines) Upstreams(definer.PoolName) []*registrar.Upstream {
 	engines.mutex.Lock()
 	defer engines.mutex.Unlock()
 	var list []*registrar.Upstream
@@ -193,7 +193,7 @@
 // count returns how many engines of each kind accept work.
 func (engines *engines) count() scaler.Counts {
 	var sum scaler.Counts
-	for _, engine := range engines.Of(pool) {
+	for _, engine := range engines.Upstreams(pool) {
 		if engine.Spot {
 			sum.Spot++
 		} else {
--- a/steward/scaling.go
+++ b/steward/scaling.go
@@ -73,7 +73,7 @@
 func (duty *scalingDuty) step(ctx context.Context) {
 	steward := duty.steward
 	table := steward.parts.Services.Table()
-	if time.Now().Before(duty.pausedUntil) || table == nil || !steward.parts.Engines.Known() {
+	if time.Now().Before(duty.pausedUntil) || table == nil || !steward.parts.Engines.Loaded() {
 		return
 	}
 	precedence := steward.parts.Fleet.Precedence(time.Now(), steward.hasYielded)
@@ -82,8 +82,8 @@
 		return
 	}
 	now := steward.parts.Clock.Now()
-	usage := steward.tallier.Usage(now, steward.tallier.At(now))
-	reporting := reportingShare(&usage, precedence.Listed)
+	usage := steward.tallier.Usage(now, steward.tallier.WindowAt(now))
+	reporting := reportingShare(&usage, precedence.NodeCount)
 	if reporting < minReportingShare {
 		duty.release()
 		return
@@ -155,7 +155,7 @@
 // for listStableTime. When a whole deployment starts, its engines register one after the
 // other, and a first plan made from a part of them would give up the rest.
 func (duty *scalingDuty) isListStable(now time.Time, service definer.PoolName) bool {
-	count := len(duty.steward.parts.Engines.Of(service))
+	count := len(duty.steward.parts.Engines.Upstreams(service))
 	known, ok := duty.listed[service]
 	if !ok || known.count != count {
 		duty.listed[service] = timedCount{count, now}
@@ -180,11 +180,11 @@
 // observe returns the current load and engines of a service.
 func (duty *scalingDuty) observe(now time.Time, service definer.PoolName, whole bool) *scaler.Situation {
 	situation := &scaler.Situation{
-		Busy:     duty.steward.parts.Demand.Busy(now, service),
+		Busy:     duty.steward.parts.Demand.BusyEngines(now, service),
 		Complete: whole,
 		Standing: make(map[definer.DataCentre]scaler.Counts),
 	}
-	for _, engine := range duty.steward.parts.Engines.Of(service) {
+	for _, engine := range duty.steward.parts.Engines.Upstreams(service) {
 		counts := situation.Standing[engine.DataCentre]
 		if engine.Spot {
 			counts.Spot++
@@ -279,7 +279,7 @@
 	steward := duty.steward
 	decision := Decision{
 		Order: *order, Token: token, Need: duty.lease.Current().Record.Services[order.Service].Need,
-		Busy: steward.parts.Demand.Busy(time.Now(), order.Service), At: steward.parts.Clock.Now(), Failure: err,
+		Busy: steward.parts.Demand.BusyEngines(time.Now(), order.Service), At: steward.parts.Clock.Now(), Failure: err,
 	}
 	steward.parts.Log(logger.EventEnginesOrdered, "service", order.Service, "dataCentre", order.DataCentre, "spot", order.Spot, "count", order.Count,
 		"token", token, "need", decision.Need, "busy", decision.Busy, "cause", err)
--- a/steward/status.go
+++ b/steward/status.go
@@ -36,8 +36,8 @@
 // UsageStatus is a node's view of the usage duty.
 type UsageStatus struct {
 	DutyStatus
-	// ToldUntil is the newest window known to be reported.
-	ToldUntil tallier.Window
+	// ReportedUntil is the newest window known to be reported.
+	ReportedUntil tallier.Window
 	// Reports are the most recent reports of this node, the newest last; Whole, Partial and
 	// Skipped count its windows by whether all, some or none of their usage was reported.
 	Reports []Report
--- a/steward/steward.go
+++ b/steward/steward.go
@@ -56,8 +56,8 @@
 	Headroom float64
 }
 
-// Parts are the dependencies of a Steward.
-type Parts struct {
+// Dependencies are the dependencies of a Steward.
+type Dependencies struct {
 	Fleet    Fleet
 	Clock    Clock
 	Sender   Sender
@@ -78,7 +78,7 @@
 type Steward struct {
 	self     definer.Member
 	settings Settings
-	parts    Parts
+	parts    Dependencies
 	tallier  *tallier.Tallier
 	usage    *usageDuty
 	scaling  *scalingDuty
@@ -93,7 +93,7 @@
 }
 
 // New returns a Steward for the process self.
-func New(self definer.Member, settings Settings, parts Parts) *Steward {
+func New(self definer.Member, settings Settings, parts Dependencies) *Steward {
 	if settings.Lease <= 0 {
 		settings.Lease = defaultLease
 	}
@@ -118,8 +118,8 @@
 	return steward
 }
 
-// Begun counts a request that has begun at an upstream.
-func (steward *Steward) Begun(organisation definer.OrganisationName) {
+// CountRequest counts a request that has begun at an upstream.
+func (steward *Steward) CountRequest(organisation definer.OrganisationName) {
 	if organisation != "" {
 		steward.tallier.Count(steward.parts.Clock.Now(), organisation)
 	}
@@ -129,7 +129,7 @@
 func (steward *Steward) Receive(from definer.Member, message messenger.Message) {
 	switch message := message.(type) {
 	case *messenger.UsageReport:
-		steward.tallier.Take(steward.parts.Clock.Now(), from, message)
+		steward.tallier.Merge(steward.parts.Clock.Now(), from, message)
 	case *messenger.DutyNotice:
 		steward.mutex.Lock()
 		if message.Yields {
@@ -154,7 +154,7 @@
 	}
 	steward.statuses.update(func(status *Status) {
 		status.Usage.DutyStatus = DutyStatus{Holder: from, Token: notice.Token}
-		status.Usage.ToldUntil = max(status.Usage.ToldUntil, reported)
+		status.Usage.ReportedUntil = max(status.Usage.ReportedUntil, reported)
 	})
 }
 
@@ -206,7 +206,7 @@
 func (steward *Steward) sendCounts(ctx context.Context) {
 	precedence := steward.parts.Fleet.Precedence(time.Now(), steward.hasYielded)
 	for _, senior := range precedence.Seniors {
-		steward.parts.Sender.Send(ctx, senior.Address, steward.tallier.Tell(steward.parts.Clock.Now(), senior.VM))
+		steward.parts.Sender.Send(ctx, senior.Address, steward.tallier.NextReport(steward.parts.Clock.Now(), senior.VM))
 	}
 }
 
--- a/steward/usage.go
+++ b/steward/usage.go
@@ -69,7 +69,7 @@
 	return &usageDuty{
 		steward:     steward,
 		lease:       leaseholder.New[Book](steward.parts.Shelf, UsageDuty, steward.self, steward.settings.Lease),
-		firstWindow: steward.tallier.At(steward.parts.Clock.Now()),
+		firstWindow: steward.tallier.WindowAt(steward.parts.Clock.Now()),
 	}
 }
 
@@ -114,7 +114,7 @@
 		return
 	}
 	if !duty.holdsClaimFor(due) {
-		if err := duty.claim(ctx, now, due, precedence.Listed); err != nil {
+		if err := duty.claim(ctx, now, due, precedence.NodeCount); err != nil {
 			duty.handleFailure("claim", err)
 			return
 		}
@@ -135,8 +135,8 @@
 // dueWindow returns the newest window that this node is to report by now.
 func (duty *usageDuty) dueWindow(now time.Time, precedence *exchanger.Precedence) tallier.Window {
 	tallier := duty.steward.tallier
-	window := tallier.At(now) - 1
-	for ; window > duty.reportedUntil() && now.Before(tallier.End(window).Add(duty.reportDelay(now, window, precedence))); window-- {
+	window := tallier.WindowAt(now) - 1
+	for ; window > duty.reportedUntil() && now.Before(tallier.WindowEnd(window).Add(duty.reportDelay(now, window, precedence))); window-- {
 	}
 	return window
 }
@@ -146,10 +146,10 @@
 func (duty *usageDuty) reportDelay(now time.Time, window tallier.Window, precedence *exchanger.Precedence) time.Duration {
 	usage := duty.steward.tallier.Usage(now, window)
 	share := completeDelayShare
-	if usage.Whole < usage.Running {
+	if usage.Complete < usage.Running {
 		share = partialDelayShare
 	}
-	share += unheardDelayShare * max(0, fullReportingShare-reportingShare(&usage, precedence.Listed)) / fullReportingShare
+	share += unheardDelayShare * max(0, fullReportingShare-reportingShare(&usage, precedence.NodeCount)) / fullReportingShare
 	share += rankDelayShare * float64(precedence.Rank+duty.failureCount())
 	return time.Duration(min(share, maxDelayShare) * float64(duty.steward.settings.UsageDeadline))
 }
@@ -191,10 +191,10 @@
 	}
 	for window := next; window <= due; window++ {
 		usage := duty.steward.tallier.Usage(now, window)
-		whole := usage.Whole == usage.Running && usage.Lost == 0 && reportingShare(&usage, listed) >= fullReportingShare && window >= duty.firstWindow
-		book.Settled = append(book.Settled, Settled{Window: window, Requests: usage.Requests, Whole: whole})
+		whole := usage.Complete == usage.Running && usage.Lost == 0 && reportingShare(&usage, listed) >= fullReportingShare && window >= duty.firstWindow
+		book.Settled = append(book.Settled, SettledWindow{Window: window, Requests: usage.Requests, Complete: whole})
 		duty.steward.parts.Log(logger.EventUsageSettled, "window", window, "organisations", len(usage.Requests), "requests", sumRequests(usage.Requests),
-			"whole", whole, "running", usage.Running, "toldAll", usage.Whole, "lost", usage.Lost, "listed", listed)
+			"whole", whole, "running", usage.Running, "toldAll", usage.Complete, "lost", usage.Lost, "listed", listed)
 	}
 	return book, true
 }
@@ -221,10 +221,10 @@
 }
 
 // retainedWindows returns copies of the windows of a book that are still needed.
-func retainedWindows(settled []Settled) []Settled {
-	var windows []Settled
+func retainedWindows(settled []SettledWindow) []SettledWindow {
+	var windows []SettledWindow
 	for index, window := range settled {
-		if !window.Told || index+minKeptWindows >= len(settled) {
+		if !window.Reported || index+minKeptWindows >= len(settled) {
 			window.Requests = maps.Clone(window.Requests)
 			windows = append(windows, window)
 		}
@@ -256,7 +256,7 @@
 			duty.handleFailure("tell", err)
 			return
 		}
-		settled.Told = true
+		settled.Reported = true
 		duty.markReported(settled.Window)
 		duty.recordReport(settled, token)
 		steward.notifyAudience(ctx, &messenger.DutyNotice{Duty: UsageDuty, Token: token, Window: uint64(settled.Window)})
@@ -264,17 +264,17 @@
 }
 
 // recordReport logs that a window is reported and adds it to the status.
-func (duty *usageDuty) recordReport(settled *Settled, token uint64) {
+func (duty *usageDuty) recordReport(settled *SettledWindow, token uint64) {
 	steward := duty.steward
 	now := steward.parts.Clock.Now()
-	late := now.Sub(steward.tallier.End(settled.Window))
-	steward.parts.Log(logger.EventUsageTold, "window", settled.Window, "token", token, "whole", settled.Whole, "lateMs", late.Milliseconds())
+	late := now.Sub(steward.tallier.WindowEnd(settled.Window))
+	steward.parts.Log(logger.EventUsageTold, "window", settled.Window, "token", token, "whole", settled.Complete, "lateMs", late.Milliseconds())
 	steward.statuses.update(func(status *Status) {
 		usage := &status.Usage
 		usage.DutyStatus = DutyStatus{Holds: true, Holder: steward.self.VM, Token: token}
-		usage.ToldUntil = settled.Window
-		usage.Reports = appendBounded(usage.Reports, Report{Window: settled.Window, Token: token, Requests: sumRequests(settled.Requests), Whole: settled.Whole, Late: late, At: now})
-		if settled.Whole {
+		usage.ReportedUntil = settled.Window
+		usage.Reports = appendBounded(usage.Reports, Report{Window: settled.Window, Token: token, Requests: sumRequests(settled.Requests), Whole: settled.Complete, Late: late, At: now})
+		if settled.Complete {
 			usage.Whole++
 		} else {
 			usage.Partial++
@@ -282,10 +282,10 @@
 	})
 }
 
-func (duty *usageDuty) reportWindow(ctx context.Context, grant Grant, settled *Settled) error {
+func (duty *usageDuty) reportWindow(ctx context.Context, grant Grant, settled *SettledWindow) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return duty.steward.parts.Platform.Tell(ctx, grant, settled)
+	return duty.steward.parts.Platform.ReportUsage(ctx, grant, settled)
 }
 
 // handleFailure counts and logs a failed step, and pauses the duty.
--- a/steward/world_test.go
+++ b/steward/world_test.go
@@ -132,7 +132,7 @@
 	ctx, end := context.WithCancel(node.simulation.t.Context())
 	process := &process{node: node, member: definer.Member{VM: node.peer.VM, Incarnation: definer.Incarnation(time.Now().UnixNano())}, end: end}
 	process.steward = steward.New(process.member, steward.Settings{Lease: leaseTerm, UsageWindow: usageWindow, UsageDeadline: usageDeadline, Scales: true, Headroom: scaler.DefaultHeadroom},
-		steward.Parts{
+		steward.Dependencies{
 			Fleet: process, Clock: process, Sender: process, Shelf: process, Platform: process,
 			Services: process.node.simulation.engines, Engines: process.node.simulation.engines, Demand: process.node.simulation.engines, Log: process.log,
 		})
@@ -228,7 +228,7 @@
 
 // precedence returns the precedence of a node in the group own. The caller holds mutex.
 func (simulation *simulation) precedence(self *node, own, aggregators []*node, passedOver func(vm definer.VM) bool) exchanger.Precedence {
-	precedence := exchanger.Precedence{Listed: len(simulation.nodes)}
+	precedence := exchanger.Precedence{NodeCount: len(simulation.nodes)}
 	var mine *node
 	var others []exchanger.Peer
 	for _, aggregator := range aggregators {
@@ -397,8 +397,8 @@
 	return revision, nil
 }
 
-// Tell accepts a usage report.
-func (process *process) Tell(ctx context.Context, grant steward.Grant, usage *steward.Settled) error {
+// ReportUsage accepts a usage report.
+func (process *process) ReportUsage(ctx context.Context, grant steward.Grant, usage *steward.SettledWindow) error {
 	simulation := process.node.simulation
 	window, counts := usage.Window, maps.Clone(usage.Requests)
 	var outdated bool
@@ -495,7 +495,7 @@
 	simulation.begun[window][organisation]++
 	chosen := running[simulation.random.IntN(len(running))]
 	simulation.mutex.Unlock()
-	chosen.steward.Begun(organisation)
+	chosen.steward.CountRequest(organisation)
 }
 
 // runTraffic begins requests of five organisations at a rate per second for a span of time.
--- a/tallier/tallier.go
+++ b/tallier/tallier.go
@@ -92,13 +92,13 @@
 	return &processRecord{windows: make(map[Window]map[definer.OrganisationName]*count)}
 }
 
-// At returns the window that contains a time.
-func (tallier *Tallier) At(now time.Time) Window {
+// WindowAt returns the window that contains a time.
+func (tallier *Tallier) WindowAt(now time.Time) Window {
 	return Window(time.Duration(now.UnixNano()) / tallier.width)
 }
 
-// End returns the end of a window.
-func (tallier *Tallier) End(window Window) time.Time {
+// WindowEnd returns the end of a window.
+func (tallier *Tallier) WindowEnd(window Window) time.Time {
 	return time.Unix(0, int64(time.Duration(window+1)*tallier.width))
 }
 
@@ -106,7 +106,7 @@
 func (tallier *Tallier) Count(now time.Time, organisation definer.OrganisationName) {
 	tallier.mutex.Lock()
 	defer tallier.mutex.Unlock()
-	window := tallier.At(now)
+	window := tallier.WindowAt(now)
 	tallier.advance(window)
 	known := tallier.records[tallier.self].count(window, organisation)
 	tallier.revision++
@@ -154,13 +154,13 @@
 	return window+keptWindows >= tallier.newest && window <= tallier.newest+1
 }
 
-// Tell returns the report to send to a node at now: the counts of this process and of
+// NextReport returns the report to send to a node at now: the counts of this process and of
 // those that report to it directly, as far as they have changed since the last report to
 // that node. Full reports also repeat all counts of the newest windows.
-func (tallier *Tallier) Tell(now time.Time, to definer.VM) *messenger.UsageReport {
+func (tallier *Tallier) NextReport(now time.Time, to definer.VM) *messenger.UsageReport {
 	tallier.mutex.Lock()
 	defer tallier.mutex.Unlock()
-	tallier.advance(tallier.At(now))
+	tallier.advance(tallier.WindowAt(now))
 	tallier.records[tallier.self].completeUntil = time.Duration(now.UnixNano())
 	state := tallier.receivers[to]
 	if state == nil {
@@ -219,11 +219,11 @@
 	return append(windows, usage)
 }
 
-// Take merges the report of a peer that was received at now. Invalid entries are ignored.
-func (tallier *Tallier) Take(now time.Time, from definer.Member, report *messenger.UsageReport) {
+// Merge merges the report of a peer that was received at now. Invalid entries are ignored.
+func (tallier *Tallier) Merge(now time.Time, from definer.Member, report *messenger.UsageReport) {
 	tallier.mutex.Lock()
 	defer tallier.mutex.Unlock()
-	tallier.advance(tallier.At(now))
+	tallier.advance(tallier.WindowAt(now))
 	for index := range report.Processes {
 		process := &report.Processes[index]
 		if process.Member == tallier.self {
@@ -267,10 +267,10 @@
 // Usage is the usage of a window, as far as it is known.
 type Usage struct {
 	Requests map[definer.OrganisationName]uint64
-	// Running is the number of running processes, this one included; Whole is the number
+	// Running is the number of running processes, this one included; Complete is the number
 	// of them whose counts of the window are complete.
-	Running int
-	Whole   int
+	Running  int
+	Complete int
 	// Lost is the number of processes that ended within the window or before their counts
 	// of it were complete.
 	Lost int
@@ -280,8 +280,8 @@
 func (tallier *Tallier) Usage(now time.Time, window Window) Usage {
 	tallier.mutex.Lock()
 	defer tallier.mutex.Unlock()
-	tallier.advance(tallier.At(now))
-	end := time.Duration(tallier.End(window).UnixNano())
+	tallier.advance(tallier.WindowAt(now))
+	end := time.Duration(tallier.WindowEnd(window).UnixNano())
 	usage := Usage{Requests: make(map[definer.OrganisationName]uint64)}
 	for member, record := range tallier.records {
 		for organisation, count := range record.windows[window] {
@@ -292,7 +292,7 @@
 		switch {
 		case running && whole:
 			usage.Running++
-			usage.Whole++
+			usage.Complete++
 		case running:
 			usage.Running++
 		case !whole && record.completeUntil > end-tallier.width:
--- a/tallier/tallier_test.go
+++ b/tallier/tallier_test.go
@@ -37,16 +37,16 @@
 		}
 		var waiting []late
 		tell := func(from *tallier.Tallier, self definer.Member, to *tallier.Tallier, vm definer.VM) {
-			report := from.Tell(now, vm)
+			report := from.NextReport(now, vm)
 			switch rapid.IntRange(0, 3).Draw(t, "fate") {
 			case 0: // The report is lost.
 			case 1:
 				waiting = append(waiting, late{to, self, report})
 			case 2:
-				to.Take(now, self, report)
-				to.Take(now, self, report)
+				to.Merge(now, self, report)
+				to.Merge(now, self, report)
 			default:
-				to.Take(now, self, report)
+				to.Merge(now, self, report)
 			}
 		}
 		check := func(whole bool) {
@@ -63,7 +63,7 @@
 			counter := rapid.IntRange(0, 2).Draw(t, "counter")
 			organisation := definer.OrganisationName(fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "organisation")))
 			counters[counter].Count(now, organisation)
-			window := counters[counter].At(now)
+			window := counters[counter].WindowAt(now)
 			if truth[window] == nil {
 				truth[window] = make(map[definer.OrganisationName]uint64)
 			}
@@ -72,7 +72,7 @@
 			tell(counters[counter], member(counter), between[over], member(10+over).VM)
 			tell(between[over], member(10+over), last, member(20).VM)
 			if len(waiting) > 0 && rapid.Bool().Draw(t, "arrives") {
-				waiting[0].to.Take(now, waiting[0].from, waiting[0].report)
+				waiting[0].to.Merge(now, waiting[0].from, waiting[0].report)
 				waiting = waiting[1:]
 			}
 			check(false)
@@ -80,15 +80,15 @@
 		for range 8 {
 			for number, counter := range counters {
 				for over, node := range between {
-					node.Take(now, member(number), counter.Tell(now, member(10+over).VM))
+					node.Merge(now, member(number), counter.NextReport(now, member(10+over).VM))
 				}
 			}
 			for over, node := range between {
-				last.Take(now, member(10+over), node.Tell(now, member(20).VM))
+				last.Merge(now, member(10+over), node.NextReport(now, member(20).VM))
 			}
 		}
 		for window := range truth {
-			if window+2 < last.At(now) {
+			if window+2 < last.WindowAt(now) {
 				delete(truth, window) // Lost counts of older windows are not sent again.
 			}
 		}
@@ -101,18 +101,18 @@
 func TestWholeAndLost(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	node, other := tallier.New(member(0), width), tallier.New(member(1), width)
-	window := node.At(now)
-	node.Take(now.Add(width-time.Second), member(1), other.Tell(now.Add(width-time.Second), "n000"))
+	window := node.WindowAt(now)
+	node.Merge(now.Add(width-time.Second), member(1), other.NextReport(now.Add(width-time.Second), "n000"))
 	usage := node.Usage(now.Add(width+500*time.Millisecond), window)
 	assert.Equal(t, usage.Running, 2)
-	assert.Equal(t, usage.Whole, 1)
+	assert.Equal(t, usage.Complete, 1)
 	assert.Equal(t, usage.Lost, 0)
 	usage = node.Usage(now.Add(width+3*time.Second), window)
 	assert.Equal(t, usage.Running, 1)
 	assert.Equal(t, usage.Lost, 1)
-	node.Take(now.Add(width+4*time.Second), member(1), other.Tell(now.Add(width+4*time.Second), "n000"))
+	node.Merge(now.Add(width+4*time.Second), member(1), other.NextReport(now.Add(width+4*time.Second), "n000"))
 	usage = node.Usage(now.Add(width+4*time.Second), window)
-	assert.Equal(t, usage.Whole, 2)
+	assert.Equal(t, usage.Complete, 2)
 	assert.Equal(t, usage.Lost, 0)
 }
 
@@ -122,7 +122,7 @@
 	now := time.Unix(1_800_000_000, 0)
 	node := tallier.New(member(0), width)
 	node.Count(now, "guild")
-	window := node.At(now)
+	window := node.WindowAt(now)
 	assert.Equal(t, node.Usage(now.Add(time.Minute), window).Requests["guild"], uint64(1))
 	assert.Equal(t, len(node.Usage(now.Add(5*time.Minute), window).Requests), 0)
 }
@@ -135,14 +135,14 @@
 	f.Fuzz(func(t *testing.T, window uint64, place, more int, requests uint64, until int64) {
 		now := time.Unix(1_800_000_000, 0)
 		node := tallier.New(member(0), width)
-		node.Take(now, member(1), &messenger.UsageReport{
+		node.Merge(now, member(1), &messenger.UsageReport{
 			Organisations: []definer.OrganisationName{"guild"},
 			Processes: []messenger.ProcessUsage{{Member: member(1), Until: time.Duration(until), Windows: []messenger.WindowUsage{
 				{Window: window, Organisations: []int{place, more}, Requests: []uint64{requests, requests}},
 				{Window: window, Organisations: []int{place}, Requests: nil},
 			}}},
 		})
-		assert.Assert(t, len(node.Usage(now, node.At(now)).Requests) <= 1)
+		assert.Assert(t, len(node.Usage(now, node.WindowAt(now)).Requests) <= 1)
 	})
 }
 
@@ -164,13 +164,13 @@
 		counter.Count(now, definer.OrganisationName(fmt.Sprintf("organisation-%d", (request*7919)%organisations)))
 	}
 	for _, aggregator := range aggregators {
-		reports = append(reports, aggregator.Tell(now, "n000"))
+		reports = append(reports, aggregator.NextReport(now, "n000"))
 	}
 	b.ResetTimer()
 	for b.Loop() {
 		for index, report := range reports {
-			first.Take(now, member(index*15+1), report)
+			first.Merge(now, member(index*15+1), report)
 		}
-		first.Usage(now, first.At(now))
+		first.Usage(now, first.WindowAt(now))
 	}
 }
--- a/timekeeper/timekeeper.go
+++ b/timekeeper/timekeeper.go
@@ -45,8 +45,8 @@
 // moment.
 type Clock func() (shown time.Time, monotonic time.Duration)
 
-// System returns the clock of this VM.
-func System() Clock {
+// SystemClock returns the clock of this VM.
+func SystemClock() Clock {
 	began := time.Now()
 	return func() (time.Time, time.Duration) {
 		now := time.Now()
@@ -87,8 +87,8 @@
 	timekeeper.anchor, timekeeper.anchoredAt, timekeeper.jumped = shown, monotonic, false
 }
 
-// Own returns the time by this VM's clock alone, without jumps.
-func (timekeeper *Timekeeper) Own() time.Time {
+// VMTime returns the time by this VM's clock alone, without jumps.
+func (timekeeper *Timekeeper) VMTime() time.Time {
 	timekeeper.mutex.Lock()
 	defer timekeeper.mutex.Unlock()
 	own, _ := timekeeper.readClock()
@@ -145,16 +145,16 @@
 	return (differences[middle-1] + differences[middle]) / 2
 }
 
-// Hear stores a reading of a peer's own clock.
-func (timekeeper *Timekeeper) Hear(from definer.VM, shown time.Time) {
+// RecordPeerClock stores a reading of a peer's own clock.
+func (timekeeper *Timekeeper) RecordPeerClock(from definer.VM, shown time.Time) {
 	timekeeper.mutex.Lock()
 	defer timekeeper.mutex.Unlock()
 	timekeeper.readings[from] = timekeeper.betterReading(timekeeper.readings[from], shown, readingLifetime)
 	timekeeper.aggregatorReading = reading{} // A node that receives reports of peers' clocks is an aggregator itself.
 }
 
-// Follow stores the time as estimated by this node's aggregator.
-func (timekeeper *Timekeeper) Follow(estimated time.Time) {
+// RecordAggregatorTime stores the time as estimated by this node's aggregator.
+func (timekeeper *Timekeeper) RecordAggregatorTime(estimated time.Time) {
 	timekeeper.mutex.Lock()
 	defer timekeeper.mutex.Unlock()
 	timekeeper.aggregatorReading = timekeeper.betterReading(timekeeper.aggregatorReading, estimated, aggregatorReadingLifetime)
--- a/timekeeper/timekeeper_test.go
+++ b/timekeeper/timekeeper_test.go
@@ -42,10 +42,10 @@
 			machine := &vm{offset: own}
 			keeper := timekeeper.New(machine.clock)
 			for peer, ahead := range []time.Duration{0, time.Millisecond, -time.Millisecond, 2 * time.Second, 0} {
-				keeper.Hear(definer.VM(fmt.Sprint(peer)), machine.truth().Add(ahead))
+				keeper.RecordPeerClock(definer.VM(fmt.Sprint(peer)), machine.truth().Add(ahead))
 			}
 			checkNear(t, keeper.Now(), machine.truth(), 2*time.Millisecond)
-			checkNear(t, keeper.Own(), machine.truth().Add(own), 0)
+			checkNear(t, keeper.VMTime(), machine.truth().Add(own), 0)
 		})
 	}
 }
@@ -55,14 +55,14 @@
 func TestLateReadingsCountLittle(t *testing.T) {
 	machine := &vm{}
 	keeper := timekeeper.New(machine.clock)
-	keeper.Follow(machine.truth())
+	keeper.RecordAggregatorTime(machine.truth())
 	checkNear(t, keeper.Now(), machine.truth(), 0)
 	machine.advance(time.Second)
-	keeper.Follow(machine.truth().Add(-800 * time.Millisecond))
+	keeper.RecordAggregatorTime(machine.truth().Add(-800 * time.Millisecond))
 	checkNear(t, keeper.Now(), machine.truth(), 0)
 	// A delayed reading is used once no better one has arrived for long.
 	machine.advance(6 * time.Second)
-	keeper.Follow(machine.truth().Add(-50 * time.Millisecond))
+	keeper.RecordAggregatorTime(machine.truth().Add(-50 * time.Millisecond))
 	checkNear(t, keeper.Now(), machine.truth().Add(-50*time.Millisecond), 0)
 	machine.advance(6 * time.Second)
 	checkNear(t, keeper.Now(), machine.truth(), 0)
@@ -76,7 +76,7 @@
 	for range 100 {
 		machine.advance(time.Second)
 		machine.offset += 50 * time.Millisecond
-		checkNear(t, keeper.Own(), machine.truth().Add(machine.offset), time.Millisecond)
+		checkNear(t, keeper.VMTime(), machine.truth().Add(machine.offset), time.Millisecond)
 	}
 }
 
--- a/watcher/watcher.go
+++ b/watcher/watcher.go
@@ -40,7 +40,7 @@
 }
 
 // Watcher executes calls to the platform, watches the configuration and polls the list
-// of VMs. It owns its workers and its done channel. Call and Hold are safe for
+// of VMs. It owns its workers and its done channel. Call and SetWatching are safe for
 // concurrent use.
 type Watcher struct {
 	platform     Platform
@@ -117,9 +117,9 @@
 // Done returns a channel that is closed once all goroutines of the watcher have ended.
 func (watcher *Watcher) Done() <-chan struct{} { return watcher.done }
 
-// Hold sets whether this node watches the configuration and polls the list of VMs; at
+// SetWatching sets whether this node watches the configuration and polls the list of VMs; at
 // first it does neither.
-func (watcher *Watcher) Hold(hold bool) { watcher.holder.set(hold) }
+func (watcher *Watcher) SetWatching(hold bool) { watcher.holder.set(hold) }
 
 // runWhileHeld runs the loop whenever the watch is held, until ctx ends. The context of
 // the loop ends when the watch is no longer held. The error is always nil.
--- a/watcher/watcher_test.go
+++ b/watcher/watcher_test.go
@@ -170,7 +170,7 @@
 	fixture := start(t, newPlatform())
 	fixture.edit(1)
 	fixture.faults(`{"outage":true}`)
-	fixture.watcher.Hold(true)
+	fixture.watcher.SetWatching(true)
 	fixture.awaitLog(logger.EventPlatformAway)
 	fixture.faults(`{"outage":false}`)
 	found := await[decider.ConfigurationFound](fixture)
@@ -182,7 +182,7 @@
 // section, and that the sections delivered still make up the whole configuration.
 func TestReadsOnlyNewSections(t *testing.T) {
 	fixture := start(t, newPlatform())
-	fixture.watcher.Hold(true)
+	fixture.watcher.SetWatching(true)
 	fixture.edit(1)
 	first := await[decider.ConfigurationFound](fixture)
 	before := fixture.store.sections.Load()
@@ -200,7 +200,7 @@
 // platform's history, of 2 changes here, no longer covers the revision of the watch.
 func TestFindsChangesAfterTheHistoryWasCut(t *testing.T) {
 	fixture := start(t, newPlatform(platform.WithHistory(2)))
-	fixture.watcher.Hold(true)
+	fixture.watcher.SetWatching(true)
 	fixture.edit(1)
 	await[decider.ConfigurationFound](fixture)
 	for index := range 20 {
@@ -228,7 +228,7 @@
 	assert.NilError(t, err)
 	altered, err := fixture.store.Update(ctx, sectioner.SectionKind, hash, section.Version, []byte(`[]`))
 	assert.NilError(t, err)
-	fixture.watcher.Hold(true)
+	fixture.watcher.SetWatching(true)
 	fixture.awaitLog(logger.EventHeadUnusable)
 	_, err = fixture.store.Update(ctx, sectioner.SectionKind, hash, altered.Version, section.Value)
 	assert.NilError(t, err)
@@ -242,7 +242,7 @@
 		writer.Header().Set("Retry-After", "7")
 		writer.WriteHeader(http.StatusTooManyRequests)
 	}))
-	fixture.watcher.Hold(true)
+	fixture.watcher.SetWatching(true)
 	for range 10 {
 		assert.Assert(t, <-fixture.waits >= 7*time.Second)
 	}
@@ -256,14 +256,14 @@
 		vm := storer.VM{Name: name, DataCentre: "north", Address: "127.0.0.1:9", Role: "entry", State: "leaving"}
 		assert.NilError(t, controller.New(fixture.address).PutVM(context.Background(), vm))
 	}
-	fixture.watcher.Hold(true)
+	fixture.watcher.SetWatching(true)
 	assert.Equal(t, len(await[decider.VMsListed](fixture).VMs), 0)
 	put("a")
 	want := decider.ListedVM{Name: "a", DataCentre: "north", Address: "127.0.0.1:9", Leaving: true}
 	assert.DeepEqual(t, await[decider.VMsListed](fixture).VMs, []decider.ListedVM{want})
-	fixture.watcher.Hold(false)
+	fixture.watcher.SetWatching(false)
 	put("b")
-	fixture.watcher.Hold(true)
+	fixture.watcher.SetWatching(true)
 	assert.Equal(t, len(await[decider.VMsListed](fixture).VMs), 2)
 }
 
