--- a/operator/duties.go
+++ b/operator/duties.go
@@ -17,7 +17,7 @@
 	// Usage and Scaling tell who held each last.
 	Usage   DutyHolder `json:"usage"`
 	Scaling DutyHolder `json:"scaling"`
-	// ToldUntil is the last window of usage that is known to be told; Whole, Partial and
+	// ToldUntil is the last window of usage that is known to be reported; Whole, Partial and
 	// Skipped count those of this node.
 	ToldUntil uint64 `json:"toldUntil"`
 	Whole     int    `json:"whole"`
--- a/registrar/registrar.go
+++ b/registrar/registrar.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// Loaded reports whether a whole list was taken in yet.
+// Loaded reports whether a whole list has been read yet.
 func (registrar *Registrar) Loaded() bool {
 	registrar.mutex.RLock()
 	defer registrar.mutex.RUnlock()
