--- a/operator/duties.go
+++ b/operator/duties.go
@@ -17,7 +17,7 @@
 	// Usage and Scaling tell who held each last.
 	Usage   DutyHolder `json:"usage"`
 	Scaling DutyHolder `json:"scaling"`
-	// ToldUntil is the last window of usage that is known to be told; Whole, Partial and
+	// ToldUntil is the last window of usage that is known to be reported; Whole, Partial and
 	// Skipped count those of this node.
 	ToldUntil uint64 `json:"toldUntil"`
 	Whole     int    `json:"whole"`
@@ -80,7 +80,7 @@
 func dutiesOf(status steward.Status) Duties {
 	duties := Duties{
 		Usage: holderOf(&status.Usage.DutyStatus), Scaling: holderOf(&status.Scaling.DutyStatus),
-		ToldUntil: uint64(status.Usage.ToldUntil), Whole: status.Usage.Whole, Partial: status.Usage.Partial, Skipped: status.Usage.Skipped,
+		ToldUntil: uint64(status.Usage.ReportedUntil), Whole: status.Usage.Whole, Partial: status.Usage.Partial, Skipped: status.Usage.Skipped,
 	}
 	for _, report := range status.Usage.Reports {
 		duties.Reports = append(duties.Reports, DutyReport{
