--- a/definer/build.go
+++ b/definer/build.go
@@ -14,17 +14,17 @@
 	maxNameLength = 100
 	maxWeight     = 1000
 	maxSlots      = 4096
-	// maxMilliseconds is 30 days; it keeps every duration far from overflow.
+	// maxMilliseconds is 30 days, which keeps every time.Duration far from overflow.
 	maxMilliseconds = 30 * 24 * 3600 * 1000
-	// maxRequests bounds a rate, in requests a second.
-	maxRequests = 1_000_000
-	// roundingError is what a sum of shares may be off by.
+	// maxRequestsPerSecond is the highest rate limit of an organisation, in requests per second.
+	maxRequestsPerSecond = 1_000_000
+	// roundingError is the tolerance for floating-point errors in a sum of shares.
 	roundingError = 1e-9
 )
 
-// Build checks a whole configuration and returns it in its checked form. The
-// error joins all faults, each of kind Invalid. Conditions of rules are
-// compiled by package matcher, which the caller checks as well.
+// Build validates a document and returns the Configuration built from it. The
+// error joins all faults, each an *Error of kind Invalid. Build does not check
+// the conditions of rules: the caller compiles them with package matcher.
 func Build(version uint64, document Document) (*Configuration, error) {
 	builder := &builder{configuration: &Configuration{
 		version:       version,
@@ -34,18 +34,18 @@
 		keys:          make(map[string]*Organisation),
 		document:      document,
 	}}
-	builder.classes()
-	builder.pools()
-	builder.organisations()
-	builder.rules()
-	builder.limits()
+	builder.addClasses()
+	builder.addPools()
+	builder.addOrganisations()
+	builder.addRules()
+	builder.requireLimits()
 	if len(builder.faults) > 0 {
 		return nil, errors.Join(builder.faults...)
 	}
 	return builder.configuration, nil
 }
 
-// builder gathers a configuration and the faults met on the way.
+// builder collects the parts of a configuration and the faults found in its document.
 type builder struct {
 	configuration *Configuration
 	faults        []error
@@ -57,52 +57,52 @@
 	}
 }
 
-func (builder *builder) name(what, name string, taken bool) {
-	builder.require(name != "" && len(name) <= maxNameLength, "%s %q: its name must have 1 to %d characters", what, name, maxNameLength)
-	builder.require(!taken, "%s %q stands twice", what, name)
+func (builder *builder) requireName(kind, name string, taken bool) {
+	builder.require(name != "" && len(name) <= maxNameLength, "%s %q: its name must have 1 to %d characters", kind, name, maxNameLength)
+	builder.require(!taken, "%s %q stands twice", kind, name)
 }
 
-func (builder *builder) share(what string, value float64) {
-	builder.require(value >= 0 && value <= 1, "%s is %g; allowed is 0 to 1", what, value)
+func (builder *builder) requireShare(setting string, value float64) {
+	builder.require(value >= 0 && value <= 1, "%s is %g; allowed is 0 to 1", setting, value)
 }
 
-func (builder *builder) milliseconds(what string, value int) {
-	builder.require(value >= 0 && value <= maxMilliseconds, "%s is %d; allowed is 0 to %d", what, value, maxMilliseconds)
+func (builder *builder) requireMilliseconds(setting string, value int) {
+	builder.require(value >= 0 && value <= maxMilliseconds, "%s is %d; allowed is 0 to %d", setting, value, maxMilliseconds)
 }
 
-func (builder *builder) classes() {
-	floors := 0.0
+func (builder *builder) addClasses() {
+	floorSum := 0.0
 	for _, document := range builder.configuration.document.Classes {
 		class := &Class{document: document}
-		what := fmt.Sprintf("class %q: ", document.Name)
+		prefix := fmt.Sprintf("class %q: ", document.Name)
 		_, taken := builder.configuration.classes[class.Name()]
-		builder.name("class", document.Name, taken)
-		builder.require(document.Tier >= 0 && document.Tier <= maxTier, "%stier is %d; allowed is 0 to %d", what, document.Tier, maxTier)
-		builder.share(what+"floorShare", document.FloorShare)
-		builder.require(document.Attainment > 0 && document.Attainment < 1, "%sattainment is %g; allowed is above 0 and below 1", what, document.Attainment)
-		builder.require(document.LongestWaitMs > 0 && document.LongestWaitMs <= maxMilliseconds, "%slongestWaitMs is %d; allowed is 1 to %d", what, document.LongestWaitMs, maxMilliseconds)
-		builder.require(!document.Protected || !document.Preemptible, "%sa protected class cannot be preemptible", what)
-		builder.milliseconds(what+"firstTokenMs", document.FirstTokenMs)
-		builder.milliseconds(what+"betweenTokensMs", document.BetweenTokensMs)
-		builder.milliseconds(what+"totalMs", document.TotalMs)
-		floors += document.FloorShare
+		builder.requireName("class", document.Name, taken)
+		builder.require(document.Tier >= 0 && document.Tier <= maxTier, "%stier is %d; allowed is 0 to %d", prefix, document.Tier, maxTier)
+		builder.requireShare(prefix+"floorShare", document.FloorShare)
+		builder.require(document.Attainment > 0 && document.Attainment < 1, "%sattainment is %g; allowed is above 0 and below 1", prefix, document.Attainment)
+		builder.require(document.LongestWaitMs > 0 && document.LongestWaitMs <= maxMilliseconds, "%slongestWaitMs is %d; allowed is 1 to %d", prefix, document.LongestWaitMs, maxMilliseconds)
+		builder.require(!document.Protected || !document.Preemptible, "%sa protected class cannot be preemptible", prefix)
+		builder.requireMilliseconds(prefix+"firstTokenMs", document.FirstTokenMs)
+		builder.requireMilliseconds(prefix+"betweenTokensMs", document.BetweenTokensMs)
+		builder.requireMilliseconds(prefix+"totalMs", document.TotalMs)
+		floorSum += document.FloorShare
 		builder.configuration.classes[class.Name()] = class
 	}
-	builder.require(floors <= 1+roundingError, "the floorShare of all classes adds up to %g; allowed is 1 at most", floors)
+	builder.require(floorSum <= 1+roundingError, "the floorShare of all classes adds up to %g; allowed is 1 at most", floorSum)
 }
 
-func (builder *builder) pools() {
+func (builder *builder) addPools() {
 	upstreams := make(map[string]bool)
 	for _, document := range builder.configuration.document.Pools {
 		pool := &Pool{document: document}
-		what := fmt.Sprintf("pool %q: ", document.Name)
+		prefix := fmt.Sprintf("pool %q: ", document.Name)
 		_, taken := builder.configuration.pools[pool.Name()]
-		builder.name("pool", document.Name, taken)
+		builder.requireName("pool", document.Name, taken)
 		kind := PoolKind(document.Kind)
-		builder.require(kind == Engine || kind == Service, "%skind is %q; allowed is engine or service", what, document.Kind)
-		builder.share(what+"protectedShare", document.ProtectedShare)
+		builder.require(kind == Engine || kind == Service, "%skind is %q; allowed is engine or service", prefix, document.Kind)
+		builder.requireShare(prefix+"protectedShare", document.ProtectedShare)
 		for _, upstream := range document.Upstreams {
-			builder.upstream(what, upstream, upstreams[upstream.Name])
+			builder.requireUpstream(prefix, upstream, upstreams[upstream.Name])
 			upstreams[upstream.Name] = true
 			pool.upstreams = append(pool.upstreams, &Upstream{document: upstream})
 		}
@@ -110,66 +110,66 @@
 	}
 }
 
-func (builder *builder) upstream(pool string, document UpstreamDocument, taken bool) {
-	what := fmt.Sprintf("%supstream %q: ", pool, document.Name)
-	builder.name("upstream", document.Name, taken)
-	builder.require(document.DataCentre != "", "%sdataCentre is missing", what)
+func (builder *builder) requireUpstream(poolPrefix string, document UpstreamDocument, taken bool) {
+	prefix := fmt.Sprintf("%supstream %q: ", poolPrefix, document.Name)
+	builder.requireName("upstream", document.Name, taken)
+	builder.require(document.DataCentre != "", "%sdataCentre is missing", prefix)
 	_, err := netip.ParseAddrPort(document.Address)
-	builder.require(err == nil, "%saddress is %q; allowed is an IP address and port", what, document.Address)
-	builder.require(document.Slots > 0 && document.Slots <= maxSlots, "%sslots is %d; allowed is 1 to %d", what, document.Slots, maxSlots)
-	builder.require(document.MaxSlots >= 0 && document.MaxSlots <= maxSlots, "%smaxSlots is %d; allowed is 0 to %d", what, document.MaxSlots, maxSlots)
+	builder.require(err == nil, "%saddress is %q; allowed is an IP address and port", prefix, document.Address)
+	builder.require(document.Slots > 0 && document.Slots <= maxSlots, "%sslots is %d; allowed is 1 to %d", prefix, document.Slots, maxSlots)
+	builder.require(document.MaxSlots >= 0 && document.MaxSlots <= maxSlots, "%smaxSlots is %d; allowed is 0 to %d", prefix, document.MaxSlots, maxSlots)
 }
 
-func (builder *builder) organisations() {
+func (builder *builder) addOrganisations() {
 	for _, document := range builder.configuration.document.Organisations {
 		organisation := &Organisation{document: document}
-		what := fmt.Sprintf("organisation %q: ", document.Name)
+		prefix := fmt.Sprintf("organisation %q: ", document.Name)
 		_, taken := builder.configuration.organisations[organisation.Name()]
-		builder.name("organisation", document.Name, taken)
-		builder.require(document.Weight >= 0 && document.Weight <= maxWeight, "%sweight is %g; allowed is 0 to %d", what, document.Weight, maxWeight)
-		builder.require(document.RequestsPerSecond >= 0 && document.RequestsPerSecond <= maxRequests, "%srequestsPerSecond is %g; allowed is 0 to %d", what, document.RequestsPerSecond, maxRequests)
+		builder.requireName("organisation", document.Name, taken)
+		builder.require(document.Weight >= 0 && document.Weight <= maxWeight, "%sweight is %g; allowed is 0 to %d", prefix, document.Weight, maxWeight)
+		builder.require(document.RequestsPerSecond >= 0 && document.RequestsPerSecond <= maxRequestsPerSecond, "%srequestsPerSecond is %g; allowed is 0 to %d", prefix, document.RequestsPerSecond, maxRequestsPerSecond)
 		for _, hash := range document.KeyHashes {
 			sum, err := hex.DecodeString(hash)
-			builder.require(err == nil && len(sum) == keyHashLength, "%skey hash %q is not a SHA-256 sum in hexadecimal", what, hash)
+			builder.require(err == nil && len(sum) == keyHashLength, "%skey hash %q is not a SHA-256 sum in hexadecimal", prefix, hash)
 			hash = strings.ToLower(hash)
 			_, used := builder.configuration.keys[hash]
-			builder.require(!used, "%skey hash %q belongs to another organisation too", what, hash)
+			builder.require(!used, "%skey hash %q belongs to another organisation too", prefix, hash)
 			builder.configuration.keys[hash] = organisation
 		}
 		builder.configuration.organisations[organisation.Name()] = organisation
 	}
 }
 
-func (builder *builder) rules() {
+func (builder *builder) addRules() {
 	names := make(map[string]bool)
 	for _, document := range builder.configuration.document.Rules {
 		rule := &Rule{document: document}
-		builder.name("rule", document.Name, names[document.Name])
+		builder.requireName("rule", document.Name, names[document.Name])
 		names[document.Name] = true
-		builder.action(fmt.Sprintf("rule %q: ", document.Name), document.Then)
+		builder.requireAction(fmt.Sprintf("rule %q: ", document.Name), document.Then)
 		builder.configuration.rules = append(builder.configuration.rules, rule)
 	}
 }
 
-func (builder *builder) action(what string, document ActionDocument) {
+func (builder *builder) requireAction(prefix string, document ActionDocument) {
 	if document.Refuse != "" {
-		builder.require(document.Class == "" && document.Pool == "", "%sa rule that refuses has no class or pool", what)
+		builder.require(document.Class == "" && document.Pool == "", "%sa rule that refuses has no class or pool", prefix)
 		return
 	}
-	_, class := builder.configuration.classes[ClassName(document.Class)]
-	builder.require(class, "%sclass %q does not exist", what, document.Class)
-	_, pool := builder.configuration.pools[PoolName(document.Pool)]
-	builder.require(pool, "%spool %q does not exist", what, document.Pool)
+	_, classExists := builder.configuration.classes[ClassName(document.Class)]
+	builder.require(classExists, "%sclass %q does not exist", prefix, document.Class)
+	_, poolExists := builder.configuration.pools[PoolName(document.Pool)]
+	builder.require(poolExists, "%spool %q does not exist", prefix, document.Pool)
 	switch Repeat(document.Repeat) {
 	case "", Idempotent, Never, Keyed:
 	default:
-		builder.require(false, "%srepeat is %q; allowed is idempotent, never or keyed", what, document.Repeat)
+		builder.require(false, "%srepeat is %q; allowed is idempotent, never or keyed", prefix, document.Repeat)
 	}
-	builder.milliseconds(what+"deadlineMs", document.DeadlineMs)
+	builder.requireMilliseconds(prefix+"deadlineMs", document.DeadlineMs)
 }
 
-func (builder *builder) limits() {
+func (builder *builder) requireLimits() {
 	limits := builder.configuration.document.Limits
-	builder.share("limits: retryShare", limits.RetryShare)
-	builder.milliseconds("limits: claimKeepMs", limits.ClaimKeepMs)
+	builder.requireShare("limits: retryShare", limits.RetryShare)
+	builder.requireMilliseconds("limits: claimKeepMs", limits.ClaimKeepMs)
 }
--- a/definer/class.go
+++ b/definer/class.go
@@ -6,25 +6,27 @@
 	"time"
 )
 
-// Class is a class of requests that share targets and precedence.
+// Class is a group of requests with the same latency targets and priority.
 type Class struct {
 	// document has passed all checks of Build.
 	document ClassDocument
 }
 
-// Name returns the class's name.
+// Name returns the name of the class.
 func (class *Class) Name() ClassName { return ClassName(class.document.Name) }
 
-// Tier returns the precedence; 0 is the highest.
+// Tier returns the priority of the class; 0 is the highest.
 func (class *Class) Tier() int { return class.document.Tier }
 
-// Protected tells whether the class is never shed or preempted for a lower one.
+// Protected reports whether requests of the class are never shed or preempted
+// in favour of a lower tier.
 func (class *Class) Protected() bool { return class.document.Protected }
 
-// Preemptible tells whether a running request may be paused for a higher tier.
+// Preemptible reports whether a running request of the class may be paused in
+// favour of a higher tier.
 func (class *Class) Preemptible() bool { return class.document.Preemptible }
 
-// FirstToken returns the target for the first token; 0 is no target.
+// FirstToken returns the target for the time to the first token; 0 means no target.
 func (class *Class) FirstToken() time.Duration { return milliseconds(class.document.FirstTokenMs) }
 
 // BetweenTokens returns the target for the mean time between tokens.
@@ -32,18 +34,20 @@
 	return milliseconds(class.document.BetweenTokensMs)
 }
 
-// Total returns the target for the whole answer; 0 is no target.
+// Total returns the target for the time to the complete response; 0 means no target.
 func (class *Class) Total() time.Duration { return milliseconds(class.document.TotalMs) }
 
 // Attainment returns the share of requests that must meet the targets.
 func (class *Class) Attainment() float64 { return class.document.Attainment }
 
-// FloorShare returns the share of slots the class gets at least when it waits.
+// FloorShare returns the minimum share of slots that the class gets while
+// requests of it are queued.
 func (class *Class) FloorShare() float64 { return class.document.FloorShare }
 
-// LongestWait returns the bound on the time a request may queue.
+// LongestWait returns the longest time that a request may stay queued.
 func (class *Class) LongestWait() time.Duration { return milliseconds(class.document.LongestWaitMs) }
 
+// sortClasses sorts by tier, highest priority first, then by name.
 func sortClasses(classes []*Class) {
 	slices.SortFunc(classes, func(a, b *Class) int {
 		if order := cmp.Compare(a.Tier(), b.Tier()); order != 0 {
--- a/definer/definer_test.go
+++ b/definer/definer_test.go
@@ -12,10 +12,11 @@
 	"limpetcleat/definer"
 )
 
-// sum returns a SHA-256 sum in hexadecimal.
-func sum(digit string) string { return strings.Repeat(digit, 64) }
+// keyHash returns a hexadecimal SHA-256 hash that consists of one repeated digit.
+func keyHash(digit string) string { return strings.Repeat(digit, 64) }
 
-func good() definer.Document {
+// validDocument returns a document that passes all checks of Build.
+func validDocument() definer.Document {
 	return definer.Document{
 		Classes: []definer.ClassDocument{
 			{Name: "desk", Protected: true, FirstTokenMs: 500, Attainment: 0.99, FloorShare: 0.7, LongestWaitMs: 1000},
@@ -29,7 +30,7 @@
 			}},
 			{Name: "stock", Kind: "service", Upstreams: []definer.UpstreamDocument{{Name: "s1", DataCentre: "north", Address: "[::1]:80", Slots: 1}}},
 		},
-		Organisations: []definer.OrganisationDocument{{Name: "buttons", KeyHashes: []string{sum("A"), sum("b")}, Weight: 2}, {Name: "pubs"}},
+		Organisations: []definer.OrganisationDocument{{Name: "buttons", KeyHashes: []string{keyHash("A"), keyHash("b")}, Weight: 2}, {Name: "pubs"}},
 		Rules: []definer.RuleDocument{
 			{Name: "keyed", When: "true", Then: definer.ActionDocument{Class: "desk", Pool: "stock", Repeat: "keyed", LocalKeys: true}},
 			{Name: "no", When: "true", Then: definer.ActionDocument{Refuse: "not here"}},
@@ -39,7 +40,7 @@
 }
 
 func TestGoodConfiguration(t *testing.T) {
-	configuration, err := definer.Build(7, good())
+	configuration, err := definer.Build(7, validDocument())
 	assert.NilError(t, err)
 	assert.Equal(t, configuration.Version(), uint64(7))
 	assert.DeepEqual(t, configuration.Models(), []string{"a", "b", "c"})
@@ -48,8 +49,8 @@
 		classes = append(classes, class.Name())
 	}
 	assert.DeepEqual(t, classes, []definer.ClassName{"desk", "other", "digest"})
-	organisation, ok := configuration.OrganisationByKeyHash(sum("a"))
-	assert.Assert(t, ok, "a sum in capitals is the same")
+	organisation, ok := configuration.OrganisationByKeyHash(keyHash("a"))
+	assert.Assert(t, ok, "a key hash in upper case was not found in lower case")
 	assert.Equal(t, organisation.Name(), definer.OrganisationName("buttons"))
 	pool, _ := configuration.Pool("models")
 	assert.DeepEqual(t, pool.DataCentres(), []definer.DataCentre{"north", "south"})
@@ -60,8 +61,8 @@
 
 func TestFaults(t *testing.T) {
 	cases := []struct {
-		fault string
-		spoil func(document *definer.Document)
+		fault      string
+		invalidate func(document *definer.Document)
 	}{
 		{`class "": its name must have`, func(document *definer.Document) { document.Classes[2].Name = "" }},
 		{`class "desk" stands twice`, func(document *definer.Document) { document.Classes[2].Name = "desk" }},
@@ -88,7 +89,7 @@
 		{`weight is 1001`, func(document *definer.Document) { document.Organisations[0].Weight = 1001 }},
 		{`requestsPerSecond is +Inf`, func(document *definer.Document) { document.Organisations[0].RequestsPerSecond = math.Inf(1) }},
 		{`is not a SHA-256 sum`, func(document *definer.Document) { document.Organisations[0].KeyHashes[0] = "abc" }},
-		{`belongs to another organisation`, func(document *definer.Document) { document.Organisations[1].KeyHashes = []string{sum("B")} }},
+		{`belongs to another organisation`, func(document *definer.Document) { document.Organisations[1].KeyHashes = []string{keyHash("B")} }},
 		{`rule "no" stands twice`, func(document *definer.Document) { document.Rules[0].Name = "no" }},
 		{`has no class or pool`, func(document *definer.Document) { document.Rules[1].Then.Class = "desk" }},
 		{`class "none" does not exist`, func(document *definer.Document) { document.Rules[0].Then.Class = "none" }},
@@ -100,8 +101,8 @@
 	}
 	for _, test := range cases {
 		t.Run(test.fault, func(t *testing.T) {
-			document := good()
-			test.spoil(&document)
+			document := validDocument()
+			test.invalidate(&document)
 			_, err := definer.Build(1, document)
 			assert.ErrorContains(t, err, test.fault)
 			var failure *definer.Error
@@ -112,7 +113,7 @@
 }
 
 func TestAllFaultsAreToldAtOnce(t *testing.T) {
-	document := good()
+	document := validDocument()
 	document.Classes[0].Attainment = 2
 	document.Pools[0].Kind = "car"
 	document.Organisations[0].Weight = -1
@@ -133,9 +134,10 @@
 	}
 }
 
-// FuzzParse has what passes the checks be the same after another round.
+// FuzzParse checks that a valid configuration is unchanged after it is encoded and parsed
+// again.
 func FuzzParse(f *testing.F) {
-	data, err := json.Marshal(good())
+	data, err := json.Marshal(validDocument())
 	assert.NilError(f, err)
 	f.Add(data)
 	f.Add([]byte(`{"classes":[{"name":"a","attainment":0.5,"longestWaitMs":1}],"limits":{}}`))
@@ -145,10 +147,10 @@
 		if err != nil {
 			return
 		}
-		again, err := json.Marshal(configuration.Document())
+		encoded, err := json.Marshal(configuration.Document())
 		assert.NilError(t, err)
-		same, err := definer.Parse(1, again)
+		reparsed, err := definer.Parse(1, encoded)
 		assert.NilError(t, err)
-		assert.DeepEqual(t, same.Document(), configuration.Document())
+		assert.DeepEqual(t, reparsed.Document(), configuration.Document())
 	})
 }
--- a/definer/doc.go
+++ b/definer/doc.go
@@ -1,4 +1,4 @@
-// Package definer defines the identifiers and the configuration objects that
-// every other package shares: classes, pools, upstreams, organisations and
-// rules, with the checks that a configuration must pass before it is used.
+// Package definer defines the identifiers and the configuration types that all
+// packages share: classes, pools, upstreams, organisations and rules. It parses
+// a configuration from JSON and validates it before it is used.
 package definer
--- a/definer/document.go
+++ b/definer/document.go
@@ -1,10 +1,10 @@
 package definer
 
 // The types in this file are the stored form of a configuration, as operators
-// write it and as the platform keeps it. Their fields are exported because the
-// JSON codec needs it; all other code reads the checked Configuration.
+// write it and as the platform stores it. Their fields are exported for
+// encoding/json; other code reads the validated Configuration.
 
-// Document is a whole configuration in its stored form.
+// Document is the stored form of a Configuration.
 type Document struct {
 	Classes       []ClassDocument        `json:"classes"`
 	Pools         []PoolDocument         `json:"pools"`
@@ -16,24 +16,30 @@
 // ClassDocument is the stored form of a Class.
 type ClassDocument struct {
 	Name string `json:"name"`
-	// Tier is 0 for the highest precedence.
+	// Tier is the priority of the class; 0 is the highest.
 	Tier int `json:"tier"`
-	// Protected classes are never shed or preempted for a lower tier.
+	// Protected excludes the class from load shedding and from preemption in
+	// favour of a lower tier.
 	Protected bool `json:"protected,omitempty"`
-	// Preemptible classes may be paused on an engine for a higher tier.
+	// Preemptible allows an engine to pause requests of the class in favour of
+	// a higher tier.
 	Preemptible bool `json:"preemptible,omitempty"`
-	// FirstTokenMs is the target for the first token, in milliseconds.
+	// FirstTokenMs is the target for the time to the first token, in
+	// milliseconds; 0 means no target.
 	FirstTokenMs int `json:"firstTokenMs,omitempty"`
-	// BetweenTokensMs is the target for the mean time between tokens.
+	// BetweenTokensMs is the target for the mean time between tokens, in
+	// milliseconds.
 	BetweenTokensMs int `json:"betweenTokensMs,omitempty"`
-	// TotalMs is the target for the whole answer, in milliseconds.
+	// TotalMs is the target for the time to the complete response, in
+	// milliseconds; 0 means no target.
 	TotalMs int `json:"totalMs,omitempty"`
 	// Attainment is the share of requests that must meet the targets.
 	Attainment float64 `json:"attainment"`
-	// FloorShare is the share of a shard's slots this class gets at least
-	// while it has work waiting.
+	// FloorShare is the minimum share of a shard's slots that the class gets
+	// while requests of it are queued.
 	FloorShare float64 `json:"floorShare,omitempty"`
-	// LongestWaitMs bounds the time a request of the class may queue.
+	// LongestWaitMs is the longest time that a request may stay queued, in
+	// milliseconds.
 	LongestWaitMs int `json:"longestWaitMs"`
 }
 
@@ -43,11 +49,11 @@
 	DataCentre string   `json:"dataCentre"`
 	Address    string   `json:"address"`
 	Models     []string `json:"models,omitempty"`
-	// Slots is the number of concurrent requests to begin with.
+	// Slots is the initial limit on concurrent requests.
 	Slots int `json:"slots"`
-	// MaxSlots bounds the adaptive limit from above.
+	// MaxSlots is the upper bound of the adaptive concurrency limit.
 	MaxSlots int `json:"maxSlots,omitempty"`
-	// Leaving upstreams get no new work.
+	// Leaving marks an upstream that gets no new requests.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
@@ -56,9 +62,10 @@
 	Name string `json:"name"`
 	// Kind is "engine" or "service".
 	Kind string `json:"kind"`
-	// ProtectedShare is the share of slots that only protected classes use.
+	// ProtectedShare is the share of slots reserved for protected classes.
 	ProtectedShare float64 `json:"protectedShare,omitempty"`
-	// PrefixAffinity sends like prompts to the same engine, load permitting.
+	// PrefixAffinity routes prompts with a common prefix to the same engine,
+	// load permitting.
 	PrefixAffinity bool               `json:"prefixAffinity,omitempty"`
 	Upstreams      []UpstreamDocument `json:"upstreams"`
 }
@@ -66,41 +73,46 @@
 // OrganisationDocument is the stored form of an Organisation.
 type OrganisationDocument struct {
 	Name string `json:"name"`
-	// KeyHashes are the SHA-256 sums, in hexadecimal, of its callers' keys.
+	// KeyHashes are the SHA-256 hashes, in hexadecimal, of the organisation's
+	// API keys.
 	KeyHashes []string `json:"keyHashes"`
-	// Weight is its share against other organisations of the same tier.
+	// Weight is the share of the organisation relative to other organisations
+	// of the same tier; 0 counts as 1.
 	Weight float64 `json:"weight,omitempty"`
-	// RequestsPerSecond bounds its rate at each entry VM; 0 is no bound.
+	// RequestsPerSecond is the rate limit of the organisation at each entry VM;
+	// 0 means no limit.
 	RequestsPerSecond float64 `json:"requestsPerSecond,omitempty"`
 }
 
 // RuleDocument is the stored form of a Rule.
 type RuleDocument struct {
 	Name string `json:"name"`
-	// When is an expression over the request's properties.
+	// When is the condition: an expression over the properties of a request.
 	When string         `json:"when"`
 	Then ActionDocument `json:"then"`
 }
 
-// ActionDocument is the stored form of what a rule does.
+// ActionDocument is the stored form of the action of a Rule.
 type ActionDocument struct {
-	// Refuse, when not empty, is the message of a refusal.
+	// Refuse, if not empty, refuses the request with this message.
 	Refuse string `json:"refuse,omitempty"`
 	Class  string `json:"class,omitempty"`
 	Pool   string `json:"pool,omitempty"`
 	// Repeat is "idempotent", "never" or "keyed".
 	Repeat string `json:"repeat,omitempty"`
-	// DeadlineMs bounds the whole request, in milliseconds; 0 is no bound.
+	// DeadlineMs is the time limit of the whole request, in milliseconds; 0
+	// means no limit.
 	DeadlineMs int `json:"deadlineMs,omitempty"`
-	// LocalKeys lets a keyed call run without the platform, its key bound
-	// to the process that takes it.
+	// LocalKeys lets a keyed request run without the platform, under a key that
+	// is bound to the process which takes the request.
 	LocalKeys bool `json:"localKeys,omitempty"`
 }
 
-// LimitsDocument holds the numbers that hold for the whole system.
+// LimitsDocument is the stored form of the limits that apply to the whole system.
 type LimitsDocument struct {
-	// RetryShare is the share of successes that may be spent on retries.
+	// RetryShare is the retry budget as a share of the successful requests.
 	RetryShare float64 `json:"retryShare"`
-	// ClaimKeepMs is how long a claim's answer is kept for a repeat.
+	// ClaimKeepMs is how long the response to a claimed Idempotency-Key is kept
+	// for repeated requests, in milliseconds.
 	ClaimKeepMs int `json:"claimKeepMs"`
 }
--- a/definer/failure.go
+++ b/definer/failure.go
@@ -6,13 +6,13 @@
 type Kind string
 
 const (
-	// Invalid marks a configuration that breaks a stated rule.
+	// Invalid means that a configuration fails validation.
 	Invalid Kind = "invalid"
-	// Malformed marks bytes that could not be decoded.
+	// Malformed means that the data could not be decoded.
 	Malformed Kind = "malformed"
 )
 
-// Error is the one error type of this package.
+// Error is the error type of this package.
 type Error = failer.Error[Kind]
 
 func fail(operation string, kind Kind, format string, values ...any) *Error {
--- a/definer/identifier.go
+++ b/definer/identifier.go
@@ -5,78 +5,78 @@
 	"strconv"
 )
 
-// VM names one entry VM of the system.
+// VM is the name of an entry VM.
 type VM string
 
-// DataCentre names one data centre.
+// DataCentre is the name of a data centre.
 type DataCentre string
 
-// ClassName names one class of request.
+// ClassName is the name of a Class.
 type ClassName string
 
-// PoolName names one pool of upstreams.
+// PoolName is the name of a Pool.
 type PoolName string
 
-// UpstreamName names one upstream, an Engine or a Service.
+// UpstreamName is the name of an Upstream, which is an Engine or a Service.
 type UpstreamName string
 
-// OrganisationName names one organisation.
+// OrganisationName is the name of an Organisation.
 type OrganisationName string
 
-// RequestID identifies one caller's request in the whole system.
+// RequestID identifies one request of a caller across the whole system.
 type RequestID string
 
-// RequestIdentity names what a request asks for: attempts of the same caller with the same
-// target and body have the same one, at every node and in every version. It is a hash of
-// RequestIdentityBytes bytes and tells nothing of what went into it.
+// RequestIdentity is a fingerprint of a request: a caller's attempts with equal target and
+// body have equal identities, on every node and in every version of the software. It is a
+// hash of RequestIdentityBytes bytes that reveals nothing about its input.
 type RequestIdentity string
 
-// RequestIdentityBytes is the length of a RequestIdentity. Two requests that nobody has
-// chosen for it share one with a chance of 1 in 2^64 among 4 billion.
+// RequestIdentityBytes is the length of a RequestIdentity. Unless requests are crafted to
+// collide, the chance that any two of 4 billion have equal identities is 1 in 2^64.
 const RequestIdentityBytes = 16
 
-// String returns the identity as logs and commands have it.
+// String returns the identity in hexadecimal, as logs and commands show it.
 func (identity RequestIdentity) String() string { return hex.EncodeToString([]byte(identity)) }
 
 // AttemptID identifies one attempt to run a request on an upstream.
 type AttemptID string
 
-// GrantID identifies one permission to use a slot of an upstream.
+// GrantID identifies one grant, the permission to use a slot of an upstream.
 type GrantID string
 
-// Incarnation tells one run of a process on a VM from its earlier runs.
-// It grows with each start.
+// Incarnation distinguishes a run of a process from its earlier runs. It grows
+// with each start.
 type Incarnation uint64
 
 // Member is one run of a process on a VM.
 type Member struct {
 	// VM is never empty.
 	VM VM
-	// Incarnation is that of the process's current run.
+	// Incarnation identifies the run.
 	Incarnation Incarnation
 }
 
-// Outcome tells a caller whether its request ran on an upstream.
+// Outcome is what a caller learns about whether its request ran on an upstream.
 type Outcome string
 
 const (
-	// NotRun promises that no part of the request ran on any upstream.
+	// NotRun guarantees that no part of the request ran on any upstream.
 	NotRun Outcome = "notRun"
-	// Unknown says that the request may or may not have run.
+	// Unknown means that the request may or may not have run.
 	Unknown Outcome = "unknown"
-	// Ran says that the request ran.
+	// Ran means that the request ran.
 	Ran Outcome = "ran"
 )
 
-// UpstreamStart is one start of an upstream under its name: what was true of an earlier
-// one is not of it.
+// UpstreamStart identifies one run of an upstream. State known of an earlier run does not
+// apply to a later one.
 type UpstreamStart struct {
 	Upstream UpstreamName
-	// Incarnation grows with each start; 0 is unknown, and before all others.
+	// Incarnation grows with each start; 0 means unknown and orders before all others.
 	Incarnation Incarnation
 }
 
-// String returns the name, with the number of the start behind a # where it is known.
+// String returns the name of the upstream, followed by # and the incarnation if it is known.
 func (start UpstreamStart) String() string {
 	if start.Incarnation == 0 {
 		return string(start.Upstream)
--- a/definer/limit.go
+++ b/definer/limit.go
@@ -2,33 +2,34 @@
 
 import "strconv"
 
-// RateLimit is how many requests a second an upstream takes from all nodes together. The
-// zero value is no limit.
+// RateLimit limits the requests per second that all nodes together send to an upstream. The
+// zero value means no limit.
 type RateLimit struct {
-	// perSecond is finite and not negative; 0 takes no request at all.
+	// perSecond is finite and not negative; 0 allows no requests.
 	perSecond float64
-	named     bool
+	limited   bool
 }
 
-// LimitTo returns a limit of so many requests a second, which is finite and not negative.
-func LimitTo(perSecond float64) RateLimit { return RateLimit{perSecond: perSecond, named: true} }
+// LimitTo returns a limit of perSecond requests per second, which must be finite and not
+// negative.
+func LimitTo(perSecond float64) RateLimit { return RateLimit{perSecond: perSecond, limited: true} }
 
-// PerSecond returns the requests a second, and whether there is a limit at all.
-func (rateLimit RateLimit) PerSecond() (perSecond float64, named bool) {
-	return rateLimit.perSecond, rateLimit.named
+// PerSecond returns the limit in requests per second, and whether there is a limit.
+func (rateLimit RateLimit) PerSecond() (perSecond float64, limited bool) {
+	return rateLimit.perSecond, rateLimit.limited
 }
 
-// Below tells whether the limit lets less through than the other.
+// Below reports whether rateLimit is stricter than other.
 func (rateLimit RateLimit) Below(other RateLimit) bool {
-	if !rateLimit.named || !other.named {
-		return rateLimit.named && !other.named
+	if !rateLimit.limited || !other.limited {
+		return rateLimit.limited && !other.limited
 	}
 	return rateLimit.perSecond < other.perSecond
 }
 
-// String returns the requests a second, or none.
+// String returns the limit in requests per second, or "none" without a limit.
 func (rateLimit RateLimit) String() string {
-	if !rateLimit.named {
+	if !rateLimit.limited {
 		return "none"
 	}
 	return strconv.FormatFloat(rateLimit.perSecond, 'g', -1, 64)
--- a/definer/organisation.go
+++ b/definer/organisation.go
@@ -1,17 +1,18 @@
 package definer
 
-// Organisation is a customer whose callers share keys, a weight and limits.
+// Organisation is a customer whose callers share API keys, a weight and a rate limit.
 type Organisation struct {
 	// document has passed all checks of Build.
 	document OrganisationDocument
 }
 
-// Name returns the organisation's name.
+// Name returns the name of the organisation.
 func (organisation *Organisation) Name() OrganisationName {
 	return OrganisationName(organisation.document.Name)
 }
 
-// Weight returns its share against others of the same tier; 1 if none is set.
+// Weight returns the share of the organisation relative to other organisations
+// of the same tier; 1 if none is set.
 func (organisation *Organisation) Weight() float64 {
 	if organisation.document.Weight == 0 {
 		return 1
@@ -19,7 +20,7 @@
 	return organisation.document.Weight
 }
 
-// RequestsPerSecond returns the bound on its rate; 0 is no bound.
+// RequestsPerSecond returns the rate limit at each entry VM; 0 means no limit.
 func (organisation *Organisation) RequestsPerSecond() float64 {
 	return organisation.document.RequestsPerSecond
 }
--- a/definer/rule.go
+++ b/definer/rule.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Repeat tells how often a request may be run.
+// Repeat is the policy on running a request more than once.
 type Repeat string
 
 const (
-	// Idempotent requests may be run again after a failure.
+	// Idempotent marks requests that may be retried after a failure.
 	Idempotent Repeat = "idempotent"
 	// Never marks requests that are sent to an upstream at most once.
 	Never Repeat = "never"
@@ -14,28 +14,30 @@
 	Keyed Repeat = "keyed"
 )
 
-// Rule is one operator's rule: when it holds, then its action is done.
+// Rule is a condition on requests and the action for requests that meet it.
 type Rule struct {
 	// document has passed all checks of Build.
 	document RuleDocument
 }
 
-// Name returns the rule's name.
+// Name returns the name of the rule.
 func (rule *Rule) Name() string { return rule.document.Name }
 
-// When returns the rule's condition as written.
+// When returns the source text of the rule's condition.
 func (rule *Rule) When() string { return rule.document.When }
 
-// Refusal returns the message of a refusal; empty if the rule does not refuse.
+// Refusal returns the message with which the rule refuses requests; it is empty
+// if the rule does not refuse them.
 func (rule *Rule) Refusal() string { return rule.document.Then.Refuse }
 
-// Class returns the class that the rule gives.
+// Class returns the name of the class that the rule assigns.
 func (rule *Rule) Class() ClassName { return ClassName(rule.document.Then.Class) }
 
-// Pool returns the pool that the rule gives.
+// Pool returns the name of the pool that the rule assigns.
 func (rule *Rule) Pool() PoolName { return PoolName(rule.document.Then.Pool) }
 
-// Repeat returns how often the request may be run; Idempotent if none is set.
+// Repeat returns the policy on running a request more than once; Idempotent if none is
+// set.
 func (rule *Rule) Repeat() Repeat {
 	if rule.document.Then.Repeat == "" {
 		return Idempotent
@@ -43,14 +45,15 @@
 	return Repeat(rule.document.Then.Repeat)
 }
 
-// Deadline returns the bound on the whole request; 0 is no bound.
+// Deadline returns the time limit of the whole request; 0 means no limit.
 func (rule *Rule) Deadline() time.Duration { return milliseconds(rule.document.Then.DeadlineMs) }
 
-// LocalKeys tells whether a keyed call may run without the platform.
+// LocalKeys reports whether a keyed request may run without the platform, under a
+// key that is bound to one process.
 func (rule *Rule) LocalKeys() bool { return rule.document.Then.LocalKeys }
 
-// Rules returns the rules of a document before it has passed any check, so that
-// their conditions can be checked along with it.
+// Rules returns the rules of a document that is not yet validated, so that the
+// caller can check their conditions together with the rest of the document.
 func Rules(document Document) []*Rule {
 	rules := make([]*Rule, 0, len(document.Rules))
 	for _, rule := range document.Rules {
--- a/failer/error.go
+++ b/failer/error.go
@@ -1,13 +1,13 @@
-// Package failer holds the one shape that the error type of every package has:
-// an operation, a kind and a cause.
+// Package failer provides the generic error type that all packages use: an
+// operation, a kind and a cause. Each package instantiates it with its own kinds.
 package failer
 
 import "fmt"
 
-// Error is an error with an operation and a kind. Each package names its own
-// instance, with its own kinds, as its Error.
+// Error is an error with an operation and a kind. Each package declares an alias
+// Error for it, instantiated with the package's own type of kinds.
 type Error[Kind ~string] struct {
-	// operation names the package and the step that failed.
+	// operation is the package and the step that failed, such as "definer.parse".
 	operation string
 	// kind is one of the owning package's constants.
 	kind Kind
@@ -15,12 +15,12 @@
 	cause error
 }
 
-// New returns an error whose cause is built by fmt.Errorf from the format.
+// New returns an error whose cause is made by fmt.Errorf from the format and values.
 func New[Kind ~string](operation string, kind Kind, format string, values ...any) *Error[Kind] {
 	return &Error[Kind]{operation: operation, kind: kind, cause: fmt.Errorf(format, values...)}
 }
 
-// Error returns the operation, the kind and the cause as one line.
+// Error returns the operation, the kind and the cause, separated by colons.
 func (failure *Error[Kind]) Error() string {
 	return fmt.Sprintf("%s: %s: %v", failure.operation, failure.kind, failure.cause)
 }
@@ -28,8 +28,8 @@
 // Unwrap returns the cause.
 func (failure *Error[Kind]) Unwrap() error { return failure.cause }
 
-// Kind returns what sort of failure it is.
+// Kind returns the kind of the error.
 func (failure *Error[Kind]) Kind() Kind { return failure.kind }
 
-// Operation returns the name of the package and of the step that failed.
+// Operation returns the package and the step that failed, such as "definer.parse".
 func (failure *Error[Kind]) Operation() string { return failure.operation }
