--- a/scheduler/longrun_race_test.go
+++ b/scheduler/longrun_race_test.go
@@ -5,7 +5,7 @@
 // The race detector is slow, so the runs are shorter.
 const (
 	// longRunSteps is the number of steps of each long run.
-	longRun = 20_000
+	longRunSteps = 20_000
 	// runScale multiplies the simulated time.
 	runScale = 1
 )
