--- a/boundary_test.go
+++ b/boundary_test.go
@@ -11,10 +11,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestPlatformNamesStayInTheAdapter holds that only the adapter and the stand-ins
-// know the names that the users' platform has on the wire.
+// TestPlatformNamesStayInTheAdapter checks that names defined by the interfaces of the users'
+// platform occur only in the adapter and the stand-ins.
 func TestPlatformNamesStayInTheAdapter(t *testing.T) {
-	checkNames(t, []string{"platform", "standin"},
+	checkNamesAbsent(t, []string{"platform", "standin"},
 		"X-Deadline-Ms", "X-Token-Count", "X-Prompt-Prefix", "X-Response-Seal", "X-Expect-Runner", "X-Tenant",
 		"X-Not-Executed", "X-Request-Priority", "X-Runner-Id", "traffic_split", "path_prefix", "route_type",
 		"session_affinity", "stream_resume", "gap_aim_ms", "target_latency_ms", "max_attempts", "api_keys",
@@ -22,22 +22,22 @@
 	)
 }
 
-// TestConnectionsAreMadeByTheDialer holds that no part makes connections that may
-// go silent unnoticed. The parts that make load for tests and demonstrations and
-// the stand-ins may.
+// TestConnectionsAreMadeByTheDialer checks that connections are made through package dialer, which
+// detects peers that stop responding. The load generator, the demonstration and the stand-ins are
+// exempt.
 func TestConnectionsAreMadeByTheDialer(t *testing.T) {
-	checkNames(t, []string{"dialer", "demonstrator", "generator", "standin"}, "net.Dialer{", "net.Dial(", "net.DialTimeout(", "http.DefaultTransport", "http.DefaultClient")
+	checkNamesAbsent(t, []string{"dialer", "demonstrator", "generator", "standin"}, "net.Dialer{", "net.Dial(", "net.DialTimeout(", "http.DefaultTransport", "http.DefaultClient")
 }
 
-// checkNames checks that no file of the product has one of the names, but for
-// tests and the folders left out.
-func checkNames(t *testing.T, leftOut []string, names ...string) {
+// checkNamesAbsent checks that no Go file contains one of the names, except for tests and the
+// excluded folders.
+func checkNamesAbsent(t *testing.T, excluded []string, names ...string) {
 	t.Helper()
 	assert.NilError(t, filepath.WalkDir(".", func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
-		if entry.IsDir() && (slices.Contains(leftOut, path) || strings.HasPrefix(path, ".git")) {
+		if entry.IsDir() && (slices.Contains(excluded, path) || strings.HasPrefix(path, ".git")) {
 			return fs.SkipDir
 		}
 		if !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
@@ -48,7 +48,7 @@
 			return err
 		}
 		for _, name := range names {
-			assert.Check(t, !strings.Contains(string(data), name), "%s has %s", path, name)
+			assert.Check(t, !strings.Contains(string(data), name), "%s contains %s", path, name)
 		}
 		return nil
 	}))
--- a/core_test.go
+++ b/core_test.go
@@ -11,9 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestCoreIsSequential checks that the packages of the deterministic core start
-// no goroutine and use no channel. What they may import and call is checked by
-// the linter.
+// TestCoreIsSequential checks that the packages of the deterministic core start no goroutines and
+// use no channels. The linter checks their imports and calls.
 func TestCoreIsSequential(t *testing.T) {
 	for _, name := range []string{"admitter", "claimer", "decider", "definer", "detector", "estimator", "limiter", "matcher", "scheduler", "sectioner"} {
 		t.Run(name, func(t *testing.T) {
@@ -29,6 +28,7 @@
 	}
 }
 
+// checkSequential reports every statement and type of concurrency in the file as an error.
 func checkSequential(t *testing.T, file string) {
 	t.Helper()
 	positions := token.NewFileSet()
--- a/doc.go
+++ b/doc.go
@@ -1,6 +1,5 @@
-// Package limpetcleat is a router for language-model traffic with service
-// levels and priorities. It wires the parts of a node together: events of
-// callers (server), peers (messenger), upstreams (dispatcher), the platform
-// (watcher) and the clock (timer) go through Node.Submit into the deterministic
-// core (decider), one at a time, and the actions that come out go back to them.
+// Package limpetcleat assembles the nodes of a router for language-model traffic with service
+// levels and priorities. A Node serializes the events of callers, peers, upstreams, the platform
+// and timers through a deterministic core and executes the resulting actions; an Entry is a node
+// that routes each request by its own view of the platform's store.
 package limpetcleat
--- a/docs_test.go
+++ b/docs_test.go
@@ -14,13 +14,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestOperationsPageHasEveryCode holds the page and the codes of requests that
-// never reach the core together, and likewise the events that it names.
+// TestOperationsPageHasEveryCode checks that the operations page lists every error code of requests
+// that package server rejects before they reach the core exactly once, and that every event number
+// on the page is in the event catalogue.
 func TestOperationsPageHasEveryCode(t *testing.T) {
 	content, err := os.ReadFile("docs/OPERATIONS.md")
 	assert.NilError(t, err)
 	page := string(content)
-	for _, code := range constants(t, "server/failure.go", "code") {
+	for _, code := range stringConstants(t, "server/failure.go", "code") {
 		assert.Equal(t, strings.Count(page, "\n| `"+code+"` | "), 1, code)
 	}
 	events, err := os.ReadFile("docs/EVENTS.md")
@@ -30,9 +31,9 @@
 	}
 }
 
-// constants returns the values of a file's text constants whose names have the
+// stringConstants returns the values of the string constants in a file whose names have the
 // prefix.
-func constants(t *testing.T, path, prefix string) []string {
+func stringConstants(t *testing.T, path, prefix string) []string {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
 	assert.NilError(t, err)
@@ -53,7 +54,7 @@
 	return values
 }
 
-// TestProofsNameTests holds the page of proofs to tests and models that exist.
+// TestProofsNameTests checks that the tests and models named on the page of proofs exist.
 func TestProofsNameTests(t *testing.T) {
 	page, err := os.ReadFile("docs/PROOFS.md")
 	assert.NilError(t, err)
--- a/entry.go
+++ b/entry.go
@@ -34,88 +34,90 @@
 )
 
 const (
-	// tickInterval is how often idle connections are looked at.
-	tickInterval = 200 * time.Millisecond
-	// entryHeaderTimeout bounds how long a caller may take for a request's head;
-	// the operators' own bounds are between 3 and 10 s.
-	entryHeaderTimeout = 10 * time.Second
-	// confirmationMargin is left between the platform's bound on revocation and
-	// how long a confirmed configuration is trusted, for the way of a request.
+	// sweepInterval is the interval between sweeps of idle upstream connections.
+	sweepInterval = 200 * time.Millisecond
+	// callerHeaderTimeout is the time limit for reading a request's header. Operators use limits
+	// between 3 and 10 s.
+	callerHeaderTimeout = 10 * time.Second
+	// confirmationMargin is subtracted from the platform's revocation bound to obtain the lifetime
+	// of a confirmed configuration. It covers the transit time of a request.
 	confirmationMargin = 300 * time.Millisecond
-	// retryShareMargin is the part of the platform's share of retries that is
-	// used; a node sees only its own requests, and windows differ.
-	retryShareMargin = 0.8
-	// leastNodes is how many nodes the platform's fixed number of retries is divided
-	// by at least: the list of nodes may not have been read yet, or be behind.
-	leastNodes = 48
-	// heldShare is the part of the memory that requests' bodies may take.
-	heldShare = 0.25
-	// balancerNotice is how long the balancer may take to notice that a node is
-	// not ready: two questions a second apart, and the way.
-	balancerNotice = 2500 * time.Millisecond
-	// stopMargin is what is left of the grace when the last requests are cut.
+	// retryShareFraction is the fraction of the platform's retry share that the nodes use. The
+	// rest is a margin, because a node counts only its own requests and the windows of the nodes
+	// and the platform do not coincide.
+	retryShareFraction = 0.8
+	// minBudgetNodes is the least number of nodes by which the platform's fixed number of retries
+	// is divided, because the list of nodes may be unread or out of date.
+	minBudgetNodes = 48
+	// bodyMemoryShare is the fraction of the memory limit that buffered request bodies may use.
+	bodyMemoryShare = 0.25
+	// balancerDetectionTime is the longest time until the load balancer treats a node as not
+	// ready: two probes one second apart, plus transit.
+	balancerDetectionTime = 2500 * time.Millisecond
+	// stopMargin is how long before the end of the grace period the remaining requests are aborted.
 	stopMargin = 500 * time.Millisecond
-	// refuseShare is the part of the grace after which requests are refused.
-	refuseShare = 0.4
+	// refusalGraceShare is the fraction of the grace period after which new requests are refused.
+	refusalGraceShare = 0.4
 )
 
-// EntrySettings are what an Entry is told.
+// EntrySettings configures an Entry.
 type EntrySettings struct {
 	VM         definer.VM
 	DataCentre definer.DataCentre
-	// Inner is where peers reach this node.
+	// Inner is the address at which peers reach this node.
 	Inner string
-	// Link is what this VM's link carries, in Mbit/s; 0 is unknown.
+	// Link is the bandwidth of this VM's network link in Mbit/s; 0 means unknown.
 	Link int
-	// Memory is the bound of the process, in bytes.
+	// Memory is the memory limit of the process in bytes.
 	Memory int64
-	// Revocation is how long after its acknowledgement a revoked key may still be
-	// honoured; 0 is for ever.
+	// Revocation is the longest time after the acknowledgement of a revocation during which the
+	// key may still be accepted; 0 means no limit.
 	Revocation time.Duration
-	// Grace is how long a planned stop may take.
+	// Grace is the time limit of a graceful shutdown.
 	Grace time.Duration
-	// RetryShare and RetrySlack bound the retries of all nodes in RetryWindow.
+	// RetryShare and RetrySlack bound the retries of all nodes together within RetryWindow: a
+	// share of the requests and a fixed number.
 	RetryShare  float64
 	RetrySlack  float64
 	RetryWindow time.Duration
-	// Delegation has nodes tell each other what the store says; without it each asks the
-	// store by itself. It has to be the same at all nodes.
+	// Delegation makes a few nodes read the store and distribute its content to their peers;
+	// without it, each node reads the store itself. All nodes need the same value.
 	Delegation bool
-	// Duties are what the platform has one node at a time do for all.
+	// Duties are the platform's duties, which one node at a time performs for all nodes.
 	Duties Duties
 	// First is set at the first start of a whole deployment.
 	First bool
-	// Asking is told whether this node asks the store; nil is nobody.
+	// Asking is called when this node begins or ceases to read the store; it may be nil.
 	Asking func(asks bool)
-	// LongestBackoff bounds how long an upstream may ask not to be sent anything; 0 is by the
-	// bound of the headers' reader alone.
+	// LongestBackoff caps the backoff that an upstream may request; 0 means
+	// interpreter.MaxRetryAfter.
 	LongestBackoff time.Duration
-	// Announced is told how many upstreams have announced what, Permits what became of each ask
-	// for a permit to send a request to one with a limit, and BackedOff of each refusal that
-	// asks for a backoff; nil is nobody.
+	// Announced is called with the number of upstreams by announcement, Permits with the outcome
+	// of each request for a permit to use a rate-limited upstream, and BackedOff for each refusal
+	// that requests a backoff. Each may be nil.
 	Announced func(counts announcer.Counts)
 	Permits   func(outcome throttler.Outcome)
 	BackedOff func()
-	// Suspecting is told how many requests are held off and how many suspected, since
-	// upstreams ended under them; nil is nobody.
+	// Suspecting is called with the number of requests that are held off and the number that are
+	// suspected of crashing upstreams; it may be nil.
 	Suspecting func(held, suspected int)
 }
 
-// Duties are what the platform has one node at a time do for all.
+// Duties describes the platform's duties, which one node at a time performs for all nodes.
 type Duties struct {
 	Settings steward.Settings
 	Shelf    leaseholder.Shelf
-	// Platform carries them out; nil is when there are none.
+	// Platform performs the duties; nil means that there are none.
 	Platform steward.Platform
-	// Observe is told of each change of what this node knows of them.
+	// Observe is called with the new status after each change.
 	Observe func(status steward.Status)
 }
 
-// Entry is a node that decides by itself where each request runs, on what it
-// follows in the platform's store and what its own requests show.
+// Entry is a node that selects the upstream of each request by itself, based on the platform's
+// store and on the outcomes of its own requests.
 //
-// It owns its informer, the forwarder's timer, the journal and the HTTP servers; Run waits
-// for each.
+// An Entry owns its informer, the forwarder's timer, the journal and the HTTP servers; Run waits
+// until all of them have ended.
 type Entry struct {
 	settings   EntrySettings
 	journal    *journal
@@ -127,60 +129,61 @@
 	announcer  *announcer.Announcer
 	throttler  *throttler.Throttler
 	forwarder  *forwarder.Forwarder
-	// steward is nil when the platform has no duties.
-	steward   *steward.Steward
-	callers   *http.Server
-	readiness *http.Server
-	// ready is what the balancer was told last.
+	// steward is nil if the platform has no duties.
+	steward         *steward.Steward
+	callerServer    *http.Server
+	readinessServer *http.Server
+	// ready is the readiness last reported to the load balancer.
 	ready atomic.Bool
-	// drain is closed when a planned stop is wanted.
-	drain chan struct{}
-	group conc.WaitGroup
+	// drainRequested is closed to request a graceful shutdown.
+	drainRequested chan struct{}
+	background     conc.WaitGroup
 }
 
-// NewEntry returns an entry that speaks the protocol with callers and upstreams.
+// NewEntry returns an Entry that uses the protocol with callers and upstreams and passes the
+// record of each request to record.
 func NewEntry(settings EntrySettings, protocol forwarder.Protocol, feeds informer.Feeds, events Logger, record func(forwarder.Record)) *Entry {
 	entry := &Entry{
-		settings:  settings,
-		journal:   newJournal(events),
-		connector: connector.New(),
-		drain:     make(chan struct{}),
+		settings:       settings,
+		journal:        newJournal(events),
+		connector:      connector.New(),
+		drainRequested: make(chan struct{}),
 	}
 	choice := selector.New(settings.DataCentre)
 	entry.selector = choice
 	entry.announcer = announcer.New(entry.announcerOptions()...)
-	entry.quarantine = quarantiner.New(quarantiner.WithVerdicts(entry.journal.heldOff, entry.journal.released), quarantiner.WithCounts(settings.Suspecting))
+	entry.quarantine = quarantiner.New(quarantiner.WithVerdicts(entry.journal.requestHeldOff, entry.journal.requestReleased), quarantiner.WithCounts(settings.Suspecting))
 	self := definer.Member{VM: settings.VM, Incarnation: definer.Incarnation(time.Now().UnixNano())}
 	entry.messenger = messenger.New(self, settings.DataCentre, entry.receive, messenger.WithReports(entry.journal.report))
 	clock := timekeeper.New(timekeeper.SystemClock())
 	entry.informer = informer.New(entry.peer(), feeds, choice, entry.messenger, append(entry.informerOptions(), informer.WithIncarnation(self.Incarnation), informer.WithClock(clock))...)
 	entry.throttler = throttler.New(entry.peer(), entry.informer, entry.messenger, entry.announcer, entry.throttlerOptions()...)
-	entry.takeDuties(self, clock, choice)
+	entry.createSteward(self, clock, choice)
 	budget := budgeter.New(budgeter.Policy{
-		Share:  settings.RetryShare * retryShareMargin,
+		Share:  settings.RetryShare * retryShareFraction,
 		Slack:  settings.RetrySlack,
-		Nodes:  func() int { return max(entry.informer.CountPeers()+1, leastNodes) },
+		Nodes:  func() int { return max(entry.informer.CountPeers()+1, minBudgetNodes) },
 		Window: settings.RetryWindow,
 	}, time.Now())
 	entry.forwarder = forwarder.New(protocol, entry.informer, entry.informer.Upstreams(), choice, budget, entry.connector,
 		forwarder.WithLog(entry.journal.event),
 		forwarder.WithRecord(record),
 		forwarder.WithConfirmationLifetime(max(settings.Revocation-confirmationMargin, 0)),
-		forwarder.WithMaxHeldBytes(int64(float64(settings.Memory)*heldShare)),
+		forwarder.WithMaxHeldBytes(int64(float64(settings.Memory)*bodyMemoryShare)),
 		forwarder.WithRandom(rand.Float64),
 		forwarder.WithQuarantine(entry.quarantine),
-		forwarder.WithRequestBegun(entry.begun),
+		forwarder.WithRequestBegun(entry.requestBegun),
 		forwarder.WithLimits(entry.announcer, entry.throttler),
 		forwarder.WithBackoffs(entry.backedOff),
 		forwarder.WithLongestBackoff(cmp.Or(settings.LongestBackoff, interpreter.MaxRetryAfter)),
 	)
-	entry.callers = &http.Server{Handler: entry.forwarder, ReadHeaderTimeout: entryHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes, DisableGeneralOptionsHandler: true}
-	entry.readiness = &http.Server{Handler: http.HandlerFunc(entry.answerReadiness), ReadHeaderTimeout: entryHeaderTimeout, IdleTimeout: idleTimeout}
+	entry.callerServer = &http.Server{Handler: entry.forwarder, ReadHeaderTimeout: callerHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes, DisableGeneralOptionsHandler: true}
+	entry.readinessServer = &http.Server{Handler: http.HandlerFunc(entry.answerReadiness), ReadHeaderTimeout: callerHeaderTimeout, IdleTimeout: idleTimeout}
 	return entry
 }
 
-// takeDuties makes what fulfils the platform's duties, if it has any.
-func (entry *Entry) takeDuties(self definer.Member, clock *timekeeper.Timekeeper, choice *selector.Selector) {
+// createSteward creates the steward if the platform has duties.
+func (entry *Entry) createSteward(self definer.Member, clock *timekeeper.Timekeeper, choice *selector.Selector) {
 	duties := entry.settings.Duties
 	if duties.Platform == nil {
 		return
@@ -191,26 +194,26 @@
 	})
 }
 
-// begun counts a request that has begun at an upstream.
-func (entry *Entry) begun(organisation definer.OrganisationName) {
+// requestBegun counts a request whose attempt at an upstream has begun.
+func (entry *Entry) requestBegun(organisation definer.OrganisationName) {
 	if entry.steward != nil {
 		entry.steward.CountRequest(organisation)
 	}
 }
 
-// backedOff counts a refusal that asks for a backoff.
+// backedOff counts a refusal that requests a backoff.
 func (entry *Entry) backedOff() {
 	if entry.settings.BackedOff != nil {
 		entry.settings.BackedOff()
 	}
 }
 
-// peer returns this node as its peers see it.
+// peer returns this node's entry in the list of peers.
 func (entry *Entry) peer() exchanger.Peer {
 	return exchanger.Peer{VM: entry.settings.VM, DataCentre: entry.settings.DataCentre, Address: entry.settings.Inner, Link: entry.settings.Link}
 }
 
-// informerOptions returns those of the informer by the settings.
+// informerOptions returns the options of the informer according to the settings.
 func (entry *Entry) informerOptions() []informer.Option {
 	options := []informer.Option{informer.WithLog(entry.journal.event), informer.WithUpstreamChanged(entry.upstreamChanged), informer.WithSuspicions(entry.quarantine), informer.WithAnnouncements(entry.announcer)}
 	if entry.settings.Asking != nil {
@@ -222,7 +225,7 @@
 	return options
 }
 
-// announcerOptions returns those of the announcer by the settings.
+// announcerOptions returns the options of the announcer according to the settings.
 func (entry *Entry) announcerOptions() []announcer.Option {
 	options := []announcer.Option{announcer.WithChanges(entry.announced)}
 	if entry.settings.Announced != nil {
@@ -231,7 +234,7 @@
 	return options
 }
 
-// throttlerOptions returns those of the throttler by the settings.
+// throttlerOptions returns the options of the throttler according to the settings.
 func (entry *Entry) throttlerOptions() []throttler.Option {
 	options := []throttler.Option{throttler.WithLog(entry.journal.event)}
 	if entry.settings.Permits != nil {
@@ -240,7 +243,8 @@
 	return options
 }
 
-// announced has the choice of upstreams go by what one has announced. The announcer is locked.
+// announced applies an upstream's announcement to the selection of upstreams. It is called with
+// the announcer locked.
 func (entry *Entry) announced(start definer.UpstreamStart, announcement announcer.Announcement, source announcer.Source) {
 	_, limited := announcement.Limit.PerSecond()
 	entry.selector.SetLimited(time.Now(), start, limited)
@@ -258,7 +262,8 @@
 	}
 }
 
-// upstreamChanged ends what was under way at an upstream that has started again.
+// upstreamChanged ends the attempts at the previous incarnation of an upstream that has restarted
+// and discards the state of a replaced entry.
 func (entry *Entry) upstreamChanged(change registrar.Change) {
 	if !change.Removed && change.Upstream.Incarnation > 0 {
 		entry.forwarder.UpstreamStarted(change.Upstream.Start())
@@ -269,7 +274,7 @@
 	}
 }
 
-// receive takes in a message from a peer.
+// receive dispatches a message from a peer.
 func (entry *Entry) receive(from definer.Member, dataCentre definer.DataCentre, message messenger.Message) {
 	entry.informer.Receive(from, dataCentre, message)
 	if entry.steward != nil {
@@ -278,30 +283,31 @@
 	entry.throttler.Receive(from, message)
 }
 
-// Quarantine returns what this node knows of requests that make upstreams end.
+// Quarantine returns the quarantiner of requests that crash upstreams.
 func (entry *Entry) Quarantine() *quarantiner.Quarantiner { return entry.quarantine }
 
-// Announcer returns what this node knows of how upstreams want to be asked.
+// Announcer returns the announcer, which keeps the limits and announced departures of upstreams.
 func (entry *Entry) Announcer() *announcer.Announcer { return entry.announcer }
 
-// Throttler returns what asks for permits and hands them out.
+// Throttler returns the throttler, which requests and issues permits.
 func (entry *Entry) Throttler() *throttler.Throttler { return entry.throttler }
 
-// Steward returns what fulfils the platform's duties, nil if there are none.
+// Steward returns the steward of the platform's duties, or nil if there are none.
 func (entry *Entry) Steward() *steward.Steward { return entry.steward }
 
-// Drain asks for a planned stop; it is called once.
-func (entry *Entry) Drain() { close(entry.drain) }
+// Drain requests a graceful shutdown. It must be called at most once.
+func (entry *Entry) Drain() { close(entry.drainRequested) }
 
 // Event logs an event without blocking.
 func (entry *Entry) Event(number int, pairs ...any) { entry.journal.event(number, pairs...) }
 
-// Run serves callers and the balancer until a planned stop is over.
+// Run serves callers, the load balancer's readiness probes and peers until a graceful shutdown has
+// completed.
 func (entry *Entry) Run(callers, readiness, inner net.Listener) {
 	ctx, end := context.WithCancel(context.Background())
 	var parts conc.WaitGroup
 	parts.Go(func() { entry.informer.Run(ctx) })
-	parts.Go(func() { entry.tick(ctx) })
+	parts.Go(func() { entry.sweepConnections(ctx) })
 	stewardCtx, endDuties := context.WithCancel(ctx)
 	if entry.steward != nil {
 		parts.Go(func() { entry.steward.Run(stewardCtx) })
@@ -310,10 +316,10 @@
 	entry.throttler.Start(ctx)
 	entry.forwarder.Start(ctx)
 	journalCtx, endJournal := context.WithCancel(context.Background())
-	entry.group.Go(func() { entry.journal.run(journalCtx) })
-	entry.serve(callers, entry.callers)
-	entry.serve(readiness, entry.readiness)
-	<-entry.drain
+	entry.background.Go(func() { entry.journal.run(journalCtx) })
+	entry.serve(callers, entry.callerServer)
+	entry.serve(readiness, entry.readinessServer)
+	<-entry.drainRequested
 	endDuties()
 	entry.stop()
 	end()
@@ -323,41 +329,41 @@
 	<-entry.throttler.Done()
 	entry.connector.Close()
 	endJournal()
-	entry.group.Wait()
+	entry.background.Wait()
 }
 
-// serve serves a listener in the background.
+// serve serves the listener in the background.
 func (entry *Entry) serve(listener net.Listener, server *http.Server) {
-	server.ErrorLog = log.New(complaints{entry.journal}, "", 0)
-	entry.group.Go(func() {
+	server.ErrorLog = log.New(httpErrorWriter{entry.journal}, "", 0)
+	entry.background.Go(func() {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 			entry.journal.event(logger.EventListenerFailed, "listen", listener.Addr(), "cause", err)
 		}
 	})
 }
 
-// stop lets requests end: the balancer is told first, then no new connections
-// are taken, and what is left is cut shortly before the grace is over.
+// stop shuts down gracefully: it fails readiness, waits until the load balancer has noticed, stops
+// accepting connections, and aborts the remaining requests shortly before the grace period ends.
 func (entry *Entry) stop() {
 	deadline := time.Now().Add(entry.settings.Grace - stopMargin)
 	entry.journal.event(logger.EventStopStep, "step", "notReady")
 	entry.forwarder.CloseConnections()
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
-	_ = timer.Sleep(ctx, balancerNotice) // What follows ends with the context too.
-	refusing := time.AfterFunc(time.Duration(refuseShare*float64(entry.settings.Grace))-balancerNotice, entry.forwarder.Refuse)
+	_ = timer.Sleep(ctx, balancerDetectionTime) // The error is ignored because the next steps observe ctx too.
+	refusing := time.AfterFunc(time.Duration(refusalGraceShare*float64(entry.settings.Grace))-balancerDetectionTime, entry.forwarder.Refuse)
 	defer refusing.Stop()
 	entry.journal.event(logger.EventStopStep, "step", "closeIdle")
-	if err := entry.callers.Shutdown(ctx); err != nil {
+	if err := entry.callerServer.Shutdown(ctx); err != nil {
 		entry.journal.event(logger.EventStopStep, "step", "cut", "cause", err)
-		_ = entry.callers.Close()
+		_ = entry.callerServer.Close()
 	}
-	_ = entry.readiness.Close() // Nothing is in flight that matters.
+	_ = entry.readinessServer.Close() // Open readiness probes need no answer.
 	entry.informer.Withdraw()
 	entry.journal.event(logger.EventStopStep, "step", "stopped")
 }
 
-// answerReadiness answers the balancer.
+// answerReadiness serves the load balancer's readiness probe.
 func (entry *Entry) answerReadiness(writer http.ResponseWriter, _ *http.Request) {
 	ready := entry.forwarder.Ready(time.Now())
 	if entry.ready.Swap(ready) != ready {
@@ -368,9 +374,9 @@
 	}
 }
 
-// tick looks after idle connections to upstreams.
-func (entry *Entry) tick(ctx context.Context) {
-	ticker := time.NewTicker(tickInterval)
+// sweepConnections sweeps idle connections to upstreams until the context ends.
+func (entry *Entry) sweepConnections(ctx context.Context) {
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/entry_test.go
+++ b/entry_test.go
@@ -24,27 +24,27 @@
 )
 
 const (
-	entryPatience = 15 * time.Second
-	// entryRevocation is how long a key may be honoured after the last read.
-	entryRevocation = 3 * time.Second
+	entryTimeout = 15 * time.Second
+	// revocationBound is the longest time for which a key may be accepted after the last read.
+	revocationBound = 3 * time.Second
 )
 
-// deployment is a stand-in store with upstreams and entries of the users'
-// platform.
+// deployment is a stand-in for the platform's store, together with the upstreams and entries that
+// a test starts.
 type deployment struct {
 	t     *testing.T
 	store *store.Store
-	// version is that of the configuration that the operator wrote last.
+	// version is the version of the configuration that was written last.
 	version int
-	// revocation is how long a key may be honoured after the last read.
+	// revocation is the longest time for which a key may be accepted after the last read.
 	revocation time.Duration
-	// delegation has few of the entries ask the store and tell the others.
+	// delegation makes a few entries read the store and distribute its content to the others.
 	delegation bool
 }
 
-// inBothWays runs a test with entries that each ask the store, and with entries of which
-// few ask and tell the others.
-func inBothWays(t *testing.T, test func(t *testing.T, deployment *deployment)) {
+// withAndWithoutDelegation runs a test once with entries that each read the store, and once with
+// delegation.
+func withAndWithoutDelegation(t *testing.T, test func(t *testing.T, deployment *deployment)) {
 	t.Helper()
 	for name, delegation := range map[string]bool{"alone": false, "delegated": true} {
 		t.Run(name, func(t *testing.T) {
@@ -57,11 +57,11 @@
 
 func newDeployment(t *testing.T) *deployment {
 	t.Helper()
-	return &deployment{t: t, store: store.New(), revocation: entryRevocation}
+	return &deployment{t: t, store: store.New(), revocation: revocationBound}
 }
 
-// configure writes the next version with one rule and the keys.
-func (deployment *deployment) configure(prefix string, keys ...string) {
+// putConfiguration writes the next version of the configuration, with one rule and the keys.
+func (deployment *deployment) putConfiguration(prefix string, keys ...string) {
 	deployment.version += 3
 	assert.NilError(deployment.t, deployment.store.Put("config", "main", map[string]any{
 		"version":  deployment.version,
@@ -71,8 +71,9 @@
 	}))
 }
 
-// upstream starts an upstream that answers with its name after the pause.
-func (deployment *deployment) upstream(name string, pause time.Duration) *atomic.Int32 {
+// startUpstream starts and lists an upstream that answers with its name after the pause. It
+// returns the number of requests received.
+func (deployment *deployment) startUpstream(name string, pause time.Duration) *atomic.Int32 {
 	deployment.t.Helper()
 	served := &atomic.Int32{}
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
@@ -83,16 +84,17 @@
 		_, _ = io.WriteString(writer, name)
 	}))
 	deployment.t.Cleanup(server.Close)
-	deployment.list(name, server.Listener.Addr().String(), "ready")
+	deployment.listUpstream(name, server.Listener.Addr().String(), "ready")
 	return served
 }
 
-func (deployment *deployment) list(name, address, state string) {
+// listUpstream writes the entry of an upstream to the store.
+func (deployment *deployment) listUpstream(name, address, state string) {
 	assert.NilError(deployment.t, deployment.store.Put("servers", name, map[string]any{"service": "desk", "address": address, "zone": "west", "state": state}))
 }
 
-// entry is a running Entry.
-type entry struct {
+// runningEntry is an Entry that has been started, with the addresses at which it serves.
+type runningEntry struct {
 	deployment *deployment
 	entry      *limpetcleat.Entry
 	callers    string
@@ -100,12 +102,14 @@
 	stopped    chan struct{}
 }
 
-func (deployment *deployment) start(name string) *entry {
-	return deployment.startOver(name, store.NewLink(0))
+// startEntry starts an entry with an unlimited link to the store.
+func (deployment *deployment) startEntry(name string) *runningEntry {
+	return deployment.startEntryOverLink(name, store.NewLink(0))
 }
 
-// startOver starts an entry that reaches the store over the link.
-func (deployment *deployment) startOver(name string, link *store.Link) *entry {
+// startEntryOverLink starts an entry that reaches the store over the link, and stops the entry at
+// the end of the test.
+func (deployment *deployment) startEntryOverLink(name string, link *store.Link) *runningEntry {
 	t := deployment.t
 	server := httptest.NewServer(link.Over(deployment.store.Handler()))
 	address, err := netip.ParseAddrPort(server.Listener.Addr().String())
@@ -116,7 +120,7 @@
 		listeners[index], err = net.Listen("tcp", "127.0.0.1:0")
 		assert.NilError(t, err)
 	}
-	running := &entry{deployment: deployment, callers: listeners[0].Addr().String(), readiness: listeners[1].Addr().String(), stopped: make(chan struct{})}
+	running := &runningEntry{deployment: deployment, callers: listeners[0].Addr().String(), readiness: listeners[1].Addr().String(), stopped: make(chan struct{})}
 	running.entry = limpetcleat.NewEntry(
 		limpetcleat.EntrySettings{VM: definer.VM(name), DataCentre: "west", Inner: listeners[2].Addr().String(), Memory: 1 << 28, Revocation: deployment.revocation, Grace: 5 * time.Second, RetryWindow: time.Second, Delegation: deployment.delegation},
 		platform.Protocol{},
@@ -135,19 +139,20 @@
 	return running
 }
 
-// stop asks for a planned stop, once.
-func (running *entry) stop() {
+// stop runs a graceful shutdown unless the entry has already stopped.
+func (runningEntry *runningEntry) stop() {
 	select {
-	case <-running.stopped:
+	case <-runningEntry.stopped:
 		return
 	default:
 	}
-	running.entry.Drain()
-	<-running.stopped
+	runningEntry.entry.Drain()
+	<-runningEntry.stopped
 }
 
-func (running *entry) ready() int {
-	answer, err := http.Get("http://" + running.readiness + "/readyz")
+// readinessStatus returns the status of the readiness probe, or 0 if there is no answer.
+func (runningEntry *runningEntry) readinessStatus() int {
+	answer, err := http.Get("http://" + runningEntry.readiness + "/readyz")
 	if err != nil {
 		return 0
 	}
@@ -155,10 +160,10 @@
 	return answer.StatusCode
 }
 
-// call returns the status and the text of an answer, or 0 when there is none.
-func (running *entry) call(path, key string) (int, string) {
-	request, err := http.NewRequest(http.MethodPost, "http://"+running.callers+path, nil)
-	assert.NilError(running.deployment.t, err)
+// call sends a request and returns the status and body of the answer, or 0 if there is none.
+func (runningEntry *runningEntry) call(path, key string) (int, string) {
+	request, err := http.NewRequest(http.MethodPost, "http://"+runningEntry.callers+path, nil)
+	assert.NilError(runningEntry.deployment.t, err)
 	request.Host = "h.example"
 	request.Header.Set("X-Attempt-Id", fmt.Sprint(time.Now().UnixNano()))
 	request.Header.Set("Authorization", "Bearer "+key)
@@ -168,70 +173,70 @@
 	}
 	defer answer.Body.Close()
 	text, err := io.ReadAll(answer.Body)
-	assert.NilError(running.deployment.t, err)
+	assert.NilError(runningEntry.deployment.t, err)
 	return answer.StatusCode, string(text)
 }
 
-// until waits until the call is answered with the status.
-func (running *entry) until(path, key string, status int) {
-	running.deployment.t.Helper()
-	running.within(entryPatience, path, key, status)
+// awaitStatus polls until a call is answered with the status, and fails after entryTimeout.
+func (runningEntry *runningEntry) awaitStatus(path, key string, status int) {
+	runningEntry.deployment.t.Helper()
+	runningEntry.awaitStatusWithin(entryTimeout, path, key, status)
 }
 
-// TestEntryFollowsTheStore leads two entries through a cold start, changes of the
-// configuration, a key that is revoked, an upstream that leaves, a lost history
-// and an outage.
-func TestEntryFollowsTheStore(t *testing.T) { inBothWays(t, entryFollowsTheStore) }
+// TestEntryFollowsTheStore checks two entries through a cold start, configuration changes, a
+// revoked key, a draining upstream, a compaction of the store's history and an outage of the store.
+func TestEntryFollowsTheStore(t *testing.T) { withAndWithoutDelegation(t, entryFollowsTheStore) }
 
 func entryFollowsTheStore(t *testing.T, deployment *deployment) {
-	first, second := deployment.start("entry-1"), deployment.start("entry-2")
-	first.until("/a/", "key", http.StatusServiceUnavailable)
-	assert.Equal(t, first.ready(), http.StatusServiceUnavailable)
+	first, second := deployment.startEntry("entry-1"), deployment.startEntry("entry-2")
+	first.awaitStatus("/a/", "key", http.StatusServiceUnavailable)
+	assert.Equal(t, first.readinessStatus(), http.StatusServiceUnavailable)
 
-	deployment.configure("/a/", "key", "other")
-	deployment.upstream("u1", 0)
-	for _, running := range []*entry{first, second} {
-		running.until("/a/", "key", http.StatusOK)
-		assert.Equal(t, running.ready(), http.StatusOK)
+	deployment.putConfiguration("/a/", "key", "other")
+	deployment.startUpstream("u1", 0)
+	for _, running := range []*runningEntry{first, second} {
+		running.awaitStatus("/a/", "key", http.StatusOK)
+		assert.Equal(t, running.readinessStatus(), http.StatusOK)
 	}
-	first.until("/b/", "key", http.StatusNotFound)
-	first.until("/a/", "none", http.StatusUnauthorized)
+	first.awaitStatus("/b/", "key", http.StatusNotFound)
+	first.awaitStatus("/a/", "none", http.StatusUnauthorized)
 
-	deployment.configure("/b/", "key")
-	first.until("/b/", "key", http.StatusOK)
-	first.until("/a/", "key", http.StatusNotFound)
-	first.until("/b/", "other", http.StatusUnauthorized)
+	deployment.putConfiguration("/b/", "key")
+	first.awaitStatus("/b/", "key", http.StatusOK)
+	first.awaitStatus("/a/", "key", http.StatusNotFound)
+	first.awaitStatus("/b/", "other", http.StatusUnauthorized)
 
-	served := deployment.upstream("u2", 0)
-	deployment.list("u1", "127.0.0.1:1", "draining")
+	served := deployment.startUpstream("u2", 0)
+	deployment.listUpstream("u1", "127.0.0.1:1", "draining")
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if status, text := first.call("/b/", "key"); status == http.StatusOK && text == "u2" {
 			return poll.Success()
 		}
-		return poll.Continue("u1 still serves")
-	}, poll.WithTimeout(entryPatience))
+		return poll.Continue("u2 has not answered yet")
+	}, poll.WithTimeout(entryTimeout))
 	assert.Assert(t, served.Load() > 0)
 
 	deployment.store.Compact()
-	deployment.configure("/c/", "key")
-	second.until("/c/", "key", http.StatusOK)
+	deployment.putConfiguration("/c/", "key")
+	second.awaitStatus("/c/", "key", http.StatusOK)
 
 	deployment.store.Refuse(http.StatusServiceUnavailable)
-	second.until("/c/", "key", http.StatusServiceUnavailable)
-	assert.Equal(t, second.ready(), http.StatusServiceUnavailable)
-	second.until("/d/", "key", http.StatusServiceUnavailable)
+	second.awaitStatus("/c/", "key", http.StatusServiceUnavailable)
+	assert.Equal(t, second.readinessStatus(), http.StatusServiceUnavailable)
+	second.awaitStatus("/d/", "key", http.StatusServiceUnavailable)
 	deployment.store.Refuse(0)
-	second.until("/c/", "key", http.StatusOK)
+	second.awaitStatus("/c/", "key", http.StatusOK)
 }
 
-// TestEntryStopsWithoutCuttingRequests asks for a planned stop while a request
-// runs: it is answered, and the process ends only then.
+// TestEntryStopsWithoutCuttingRequests starts a graceful shutdown while a request is running. It
+// checks that readiness fails, that the request is answered, and that the entry accepts new
+// connections while the load balancer may still send them and none after the shutdown.
 func TestEntryStopsWithoutCuttingRequests(t *testing.T) {
 	deployment := newDeployment(t)
-	deployment.configure("/a/", "key")
-	served := deployment.upstream("u1", 500*time.Millisecond)
-	running := deployment.start("entry-1")
-	running.until("/a/", "key", http.StatusOK)
+	deployment.putConfiguration("/a/", "key")
+	served := deployment.startUpstream("u1", 500*time.Millisecond)
+	running := deployment.startEntry("entry-1")
+	running.awaitStatus("/a/", "key", http.StatusOK)
 	answered := make(chan int, 1)
 	before := served.Load()
 	go func() {
@@ -242,17 +247,17 @@
 		if served.Load() > before {
 			return poll.Success()
 		}
-		return poll.Continue("the request is on its way")
-	}, poll.WithTimeout(entryPatience), poll.WithDelay(5*time.Millisecond))
+		return poll.Continue("the upstream has not received the request yet")
+	}, poll.WithTimeout(entryTimeout), poll.WithDelay(5*time.Millisecond))
 	running.entry.Drain()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if running.ready() == http.StatusServiceUnavailable {
+		if running.readinessStatus() == http.StatusServiceUnavailable {
 			return poll.Success()
 		}
-		return poll.Continue("the entry is ready")
-	}, poll.WithTimeout(entryPatience))
+		return poll.Continue("the entry is still ready")
+	}, poll.WithTimeout(entryTimeout))
 	assert.Equal(t, <-answered, http.StatusOK)
-	// New connections are served until the balancer has noticed.
+	// New connections are served for balancerDetectionTime.
 	status, _ := running.call("/a/", "key")
 	assert.Equal(t, status, http.StatusOK)
 	<-running.stopped
--- a/forward_test.go
+++ b/forward_test.go
@@ -8,8 +8,8 @@
 	"limpetcleat/messenger"
 )
 
-// TestForwardedCallsAreNotChanged holds that a call which is sent more than once is
-// not written to while an earlier send of it may still be read.
+// TestForwardedCallsAreNotChanged guards against a data race: setting the reply address on the
+// original call, while an earlier send of that call may still be encoding it.
 func TestForwardedCallsAreNotChanged(t *testing.T) {
 	node := New("vm", "west", WithInner(nil, "10.0.0.1:7200"))
 	call := &messenger.CallForward{Request: "r1"}
--- a/journal.go
+++ b/journal.go
@@ -10,26 +10,25 @@
 	"limpetcleat/quarantiner"
 )
 
-// journalLength bounds the events that wait to be written.
-const journalLength = 4096
+// journalCapacity is the maximum number of queued events.
+const journalCapacity = 4096
 
-// journal hands events to the logger from one goroutine, so that a log that
-// cannot be written never holds up the core. When it is full events are lost
-// and counted.
+// journal writes events to the logger from one goroutine, so that a blocked log never blocks the
+// core. Events that arrive while the queue is full are dropped and counted.
 type journal struct {
 	logger Logger
 	queue  chan decider.LogEvent
-	// lost counts the events dropped since the last one written.
+	// lost is the number of events dropped since the last write.
 	lost atomic.Uint64
 	// done is closed by run; the node owns the journal.
 	done chan struct{}
 }
 
 func newJournal(logger Logger) *journal {
-	return &journal{logger: logger, queue: make(chan decider.LogEvent, journalLength), done: make(chan struct{})}
+	return &journal{logger: logger, queue: make(chan decider.LogEvent, journalCapacity), done: make(chan struct{})}
 }
 
-// put queues an event; it never blocks.
+// put queues an event or, if the queue is full, drops it. It never blocks.
 func (journal *journal) put(event decider.LogEvent) {
 	select {
 	case journal.queue <- event:
@@ -38,7 +37,7 @@
 	}
 }
 
-// run writes events until the context ends, and then those that still wait.
+// run writes events until the context ends, then writes the queued events and returns.
 func (journal *journal) run(ctx context.Context) {
 	defer close(journal.done)
 	for {
@@ -70,12 +69,12 @@
 	journal.logger.Event(event.Number, event.Pairs...)
 }
 
-// event queues an event given as names and values in turn.
+// event queues an event whose pairs alternate names and values.
 func (journal *journal) event(number int, pairs ...any) {
 	journal.put(decider.LogEvent{Number: number, Pairs: pairs})
 }
 
-// report queues what became of a connection with a peer.
+// report queues an event for a change in the connection with a peer.
 func (journal *journal) report(report messenger.Report) {
 	switch report.Kind {
 	case messenger.PeerLost:
@@ -87,8 +86,8 @@
 	}
 }
 
-// ended returns the event that tells how a caller's request ended.
-func ended(record decider.Record) decider.LogEvent {
+// requestEndedEvent returns the log event for the end of a caller's request.
+func requestEndedEvent(record decider.Record) decider.LogEvent {
 	return decider.LogEvent{Number: logger.EventRequestEnded, Pairs: []any{
 		"request", record.Request,
 		"class", record.Class,
@@ -105,12 +104,12 @@
 	}}
 }
 
-// heldOff logs that a request is held off.
-func (journal *journal) heldOff(held quarantiner.Suspicion) {
+// requestHeldOff logs that a request is held off.
+func (journal *journal) requestHeldOff(held quarantiner.Suspicion) {
 	journal.event(logger.EventRequestHeldOff, held.Pairs()...)
 }
 
-// released logs that a request is no longer held off, and why.
-func (journal *journal) released(released quarantiner.Suspicion, why quarantiner.ReleaseReason) {
+// requestReleased logs that a request is no longer held off, with the reason.
+func (journal *journal) requestReleased(released quarantiner.Suspicion, why quarantiner.ReleaseReason) {
 	journal.event(logger.EventRequestReleased, append(released.Pairs(), "why", why)...)
 }
--- a/large_configuration_test.go
+++ b/large_configuration_test.go
@@ -14,22 +14,23 @@
 )
 
 const (
-	// thinLink is the rate of most VMs' links: 10 Mbit/s, in bytes a second.
-	thinLink = 10_000_000 / 8
-	// largeBytes is what brings a configuration to nearly 1 MB, the most that the
-	// platform's store takes in one object.
-	largeBytes = 1_000_000
-	// platformRevocation is the platform's bound on how long a revoked key is honoured.
+	// slowLinkBytesPerSecond is the bandwidth of most VMs' links, 10 Mbit/s, in bytes per second.
+	slowLinkBytesPerSecond = 10_000_000 / 8
+	// largeConfigurationBytes is padding that brings a configuration close to 1 MB, the size limit
+	// of an object in the platform's store.
+	largeConfigurationBytes = 1_000_000
+	// platformRevocation is the platform's bound on the acceptance of a revoked key.
 	platformRevocation = 5 * time.Second
-	// inForceWithin is how long after the store took a change it may take until it is in
-	// force at a node: the platform's bound.
-	inForceWithin = 3 * time.Second
+	// applyTimeout is the platform's bound on the time from the store's acceptance of a change
+	// until the change is in force at a node.
+	applyTimeout = 3 * time.Second
 )
 
-// configureLarge writes the next version: a public rule with the prefix, one for keys,
-// and so many bytes that mean nothing. They stand for thousands of rules, whose reading
-// by many tests at once with the race detector would take longer than the link.
-func (deployment *deployment) configureLarge(prefix string, bytes int) {
+// putPaddedConfiguration writes the next version of the configuration: a public rule with the
+// prefix, a rule that requires a key, and the given number of bytes of padding. The padding
+// replaces thousands of rules, which many tests in parallel under the race detector would take
+// longer to parse than the link takes to transfer.
+func (deployment *deployment) putPaddedConfiguration(prefix string, bytes int) {
 	deployment.version += 3
 	route := func(prefix string, public bool) map[string]any {
 		return map[string]any{
@@ -47,49 +48,48 @@
 	}))
 }
 
-// within waits until the call is answered with the status, and fails if that takes
-// longer.
-func (running *entry) within(limit time.Duration, path, key string, status int) {
-	running.deployment.t.Helper()
+// awaitStatusWithin polls until a call is answered with the status, and fails after the limit.
+func (runningEntry *runningEntry) awaitStatusWithin(limit time.Duration, path, key string, status int) {
+	runningEntry.deployment.t.Helper()
 	began := time.Now()
-	poll.WaitOn(running.deployment.t, func(poll.LogT) poll.Result {
-		found, _ := running.call(path, key)
+	poll.WaitOn(runningEntry.deployment.t, func(poll.LogT) poll.Result {
+		found, _ := runningEntry.call(path, key)
 		if found == status {
 			return poll.Success()
 		}
-		return poll.Continue("%s is answered %d after %v", path, found, time.Since(began).Round(time.Millisecond))
+		return poll.Continue("%s is answered with %d after %v", path, found, time.Since(began).Round(time.Millisecond))
 	}, poll.WithTimeout(limit), poll.WithDelay(20*time.Millisecond))
 }
 
-// TestLargeConfigurationReachesThinLinks tells an incident of 71 nodes. A configuration
-// of 1 MB came into force at the nodes on fast links, and 38 others ran by the version
-// before for 18 s (public rules) or refused (rules with keys), so that urgent requests
-// got nothing while long ones began at nodes that had it.
+// TestLargeConfigurationReachesThinLinks guards against a transfer that is restarted before it can
+// complete. In a deployment of 71 nodes, a configuration of 1 MB came into force at the nodes on
+// fast links, while 38 others applied the previous version for 18 s (public rules) or refused
+// requests (rules with keys). Urgent requests failed while long ones started at up-to-date nodes.
 //
-// An aggregator on a fast link told its members of the new version while they were
-// receiving it. Each ended its watch and asked again, in a hurry, with 0.62 s for an
-// answer that takes 0.84 s at 10 Mbit/s; and again from the start, until the store's
-// history ended. The store answered all the while, the links were full all the while,
-// and the 38 were just the members on thin links whose aggregator was on a fast one.
+// The 38 nodes were the members on slow links with an aggregator on a fast link. The aggregator
+// announced the new version while the members were receiving it. Each member then cancelled its
+// watch and repeated the read from the beginning, with a timeout of 0.62 s for an answer that takes
+// 0.84 s at 10 Mbit/s, until the store's history ended. The store kept answering and the links were
+// saturated throughout.
 func TestLargeConfigurationReachesThinLinks(t *testing.T) {
-	inBothWays(t, largeConfigurationReachesThinLinks)
+	withAndWithoutDelegation(t, largeConfigurationReachesThinLinks)
 }
 
 func largeConfigurationReachesThinLinks(t *testing.T, deployment *deployment) {
 	deployment.revocation = platformRevocation
-	deployment.configureLarge("/old/", 0)
-	deployment.upstream("u1", 0)
-	// Nodes are grouped in the order of their names: the first is the aggregator.
-	fast := deployment.start("entry-1")
-	thin := deployment.startOver("entry-2", store.NewLink(thinLink))
-	for _, running := range []*entry{fast, thin} {
-		running.until("/old/", "", http.StatusOK)
+	deployment.putPaddedConfiguration("/old/", 0)
+	deployment.startUpstream("u1", 0)
+	// Nodes are grouped by the order of their names, so the first is the aggregator.
+	fast := deployment.startEntry("entry-1")
+	thin := deployment.startEntryOverLink("entry-2", store.NewLink(slowLinkBytesPerSecond))
+	for _, running := range []*runningEntry{fast, thin} {
+		running.awaitStatus("/old/", "", http.StatusOK)
 	}
 
-	// The second node turns to the first and then watches for 10 s at a time; its watch
-	// is to be under way for more than a second.
+	// The second node contacts the first and then watches the store for 10 s at a time. The change
+	// has to arrive more than 1 s into a watch.
 	<-time.After(4 * time.Second)
-	deployment.configureLarge("/new/", largeBytes)
+	deployment.putPaddedConfiguration("/new/", largeConfigurationBytes)
 	began := time.Now()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		status, _ := thin.call("/keyed/", "key")
@@ -97,56 +97,56 @@
 		if status, _ = thin.call("/new/", ""); status == http.StatusOK {
 			return poll.Success()
 		}
-		return poll.Continue("/new/ is answered %d", status)
-	}, poll.WithTimeout(inForceWithin), poll.WithDelay(20*time.Millisecond))
+		return poll.Continue("/new/ is answered with %d", status)
+	}, poll.WithTimeout(applyTimeout), poll.WithDelay(20*time.Millisecond))
 	status, _ := thin.call("/old/", "")
 	assert.Equal(t, status, http.StatusNotFound)
 }
 
-// TestChangesInARowReachThinLinks holds that large changes right behind each other, made
-// while the store's answers are late, are in force soon after it is well again: what a
-// node has to receive does not grow with the changes that it missed.
+// TestChangesInARowReachThinLinks checks that several large changes, made in quick succession while
+// the store's answers are delayed, are in force soon after the delay ends: the amount of data that
+// a node receives does not grow with the number of missed changes.
 func TestChangesInARowReachThinLinks(t *testing.T) {
 	deployment := newDeployment(t)
-	deployment.configureLarge("/old/", 0)
-	deployment.upstream("u1", 0)
-	link := store.NewLink(thinLink)
-	running := deployment.startOver("entry-1", link)
-	running.until("/old/", "", http.StatusOK)
+	deployment.putPaddedConfiguration("/old/", 0)
+	deployment.startUpstream("u1", 0)
+	link := store.NewLink(slowLinkBytesPerSecond)
+	running := deployment.startEntryOverLink("entry-1", link)
+	running.awaitStatus("/old/", "", http.StatusOK)
 
 	const late = 2 * time.Second
 	link.Delay(late)
 	for change := range 3 {
-		deployment.configureLarge(fmt.Sprintf("/new-%d/", change), largeBytes)
+		deployment.putPaddedConfiguration(fmt.Sprintf("/new-%d/", change), largeConfigurationBytes)
 	}
 	wellAgain := time.After(2 * late)
 	<-wellAgain
 	link.Delay(0)
-	running.within(inForceWithin, "/new-2/", "", http.StatusOK)
+	running.awaitStatusWithin(applyTimeout, "/new-2/", "", http.StatusOK)
 }
 
-// TestLateAnswersAreTaken holds that a store whose every answer takes longer than a node
-// usually waits is heard all the same.
+// TestLateAnswersAreTaken checks that a node applies changes even if every answer of the store
+// takes longer than the node's usual timeout.
 func TestLateAnswersAreTaken(t *testing.T) {
 	deployment := newDeployment(t)
-	deployment.configureLarge("/old/", 0)
-	deployment.upstream("u1", 0)
+	deployment.putPaddedConfiguration("/old/", 0)
+	deployment.startUpstream("u1", 0)
 	const late = 2 * time.Second
 	link := store.NewLink(0)
 	link.Delay(late)
-	running := deployment.startOver("entry-1", link)
-	running.within(3*late, "/old/", "", http.StatusOK)
-	deployment.configureLarge("/new/", 0)
-	running.within(3*late, "/new/", "", http.StatusOK)
+	running := deployment.startEntryOverLink("entry-1", link)
+	running.awaitStatusWithin(3*late, "/old/", "", http.StatusOK)
+	deployment.putPaddedConfiguration("/new/", 0)
+	running.awaitStatusWithin(3*late, "/new/", "", http.StatusOK)
 }
 
-// TestLostAnswerDoesNotKeepANodeUnlisted holds that a node writes its entry again when the
-// store's answer to the first try never comes.
+// TestLostAnswerDoesNotKeepANodeUnlisted checks that a node retries the write of its entry in the
+// list of nodes if the store's answer to the first attempt is lost.
 func TestLostAnswerDoesNotKeepANodeUnlisted(t *testing.T) {
 	deployment := newDeployment(t)
 	link := store.NewLink(0)
 	link.Delay(time.Hour)
-	deployment.startOver("entry-1", link)
+	deployment.startEntryOverLink("entry-1", link)
 	<-time.After(time.Second)
 	deployment.store.Remove("limpetcleat-nodes", "entry-1")
 	link.Delay(0)
@@ -155,5 +155,5 @@
 			return poll.Success()
 		}
 		return poll.Continue("the node is not listed")
-	}, poll.WithTimeout(entryPatience), poll.WithDelay(20*time.Millisecond))
+	}, poll.WithTimeout(entryTimeout), poll.WithDelay(20*time.Millisecond))
 }
--- a/node.go
+++ b/node.go
@@ -24,33 +24,32 @@
 	defaultDrainTimeout  = 2 * time.Minute
 )
 
-// Node is one process of the system, with every role that it can take.
+// Node is one process of the system, in all of its roles.
 //
-// Lock order: core first. While it is held, actions take one of these locks at a
-// time: that of the server's table of calls, of the timer, of the messenger's
-// peers, of the dispatcher's queue of cancels, of the recorder, of
-// the platform's queue of calls or of its holder of watches. No other lock is
-// taken under any of these, so that none is held while core is taken.
+// Lock order: core first. While core is held, an action takes at most one of these locks at a
+// time: that of the server's table of calls, the timer, the messenger's peers, the dispatcher's
+// queue of cancellations, the recorder, the platform's queue of calls, or the platform's set of
+// watches. No other lock is taken under any of these, so none of them is held when core is taken.
 //
-// The node owns its parts and waits in Run for each: the timer, the messenger
-// and the platform by their Done, the journal by its done channel, the two HTTP
-// servers by group, the server and the dispatcher by Close.
+// The node owns its parts, and Run waits for each: for the timer, the messenger and the platform
+// through Done, for the journal through its done channel, for the two HTTP servers through
+// background, and for the server and the dispatcher through Close.
 type Node struct {
-	// core guards decider and, with it, the order of the actions.
+	// core guards decider and serializes the execution of its actions.
 	core    sync.Mutex
 	decider *decider.Decider
 
 	vm         definer.VM
 	dataCentre definer.DataCentre
 
-	callers       net.Listener
-	inner         net.Listener
-	innerAddress  string
-	operators     net.Listener
-	operatorToken string
-	serverTLS     *tls.Config
-	clientTLS     *tls.Config
-	connect       func(deliver func(decider.Event)) Platform
+	callerListener   net.Listener
+	innerListener    net.Listener
+	innerAddress     string
+	operatorListener net.Listener
+	operatorToken    string
+	innerServerTLS   *tls.Config
+	innerClientTLS   *tls.Config
+	connectPlatform  func(deliver func(decider.Event)) Platform
 
 	coreOptions       []decider.Option
 	dispatcherOptions []dispatcher.Option
@@ -61,45 +60,45 @@
 	logger   Logger
 	journal  *journal
 	recorder Recorder
-	// ownRecorder is nil when the recorder was given from outside.
-	ownRecorder io.Closer
+	// ownedRecorder is nil if the recorder was set by an option.
+	ownedRecorder io.Closer
 
 	server     *server.Server
 	dispatcher *dispatcher.Dispatcher
 	messenger  *messenger.Messenger
 	timer      *timer.Service[decider.TimerKey]
 	platform   Platform
-	// group runs the journal and the HTTP servers.
-	group conc.WaitGroup
-
-	// ctx is the life of the node's parts; it is set by Run.
-	ctx context.Context
-	// drain is closed when a planned stop is wanted, stopped when it is over.
-	drain     chan struct{}
-	drainOnce sync.Once
-	stopped   chan struct{}
-	// done is closed by Run once every part has ended.
+	// background runs the journal and the HTTP servers.
+	background conc.WaitGroup
+
+	// partsContext bounds the lifetime of the node's parts; Run sets it.
+	partsContext context.Context
+	// drainRequested is closed to request a graceful shutdown, stopped once it has completed.
+	drainRequested chan struct{}
+	drainOnce      sync.Once
+	stopped        chan struct{}
+	// done is closed by Run when every part has ended.
 	done chan struct{}
 }
 
-// New returns a node. Without options it has no callers, peers or platform.
+// New returns a Node. Without options it serves no callers, peers or operators and has no platform.
 func New(vm definer.VM, dataCentre definer.DataCentre, options ...Option) *Node {
 	node := &Node{
-		vm:            vm,
-		dataCentre:    dataCentre,
-		balancerDelay: defaultBalancerDelay,
-		drainTimeout:  defaultDrainTimeout,
-		logger:        quiet{},
-		drain:         make(chan struct{}),
-		stopped:       make(chan struct{}),
-		done:          make(chan struct{}),
+		vm:             vm,
+		dataCentre:     dataCentre,
+		balancerDelay:  defaultBalancerDelay,
+		drainTimeout:   defaultDrainTimeout,
+		logger:         discardLogger{},
+		drainRequested: make(chan struct{}),
+		stopped:        make(chan struct{}),
+		done:           make(chan struct{}),
 	}
 	for _, option := range options {
 		option(node)
 	}
 	if node.recorder == nil {
 		own := recorder.New(recorder.WithNode(vm))
-		node.recorder, node.ownRecorder = own, own
+		node.recorder, node.ownedRecorder = own, own
 	}
 	node.journal = newJournal(node.logger)
 	self := definer.Member{VM: vm, Incarnation: definer.Incarnation(time.Now().UnixNano())}
@@ -108,40 +107,40 @@
 	node.server = server.New(node, node.dispatcher, append([]server.Option{server.WithPeers(node)}, node.serverOptions...)...)
 	node.timer = timer.New(func(key decider.TimerKey) { node.Submit(decider.TimerFired{Key: key}) })
 	node.messenger = messenger.New(self, dataCentre, node.receive,
-		messenger.WithTLS(node.serverTLS, node.clientTLS),
+		messenger.WithTLS(node.innerServerTLS, node.innerClientTLS),
 		messenger.WithReports(node.journal.report),
 		messenger.WithCounts(
 			func(messages, bytes int) { node.recorder.Control(recorder.MessageSent, messages, bytes) },
 			func(messages, bytes int) { node.recorder.Control(recorder.MessageReceived, messages, bytes) },
 		))
-	if node.connect != nil {
-		node.platform = node.connect(node.Submit)
+	if node.connectPlatform != nil {
+		node.platform = node.connectPlatform(node.Submit)
 	}
 	return node
 }
 
-// quiet is a Logger that keeps nothing.
-type quiet struct{}
+// discardLogger is a Logger that discards all events.
+type discardLogger struct{}
 
-// Event drops an event.
-func (quiet) Event(int, ...any) {}
+// Event discards the event.
+func (discardLogger) Event(int, ...any) {}
 
-// Submit hands the core one event and carries out what it wants. It may be
-// called by any goroutine and never blocks on a peer or an upstream.
+// Submit passes an event to the core and executes the resulting actions. It is safe for concurrent
+// use and never blocks on a peer or an upstream.
 func (node *Node) Submit(event decider.Event) {
 	node.core.Lock()
 	defer node.core.Unlock()
 	node.carryOut(node.decider.Handle(time.Now(), event))
 }
 
-// Forward sends a call, or the answer to one, to the peer at the address.
+// Forward sends a forwarded call, or the answer to one, to the peer at the address.
 func (node *Node) Forward(address string, message messenger.Message) {
-	node.messenger.Send(node.ctx, address, node.withReplyAddress(message))
+	node.messenger.Send(node.partsContext, address, node.withReplyAddress(message))
 }
 
-// withReplyAddress returns a call with this node as the one that takes its answer, and
-// any other message as it is. The call itself stays as it was: one that is sent again
-// may still be on its way to be encoded.
+// withReplyAddress returns a copy of a forwarded call with this node as the address for the answer,
+// and any other message unchanged. The original call is not modified, since an earlier send of it
+// may still be waiting for its encoding.
 func (node *Node) withReplyAddress(message messenger.Message) messenger.Message {
 	call, ok := message.(*messenger.CallForward)
 	if !ok {
@@ -152,6 +151,7 @@
 	return &addressed
 }
 
+// receive dispatches a message from a peer.
 func (node *Node) receive(from definer.Member, dataCentre definer.DataCentre, message messenger.Message) {
 	switch message := message.(type) {
 	case *messenger.CallForward:
@@ -164,28 +164,28 @@
 	node.Submit(decider.MessageReceived{From: from, DataCentre: dataCentre, Message: message})
 }
 
-// carryOut carries out actions in order; core is held, so none may block.
+// carryOut executes actions in order. The caller holds core, so no action may block.
 func (node *Node) carryOut(actions []decider.Action) {
 	for _, action := range actions {
-		node.carry(action)
+		node.carryOutOne(action)
 	}
 }
 
-func (node *Node) carry(action decider.Action) {
+func (node *Node) carryOutOne(action decider.Action) {
 	switch action := action.(type) {
 	case decider.RequestAction:
 		node.server.Hand(action.RequestID(), action)
 	case decider.CancelUpstreamWork:
 		node.dispatcher.Cancel(action.Upstream, action.Attempt)
 	case decider.SendMessage:
-		node.messenger.Send(node.ctx, action.Address, action.Message)
+		node.messenger.Send(node.partsContext, action.Address, action.Message)
 	case decider.SetTimer:
 		node.timer.Set(action.Key, action.At)
 	case decider.ClearTimer:
 		node.timer.Clear(action.Key)
 	case decider.Record:
 		node.recorder.Record(action)
-		node.journal.put(ended(action))
+		node.journal.put(requestEndedEvent(action))
 	case decider.LogEvent:
 		node.journal.put(action)
 	case decider.ConfigurationApplied:
@@ -194,11 +194,11 @@
 	case decider.Stopped:
 		close(node.stopped)
 	default:
-		node.carryToPlatform(action)
+		node.carryOutOnPlatform(action)
 	}
 }
 
-func (node *Node) carryToPlatform(action decider.Action) {
+func (node *Node) carryOutOnPlatform(action decider.Action) {
 	if node.platform == nil {
 		return
 	}
--- a/option.go
+++ b/option.go
@@ -14,95 +14,96 @@
 	"limpetcleat/server"
 )
 
-// Logger takes in numbered events.
+// Logger logs numbered events.
 type Logger interface {
-	// Event logs one event; pairs are names and values in turn.
+	// Event logs an event; pairs alternate names and values.
 	Event(number int, pairs ...any)
 }
 
-// Recorder counts ended requests and the system's own traffic.
+// Recorder keeps statistics of ended requests and of control traffic.
 type Recorder interface {
-	// Record counts one ended request.
+	// Record counts an ended request.
 	Record(record decider.Record)
-	// Control counts messages and bytes of one kind of control traffic.
+	// Control adds to the counts of messages and bytes of a kind of control traffic.
 	Control(kind recorder.ControlKind, count, bytes int)
-	// SetClasses sets the classes whose targets are counted.
+	// SetClasses sets the classes whose targets are evaluated.
 	SetClasses(configuration *definer.Configuration)
-	// Snapshot returns what was counted.
+	// Snapshot returns the current statistics.
 	Snapshot() recorder.Snapshot
-	// Handler serves what was counted to a scraper.
+	// Handler returns the handler that serves the statistics as metrics to a scraper.
 	Handler() http.Handler
 }
 
-// Platform carries out the core's calls to the platform and delivers what it
-// says as events.
+// Platform executes the core's calls to the platform and delivers the platform's answers and
+// changes as events.
 type Platform interface {
-	// Start begins work until the context ends; it returns at once.
+	// Start starts the work in the background, until the context ends, and returns immediately.
 	Start(ctx context.Context)
-	// Call carries out one call; a decider.PlatformAnswered event follows.
+	// Call executes a call; its result is delivered as a decider.PlatformAnswered event.
 	Call(call decider.CallPlatform)
-	// SetWatching sets whether to watch the configuration and the list of VMs.
-	SetWatching(hold bool)
-	// Done is closed once every call has ended.
+	// SetWatching sets whether the configuration and the list of VMs are watched.
+	SetWatching(watch bool)
+	// Done returns a channel that is closed when every call has ended.
 	Done() <-chan struct{}
 }
 
-// Option changes one setting of a Node.
+// Option configures a Node.
 type Option func(*Node)
 
-// WithCallers sets where callers are served.
+// WithCallers sets the listener for callers and the options of the server.
 func WithCallers(listener net.Listener, options ...server.Option) Option {
-	return func(node *Node) { node.callers, node.serverOptions = listener, options }
+	return func(node *Node) { node.callerListener, node.serverOptions = listener, options }
 }
 
-// WithInner sets where peers are served and the address at which they reach it.
+// WithInner sets the listener for peers and the address at which they reach it.
 func WithInner(listener net.Listener, address string) Option {
-	return func(node *Node) { node.inner, node.innerAddress = listener, address }
+	return func(node *Node) { node.innerListener, node.innerAddress = listener, address }
 }
 
-// WithInnerTLS sets the mutual TLS between peers.
+// WithInnerTLS sets the configurations of mutual TLS between peers.
 func WithInnerTLS(serverSide, clientSide *tls.Config) Option {
-	return func(node *Node) { node.serverTLS, node.clientTLS = serverSide, clientSide }
+	return func(node *Node) { node.innerServerTLS, node.innerClientTLS = serverSide, clientSide }
 }
 
-// WithOperators sets where operators are served and their token.
+// WithOperators sets the listener for operators and their bearer token.
 func WithOperators(listener net.Listener, token string) Option {
-	return func(node *Node) { node.operators, node.operatorToken = listener, token }
+	return func(node *Node) { node.operatorListener, node.operatorToken = listener, token }
 }
 
-// WithPlatform sets how to reach the platform. The function gets what takes in
-// the platform's events.
+// WithPlatform sets the function that creates the platform's client. Its argument delivers the
+// platform's events to the node.
 func WithPlatform(connect func(deliver func(decider.Event)) Platform) Option {
-	return func(node *Node) { node.connect = connect }
+	return func(node *Node) { node.connectPlatform = connect }
 }
 
-// WithSeeds sets the VMs known before the platform's list can be read.
+// WithSeeds sets the VMs that are used until the platform's list of VMs has been read.
 func WithSeeds(vms ...decider.ListedVM) Option {
 	return func(node *Node) { node.coreOptions = append(node.coreOptions, decider.WithBootstrapVMs(vms)) }
 }
 
-// WithCore passes options on to the core.
+// WithCore adds options of the core.
 func WithCore(options ...decider.Option) Option {
 	return func(node *Node) { node.coreOptions = append(node.coreOptions, options...) }
 }
 
-// WithDispatcher passes options on to the dispatcher.
+// WithDispatcher adds options of the dispatcher.
 func WithDispatcher(options ...dispatcher.Option) Option {
 	return func(node *Node) { node.dispatcherOptions = append(node.dispatcherOptions, options...) }
 }
 
-// WithLogger sets where numbered events go.
+// WithLogger sets the logger of events. The default discards them.
 func WithLogger(logger Logger) Option {
 	return func(node *Node) { node.logger = logger }
 }
 
-// WithRecorder sets where requests and control traffic are counted.
+// WithRecorder sets the recorder of requests and control traffic. The default is a recorder that
+// the node creates and closes.
 func WithRecorder(recorder Recorder) Option {
 	return func(node *Node) { node.recorder = recorder }
 }
 
-// WithDrain sets how long readiness fails before a planned stop begins, and
-// how long the stop may take.
+// WithDrain sets how long readiness fails before a graceful shutdown begins, and the time limit of
+// the shutdown.
 func WithDrain(balancerDelay, timeout time.Duration) Option {
 	return func(node *Node) { node.balancerDelay, node.drainTimeout = balancerDelay, timeout }
 }
--- a/restart_test.go
+++ b/restart_test.go
@@ -12,28 +12,28 @@
 	"limpetcleat/standin/store"
 )
 
-// listBorn lists an upstream that started at the time.
-func (deployment *deployment) listBorn(name, address string, born int) {
+// listUpstreamStartedAt writes the entry of an upstream that started at the given time.
+func (deployment *deployment) listUpstreamStartedAt(name, address string, born int) {
 	assert.NilError(deployment.t, deployment.store.Put("servers", name, map[string]any{"service": "desk", "address": address, "zone": "west", "state": "ready", "born": born}))
 }
 
-// TestRestartUnderTheSameName kills an upstream while it has a request that may not be
-// repeated and starts it again under its name, at its address, while a foreign writer's
-// entry stands in the store: the request is answered at once that it may have run, and
-// the next is served by the later start.
-func TestRestartUnderTheSameName(t *testing.T) { inBothWays(t, restartUnderTheSameName) }
+// TestRestartUnderTheSameName checks a restart of an upstream that has a running request which must
+// not be repeated, while the store also contains an unreadable entry by another writer. The restart
+// appears in the store under the same name. The running request has to fail at once as possibly
+// executed, and the next request has to be served by the new incarnation.
+func TestRestartUnderTheSameName(t *testing.T) { withAndWithoutDelegation(t, restartUnderTheSameName) }
 
 func restartUnderTheSameName(t *testing.T, deployment *deployment) {
-	deployment.configure("/a/", "key")
+	deployment.putConfiguration("/a/", "key")
 	assert.NilError(t, deployment.store.Put("servers", "foreign", map[string]any{"service": 7, "address": []int{1}}))
-	running := deployment.startOver("entry-1", store.NewLink(0))
+	running := deployment.startEntryOverLink("entry-1", store.NewLink(0))
 
 	arrived := make(chan struct{}, 1)
-	first := startSilent(t, arrived)
+	first := startUnresponsiveUpstream(t, arrived)
 	address := first.Addr().String()
-	deployment.listBorn("u1", address, 1000)
+	deployment.listUpstreamStartedAt("u1", address, 1000)
 	status := make(chan int, 1)
-	running.until("/b/", "key", http.StatusNotFound)
+	running.awaitStatus("/b/", "key", http.StatusNotFound)
 	go func() {
 		for {
 			found, _ := running.call("/a/", "key")
@@ -45,27 +45,28 @@
 	}()
 	<-arrived
 
-	// The first start goes silent: its connections stay open and carry nothing, as behind
-	// a cut. The later one is told by the store alone.
+	// The connections of the first incarnation stay open without traffic, as in a network
+	// partition. Only the store announces the second incarnation.
 	later := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		writer.Header().Set("X-Attempt-Id", request.Header.Get("X-Attempt-Id"))
 		writer.Header().Set("X-Response-Seal", "signed")
 	}))
 	t.Cleanup(later.Close)
 	began := time.Now()
-	deployment.listBorn("u1", later.Listener.Addr().String(), 2000)
+	deployment.listUpstreamStartedAt("u1", later.Listener.Addr().String(), 2000)
 	assert.Equal(t, <-status, http.StatusBadGateway)
-	assert.Assert(t, time.Since(began) < 1900*time.Millisecond, "it is not waited for the rule's time, %v", time.Since(began))
-	running.until("/a/", "key", http.StatusOK)
+	assert.Assert(t, time.Since(began) < 1900*time.Millisecond, "the request ended after %v; it must end before the timeout of the rule", time.Since(began))
+	running.awaitStatus("/a/", "key", http.StatusOK)
 
-	// The earlier start's entry is written late: it takes nothing from the later one.
-	deployment.listBorn("u1", address, 1000)
-	deployment.configure("/c/", "key")
-	running.until("/c/", "key", http.StatusOK)
+	// A late write of the first incarnation's entry must not replace the second.
+	deployment.listUpstreamStartedAt("u1", address, 1000)
+	deployment.putConfiguration("/c/", "key")
+	running.awaitStatus("/c/", "key", http.StatusOK)
 }
 
-// startSilent listens and takes requests that it never answers.
-func startSilent(t *testing.T, arrived chan<- struct{}) net.Listener {
+// startUnresponsiveUpstream starts an upstream that accepts requests and never answers them. It
+// signals arrived when a request arrives.
+func startUnresponsiveUpstream(t *testing.T, arrived chan<- struct{}) net.Listener {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) {
 		select {
--- a/run.go
+++ b/run.go
@@ -19,11 +19,11 @@
 type Kind string
 
 const (
-	// DrainTimedOut marks a planned stop that took too long.
+	// DrainTimedOut is the kind of a graceful shutdown that exceeded its time limit.
 	DrainTimedOut Kind = "drainTimedOut"
 )
 
-// Error is the one error type of this package.
+// Error is the error type of this package.
 type Error = failer.Error[Kind]
 
 const (
@@ -31,79 +31,78 @@
 	idleTimeout       = 2 * time.Minute
 	maxHeaderBytes    = 64 << 10
 	closeTimeout      = 5 * time.Second
-	// The operators' requests have no body worth reading; the largest answer is
-	// that of the metrics.
+	// Requests of operators have small bodies; the largest response is that of the metrics.
 	operatorReadTimeout  = 10 * time.Second
 	operatorWriteTimeout = 30 * time.Second
 )
 
-// complaints passes lines of the HTTP library on to the journal.
-type complaints struct {
+// httpErrorWriter writes the error log of an http.Server to the journal.
+type httpErrorWriter struct {
 	journal *journal
 }
 
-// Write takes in one line.
-func (complaints complaints) Write(line []byte) (int, error) {
-	complaints.journal.put(decider.LogEvent{Number: logger.EventServerComplaint, Pairs: []any{"line", strings.TrimSpace(string(line))}})
+// Write queues one line as an event.
+func (httpErrorWriter httpErrorWriter) Write(line []byte) (int, error) {
+	httpErrorWriter.journal.put(decider.LogEvent{Number: logger.EventServerComplaint, Pairs: []any{"line", strings.TrimSpace(string(line))}})
 	return len(line), nil
 }
 
-// Run serves until the context ends or a planned stop is over. A planned stop
-// cuts no request; its error is nil unless it took too long.
+// Run serves until the context ends or a graceful shutdown has completed. A graceful shutdown lets
+// all requests finish; the error is of kind DrainTimedOut if it exceeds its time limit, else nil.
 func (node *Node) Run(ctx context.Context) error {
 	defer close(node.done)
-	life, end := context.WithCancel(context.WithoutCancel(ctx))
+	partsContext, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
-	node.ctx = life
-	node.start(life)
+	node.partsContext = partsContext
+	node.start(partsContext)
 	callers := node.server.HTTP()
-	if node.callers != nil {
-		node.serve(node.server.Limit(node.callers), callers)
+	if node.callerListener != nil {
+		node.serve(node.server.Limit(node.callerListener), callers)
 	}
 	operators := operatorServer(node.operatorHandler())
-	if node.operators != nil {
-		node.serve(node.operators, operators)
+	if node.operatorListener != nil {
+		node.serve(node.operatorListener, operators)
 	}
 	node.server.SetReady(true)
-	err := node.wait(ctx)
-	shutDown(callers, operators)
+	err := node.awaitStop(ctx)
+	shutDownServers(callers, operators)
 	node.server.Close()
 	end()
-	node.settle()
+	node.awaitParts()
 	return err
 }
 
-// Done is closed once the node has ended.
+// Done returns a channel that is closed when Run has ended every part of the node.
 func (node *Node) Done() <-chan struct{} { return node.done }
 
-// Drain asks for a planned stop.
-func (node *Node) Drain() { node.drainOnce.Do(func() { close(node.drain) }) }
+// Drain requests a graceful shutdown. It may be called more than once.
+func (node *Node) Drain() { node.drainOnce.Do(func() { close(node.drainRequested) }) }
 
 func (node *Node) start(ctx context.Context) {
-	node.group.Go(func() { node.journal.run(ctx) })
+	node.background.Go(func() { node.journal.run(ctx) })
 	node.timer.Start(ctx)
 	if node.platform != nil {
 		node.platform.Start(ctx)
 	}
-	if node.inner != nil {
-		node.messenger.Start(ctx, node.inner)
+	if node.innerListener != nil {
+		node.messenger.Start(ctx, node.innerListener)
 	}
 	node.core.Lock()
 	defer node.core.Unlock()
 	node.carryOut(node.decider.Start(time.Now()))
 }
 
-// serve serves a listener in the background.
+// serve serves the listener in the background.
 func (node *Node) serve(listener net.Listener, httpServer *http.Server) {
-	httpServer.ErrorLog = log.New(complaints{node.journal}, "", 0)
-	node.group.Go(func() {
+	httpServer.ErrorLog = log.New(httpErrorWriter{node.journal}, "", 0)
+	node.background.Go(func() {
 		if err := httpServer.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 			node.journal.event(logger.EventListenerFailed, "listen", listener.Addr(), "cause", err)
 		}
 	})
 }
 
-// operatorServer returns the HTTP server of the operators' interface.
+// operatorServer returns the HTTP server for operators.
 func operatorServer(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           handler,
@@ -115,15 +114,16 @@
 	}
 }
 
-// wait returns when the node is to end.
-func (node *Node) wait(ctx context.Context) error {
+// awaitStop blocks until the context ends or Drain is called. After Drain, it runs the graceful
+// shutdown and waits until that has completed or timed out.
+func (node *Node) awaitStop(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
 		return nil
-	case <-node.drain:
+	case <-node.drainRequested:
 	}
 	node.server.SetReady(false)
-	_ = timer.Sleep(ctx, node.balancerDelay) // What follows ends with the context too.
+	_ = timer.Sleep(ctx, node.balancerDelay) // The error is ignored because the select below observes ctx too.
 	node.Submit(decider.DrainRequested{})
 	limit := time.NewTimer(node.drainTimeout)
 	defer limit.Stop()
@@ -137,8 +137,9 @@
 	}
 }
 
-// shutDown lets answers that are being written end, then closes.
-func shutDown(servers ...*http.Server) {
+// shutDownServers lets responses in progress finish for up to closeTimeout, then closes the
+// servers.
+func shutDownServers(servers ...*http.Server) {
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	for _, httpServer := range servers {
@@ -148,19 +149,19 @@
 	}
 }
 
-// settle waits for the parts that the node owns.
-func (node *Node) settle() {
+// awaitParts waits for the parts that the node owns.
+func (node *Node) awaitParts() {
 	<-node.timer.Done()
 	<-node.journal.done
-	if node.inner != nil {
+	if node.innerListener != nil {
 		<-node.messenger.Done()
 	}
 	if node.platform != nil {
 		<-node.platform.Done()
 	}
-	node.group.Wait()
+	node.background.Wait()
 	node.dispatcher.Close()
-	if node.ownRecorder != nil {
-		_ = node.ownRecorder.Close()
+	if node.ownedRecorder != nil {
+		_ = node.ownedRecorder.Close()
 	}
 }
--- a/status.go
+++ b/status.go
@@ -12,32 +12,33 @@
 	"limpetcleat/recorder"
 )
 
-// operatorHandler returns the operators' interface.
+// operatorHandler returns the HTTP handler for operators.
 func (node *Node) operatorHandler() http.Handler {
 	return operator.New(node, node.operatorToken, operator.WithLog(node.journal.event)).Handler()
 }
 
-// Status returns what the node knows of itself now.
+// Status returns the node's current status.
 func (node *Node) Status() decider.Status {
 	node.core.Lock()
 	defer node.core.Unlock()
 	return node.decider.Status()
 }
 
-// HeldOffs returns the requests under which upstreams ended.
+// HeldOffs returns the requests that are suspected of crashing upstreams.
 func (node *Node) HeldOffs() operator.HeldOffs { return heldOffs{node} }
 
-// heldOffs are those that a node's core knows.
+// heldOffs implements operator.HeldOffs with the suspicions of a node's core.
 type heldOffs struct{ node *Node }
 
-// List returns what is known of them.
+// List returns the suspicions at the given time.
 func (heldOffs heldOffs) List(now time.Time) []quarantiner.Suspicion {
 	heldOffs.node.core.Lock()
 	defer heldOffs.node.core.Unlock()
 	return heldOffs.node.decider.Suspicions(now)
 }
 
-// Lift has the core let one be sent again.
+// Lift requests the release of a request that is held off, and reports whether the request is
+// known.
 func (heldOffs heldOffs) Lift(now time.Time, identity definer.RequestIdentity) bool {
 	known := slices.ContainsFunc(heldOffs.List(now), func(suspicion quarantiner.Suspicion) bool { return suspicion.Identity == identity })
 	if known {
@@ -46,13 +47,13 @@
 	return known
 }
 
-// Metrics returns the handler that serves the node's metrics to a scraper.
+// Metrics returns the handler that serves the node's metrics.
 func (node *Node) Metrics() http.Handler { return node.recorder.Handler() }
 
-// Snapshot returns what the node has counted.
+// Snapshot returns the node's statistics.
 func (node *Node) Snapshot() recorder.Snapshot { return node.recorder.Snapshot() }
 
-// Configuration returns the configuration in force, or nil before the first.
+// Configuration returns the configuration in force, or nil if there is none yet.
 func (node *Node) Configuration() *definer.Configuration {
 	node.core.Lock()
 	defer node.core.Unlock()
