--- a/demonstrator/document.go
+++ b/demonstrator/document.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// ModelName is the one model of the stand-in engines.
+	// ModelName is the only model of the stand-in engines.
 	ModelName = "demo-model"
-	// RepliesKey is the key of the second organisation's callers.
+	// RepliesKey is the API key of the second Organisation's callers.
 	RepliesKey = "demo-replies-key"
-	// ButtonsKey is the first organisation's key where none is chosen.
+	// ButtonsKey is the default API key of the first Organisation's callers.
 	ButtonsKey = "demo-buttons-key"
 
 	workloadHeader = "X-Workload"
 )
 
-// Document returns the configuration of the demonstration: the classes of both
-// co-operatives over one pool of engines and one plain service.
+// Document returns the configuration of the demonstration: the classes of two Organisations that
+// share one pool of engines and one plain service. The key belongs to the first Organisation.
 func Document(key string, engines, services []string) definer.Document {
 	return definer.Document{
 		Classes: []definer.ClassDocument{
@@ -32,8 +32,8 @@
 			{Name: "seasonDigest", Tier: 3, Preemptible: true, TotalMs: 30000, Attainment: 0.9, FloorShare: 0.1, LongestWaitMs: 60000},
 		},
 		Pools: []definer.PoolDocument{
-			{Name: "models", Kind: string(definer.Engine), ProtectedShare: 0.1, Upstreams: upstreams("engine", engines, engineRunning, ModelName)},
-			{Name: "stock", Kind: string(definer.Service), Upstreams: upstreams("stock", services, 32)},
+			{Name: "models", Kind: string(definer.Engine), ProtectedShare: 0.1, Upstreams: upstreamDocuments("engine", engines, engineMaxRunning, ModelName)},
+			{Name: "stock", Kind: string(definer.Service), Upstreams: upstreamDocuments("stock", services, 32)},
 		},
 		Organisations: []definer.OrganisationDocument{
 			{Name: "buttons", KeyHashes: []string{keyHash(key)}},
@@ -41,16 +41,16 @@
 		},
 		Rules: []definer.RuleDocument{
 			{Name: "order desk", When: `service == "stock"`, Then: definer.ActionDocument{Class: "orderDesk", Pool: "stock", Repeat: string(definer.Keyed), DeadlineMs: 5000, LocalKeys: true}},
-			workload("waiting manager", "waitingManager"),
-			workload("restocking proposals", "restockProposal"),
-			workload("season digests", "seasonDigest"),
+			workloadRule("waiting manager", "waitingManager"),
+			workloadRule("restocking proposals", "restockProposal"),
+			workloadRule("season digests", "seasonDigest"),
 			{Name: "everything else", When: `model != ""`, Then: definer.ActionDocument{Class: "counterQuery", Pool: "models"}},
 		},
 		Limits: definer.LimitsDocument{RetryShare: 0.1, ClaimKeepMs: 600000},
 	}
 }
 
-func workload(name, class string) definer.RuleDocument {
+func workloadRule(name, class string) definer.RuleDocument {
 	return definer.RuleDocument{
 		Name: name,
 		When: `model != "" && headers["x-workload"] == "` + class + `"`,
@@ -58,7 +58,7 @@
 	}
 }
 
-func upstreams(prefix string, addresses []string, slots int, models ...string) []definer.UpstreamDocument {
+func upstreamDocuments(prefix string, addresses []string, slots int, models ...string) []definer.UpstreamDocument {
 	var documents []definer.UpstreamDocument
 	for index, address := range addresses {
 		documents = append(documents, definer.UpstreamDocument{Name: prefix + "-" + strconv.Itoa(index+1), DataCentre: string(DataCentre), Address: address, Slots: slots, Models: models})
@@ -71,7 +71,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Mix returns a short mixed load for the demonstration's classes.
+// Mix returns a short mixed load with one stream for each of the demonstration's classes. The key
+// is that of the first Organisation.
 func Mix(key string) generator.Mix {
 	chat := func(name, apiKey string, rate float64, prompt, output int) generator.Stream {
 		return generator.Stream{
--- a/demonstrator/security_test.go
+++ b/demonstrator/security_test.go
@@ -18,13 +18,13 @@
 	"limpetcleat/standin/caller"
 )
 
-// storedWithin is how long the end of a call may take to be stored at most; a planned stop
-// waits for as long.
-const storedWithin = 5 * time.Second
+// storageTimeout is the time limit for storing the end of a call, equal to the time that a graceful
+// shutdown waits for it.
+const storageTimeout = 5 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// call makes one call under a bearer token.
+// call sends a call with a bearer token and returns the reply.
 func call(t *testing.T, method, address, path, token, body string, key ...string) caller.Reply {
 	t.Helper()
 	call := caller.Call{Method: method, Path: path, APIKey: token, Body: strings.NewReader(body), Key: strings.Join(key, "")}
@@ -33,7 +33,8 @@
 	return reply
 }
 
-func start(t *testing.T, options ...limpetcleat.Option) *demonstrator.System {
+// startSystem starts the demonstration and stops it at the end of the test.
+func startSystem(t *testing.T, options ...limpetcleat.Option) *demonstrator.System {
 	t.Helper()
 	system, err := demonstrator.Start(t.Context(), "127.0.0.1:0", demonstrator.ButtonsKey, options...)
 	assert.NilError(t, err)
@@ -41,8 +42,10 @@
 	return system
 }
 
+// TestKeysAndTokensOpenTheirOwnDoorOnly checks that API keys are accepted only at the callers'
+// address and operators' tokens only at the operators' address.
 func TestKeysAndTokensOpenTheirOwnDoorOnly(t *testing.T) {
-	system := start(t)
+	system := startSystem(t)
 	callers, operators := system.Callers()[0], system.Operators()[0]
 	cases := []struct {
 		name, method, address, path, token string
@@ -51,7 +54,7 @@
 		{"caller's key to callers", http.MethodGet, callers, "/v1/models", demonstrator.ButtonsKey, 200},
 		{"operators' token to callers", http.MethodGet, callers, "/v1/models", demonstrator.OperatorToken, 401},
 		{"nothing to callers", http.MethodGet, callers, "/v1/models", "", 401},
-		{"hash of a key to callers", http.MethodGet, callers, "/v1/models", hash(system), 401},
+		{"hash of a key to callers", http.MethodGet, callers, "/v1/models", buttonsKeyHash(system), 401},
 		{"operators' token to operators", http.MethodGet, operators, "/status", demonstrator.OperatorToken, 200},
 		{"caller's key to operators", http.MethodGet, operators, "/status", demonstrator.ButtonsKey, 401},
 		{"caller's key to the metrics", http.MethodGet, operators, "/metrics", demonstrator.ButtonsKey, 401},
@@ -67,19 +70,20 @@
 			assert.Equal(t, call(t, test.method, test.address, test.path, test.token, "").Status, test.status)
 		})
 	}
-	assert.Equal(t, call(t, http.MethodGet, operators, "/status", demonstrator.OperatorToken, "").Status, 200, "no drain began")
+	assert.Equal(t, call(t, http.MethodGet, operators, "/status", demonstrator.OperatorToken, "").Status, 200, "the node must not be draining")
 }
 
-// hash returns the stored form of the first organisation's key.
-func hash(*demonstrator.System) string {
+// buttonsKeyHash returns the stored form of the first Organisation's key.
+func buttonsKeyHash(*demonstrator.System) string {
 	return demonstrator.Document(demonstrator.ButtonsKey, nil, nil).Organisations[0].KeyHashes[0]
 }
 
-// TestNothingTellsASecret looks for keys, prompts and answers where operators
-// look, after requests that were served, refused and malformed.
+// TestNothingTellsASecret checks that the log, the configuration and the metrics contain no keys,
+// tokens, prompts or answers after requests that were served, refused or not authenticated. It also
+// checks the log entries of these requests.
 func TestNothingTellsASecret(t *testing.T) {
 	var lines bytes.Buffer
-	system := start(t, limpetcleat.WithLogger(logger.New(&lines, logger.WithLevel(logger.Debug))))
+	system := startSystem(t, limpetcleat.WithLogger(logger.New(&lines, logger.WithLevel(logger.Debug))))
 	const prompt, wrongKey, idempotencyKey = "the-tailor-waits", "a-key-that-nobody-has", "reservation-of-the-tailor"
 	address := system.Callers()[0]
 	served := call(t, http.MethodPost, address, "/v1/completions", demonstrator.ButtonsKey, `{"model":"`+demonstrator.ModelName+`","prompt":"`+prompt+`","max_tokens":5}`)
@@ -100,18 +104,18 @@
 		prompt, wrongKey, idempotencyKey, demonstrator.ButtonsKey, demonstrator.RepliesKey, demonstrator.OperatorToken, completion.Choices[0].Text,
 	}
 	for _, secret := range secrets {
-		assert.Assert(t, !strings.Contains(text, secret), "%q is in the log", secret)
-		assert.Assert(t, !strings.Contains(configuration, secret), "%q is in the configuration", secret)
-		assert.Assert(t, !strings.Contains(metrics, secret), "%q is in the metrics", secret)
+		assert.Assert(t, !strings.Contains(text, secret), "the log contains %q", secret)
+		assert.Assert(t, !strings.Contains(configuration, secret), "the configuration contains %q", secret)
+		assert.Assert(t, !strings.Contains(metrics, secret), "the metrics contain %q", secret)
 	}
 	request := served.Header.Get("X-Request-Id")
-	ended := line(t, text, "eventName=requestEnded", "request="+request)
+	ended := findLine(t, text, "eventName=requestEnded", "request="+request)
 	for _, part := range []string{"class=counterQuery", "outcome=ran", "complete=true", "reason=", "organisation=buttons", "tokens=", "total="} {
-		assert.Assert(t, strings.Contains(ended, part), "%q is missing in %q", part, ended)
+		assert.Assert(t, strings.Contains(ended, part), "%q is missing from %q", part, ended)
 	}
-	line(t, text, "eventName=requestRefused", "request="+refused.Header.Get("X-Request-Id"), "reason=noModel", "outcome=notRun")
-	line(t, text, "eventName=requestEnded", "request="+refused.Header.Get("X-Request-Id"), "reason=noModel")
-	line(t, text, "eventName=operatorRejected", "path=/drain")
+	findLine(t, text, "eventName=requestRefused", "request="+refused.Header.Get("X-Request-Id"), "reason=noModel", "outcome=notRun")
+	findLine(t, text, "eventName=requestEnded", "request="+refused.Header.Get("X-Request-Id"), "reason=noModel")
+	findLine(t, text, "eventName=operatorRejected", "path=/drain")
 	for _, each := range strings.Split(text, "\n") {
 		if strings.Contains(each, "eventName=request") || strings.Contains(each, "eventName=attempt") {
 			assert.Assert(t, strings.Contains(each, " request="), each)
@@ -119,8 +123,8 @@
 	}
 }
 
-// line returns the one line that holds all parts.
-func line(t *testing.T, text string, parts ...string) string {
+// findLine returns the only line that contains all parts.
+func findLine(t *testing.T, text string, parts ...string) string {
 	t.Helper()
 	var found []string
 	for _, line := range strings.Split(text, "\n") {
@@ -136,10 +140,11 @@
 	return found[0]
 }
 
-// TestKeysOfTwoOrganisationsAreApart uses one Idempotency-Key in both: each
-// gets its own run, and a repeat its own answer.
+// TestKeysOfTwoOrganisationsAreApart checks that the same Idempotency-Key in two Organisations
+// identifies two calls: each is executed once, and a repetition gets the stored answer of its own
+// Organisation.
 func TestKeysOfTwoOrganisationsAreApart(t *testing.T) {
-	system := start(t)
+	system := startSystem(t)
 	reserve := func(node int, key, body string) caller.Reply {
 		return call(t, http.MethodPost, system.Callers()[node], "/services/stock/reservations", key, body, "order-7")
 	}
@@ -148,10 +153,10 @@
 	second := reserve(1, demonstrator.RepliesKey, "ten zips")
 	assert.Equal(t, second.Status, 200, second.Body)
 	assert.Equal(t, second.Header.Get("Idempotency-Replayed"), "")
-	assert.Assert(t, first.Body != second.Body, "both have an answer of their own")
-	// replayed repeats a call until it is answered from what was stored. Storing follows
-	// the answer: until then, and only then, a node that did not run the call tells that
-	// one with the same key is under way, and when to come again.
+	assert.Assert(t, first.Body != second.Body, "the Organisations must get different answers")
+	// replayed repeats a call until it gets the stored answer. The answer is stored after it has
+	// been sent; until then, and only then, nodes other than the one that executed the call
+	// respond with 409 keyInUse and a Retry-After header.
 	replayed := func(node, ranAt int, key string) caller.Reply {
 		var again caller.Reply
 		poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -161,8 +166,8 @@
 			}
 			assert.Assert(t, strings.Contains(again.Body, "keyInUse"), again.Body)
 			assert.Assert(t, again.Header.Get("Retry-After") != "", again.Body)
-			return poll.Continue("the end of the call is not stored yet")
-		}, poll.WithTimeout(storedWithin), poll.WithDelay(10*time.Millisecond))
+			return poll.Continue("the answer is not stored yet")
+		}, poll.WithTimeout(storageTimeout), poll.WithDelay(10*time.Millisecond))
 		return again
 	}
 	for _, node := range []int{0, 1} {
@@ -173,5 +178,5 @@
 		assert.Equal(t, again.Body, second.Body)
 		assert.Equal(t, again.Header.Get("Idempotency-Replayed"), "true")
 	}
-	assert.Equal(t, reserve(0, demonstrator.ButtonsKey, "eleven zips").Status, 422, "the key is for another call")
+	assert.Equal(t, reserve(0, demonstrator.ButtonsKey, "eleven zips").Status, 422, "the key belongs to a call with another body")
 }
--- a/demonstrator/store.go
+++ b/demonstrator/store.go
@@ -18,14 +18,14 @@
 type Kind string
 
 const (
-	// NotStarted marks a part of the system that did not come up.
+	// NotStarted is the kind of a failure to start a part of the system.
 	NotStarted Kind = "notStarted"
 )
 
-// Error is the one error type of this package.
+// Error is the error type of this package.
 type Error = failer.Error[Kind]
 
-func fail(operation string, format string, values ...any) *Error {
+func newError(operation string, format string, values ...any) *Error {
 	return failer.New("demonstrator."+operation, NotStarted, format, values...)
 }
 
@@ -34,37 +34,37 @@
 func listen(ctx context.Context, address string) (net.Listener, error) {
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", address)
 	if err != nil {
-		return nil, fail("listen", "%w", err)
+		return nil, newError("listen", "%w", err)
 	}
 	return listener, nil
 }
 
-// Store writes the first version of a configuration to the platform.
+// Store writes the document to the platform as the first version of the configuration.
 func Store(ctx context.Context, address string, document definer.Document) error {
 	client := storer.New([]string{address}, "")
 	defer client.Close()
 	if _, err := editor.New(client, "demo").Edit(ctx, editor.Replace(0, "first version", document)); err != nil {
-		return fail("Store", "%w", err)
+		return newError("Store", "%w", err)
 	}
 	return nil
 }
 
-// AwaitReady returns once every node says that it takes callers, or with an
-// error once the context has ended.
+// AwaitReady polls the nodes at the callers' addresses until each is ready. It returns an error if
+// the context ends first.
 func AwaitReady(ctx context.Context, callers ...string) error {
 	for _, address := range callers {
 		for !IsReady(ctx, address) {
 			select {
 			case <-ctx.Done():
-				return fail("AwaitReady", "%w", fmt.Errorf("%s is not ready: %w", address, ctx.Err()))
-			case <-time.After(readyEvery):
+				return newError("AwaitReady", "%w", fmt.Errorf("%s is not ready: %w", address, ctx.Err()))
+			case <-time.After(readinessPollInterval):
 			}
 		}
 	}
 	return nil
 }
 
-// IsReady tells whether a node says that it takes callers.
+// IsReady reports whether the node at the callers' address answers its readiness probe with 200.
 func IsReady(ctx context.Context, address string) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/readyz", http.NoBody)
 	if err != nil {
--- a/demonstrator/system.go
+++ b/demonstrator/system.go
@@ -1,5 +1,5 @@
-// Package demonstrator runs a whole small system in one process on loopback:
-// the stand-ins for platform, engines and service, and two nodes.
+// Package demonstrator runs a small complete system in one process on the loopback interface. The
+// system consists of stand-in servers for the platform, three engines and a service, and two nodes.
 package demonstrator
 
 import (
@@ -24,19 +24,20 @@
 const (
 	engineCount = 3
 	nodeCount   = 2
-	// DataCentre is the one data centre of the demonstration.
-	DataCentre definer.DataCentre = "skopje"
-	readyEvery                    = 20 * time.Millisecond
-	readyLimit                    = 10 * time.Second
-	// The stand-in engines run this many sequences, at this speed.
-	engineRunning = 6
-	tokenTime     = 4 * time.Millisecond
-	tokenSlope    = 300 * time.Microsecond
-	prefillTime   = 20 * time.Millisecond
-	serviceTime   = 20 * time.Millisecond
+	// DataCentre is the only data centre of the demonstration.
+	DataCentre            definer.DataCentre = "skopje"
+	readinessPollInterval                    = 20 * time.Millisecond
+	readinessTimeout                         = 10 * time.Second
+	// Capacity and speed of each stand-in engine, and latency of the stand-in service. tokenTime is
+	// that of a sequence running alone; each further sequence adds tokenTimePerExtraSequence.
+	engineMaxRunning          = 6
+	tokenTime                 = 4 * time.Millisecond
+	tokenTimePerExtraSequence = 300 * time.Microsecond
+	prefillTime               = 20 * time.Millisecond
+	serviceTime               = 20 * time.Millisecond
 )
 
-// System is a running demonstration.
+// System is a running demonstration. Stop ends it.
 type System struct {
 	document  definer.Document
 	platform  string
@@ -62,8 +63,8 @@
 // Platform returns the address of the stand-in platform.
 func (system *System) Platform() string { return system.platform }
 
-// Wasted returns the tokens that the nodes counted as computed and discarded,
-// by class.
+// Wasted returns, by class, the number of tokens that were computed and discarded according to the
+// nodes' statistics.
 func (system *System) Wasted() map[string]uint64 {
 	wasted := make(map[string]uint64)
 	for _, node := range system.nodes {
@@ -74,11 +75,12 @@
 	return wasted
 }
 
-// OperatorToken is the operators' token of the demonstration's nodes.
+// OperatorToken is the operators' bearer token of the demonstration's nodes.
 const OperatorToken = "demo-operators-token"
 
-// Start runs the system. The first node serves callers on the address; the
-// callers' key belongs to the first organisation.
+// Start starts the system and returns when every node is ready. The first node serves callers on
+// the listen address; the key is the API key of the first Organisation. The options apply to every
+// node. After success, the caller must call Stop.
 func Start(ctx context.Context, listen, key string, options ...limpetcleat.Option) (*System, error) {
 	life, cancel := context.WithCancel(ctx)
 	system := &System{cancel: cancel}
@@ -106,12 +108,12 @@
 			return err
 		}
 	}
-	limited, cancel := context.WithTimeout(ctx, readyLimit)
+	limited, cancel := context.WithTimeout(ctx, readinessTimeout)
 	defer cancel()
 	return AwaitReady(limited, system.callers...)
 }
 
-// Stop ends the system and waits for all of it.
+// Stop ends the system and waits until every part has ended.
 func (system *System) Stop() {
 	system.cancel()
 	system.group.Wait()
@@ -128,8 +130,8 @@
 	system.platform = address
 	for range engineCount {
 		address, err := system.run(ctx, engine.New(
-			engine.WithModels(ModelName), engine.WithMaxRunning(engineRunning),
-			engine.WithTokenTime(tokenTime, tokenSlope), engine.WithPrefillTime(prefillTime)))
+			engine.WithModels(ModelName), engine.WithMaxRunning(engineMaxRunning),
+			engine.WithTokenTime(tokenTime, tokenTimePerExtraSequence), engine.WithPrefillTime(prefillTime)))
 		if err != nil {
 			return err
 		}
@@ -143,7 +145,7 @@
 func (system *System) run(ctx context.Context, server runner.Server) (string, error) {
 	running, err := runner.Start(ctx, server, runner.Loopback)
 	if err != nil {
-		return "", fail("run", "%w", err)
+		return "", newError("run", "%w", err)
 	}
 	system.standins = append(system.standins, running)
 	return running.Address(), nil
@@ -164,7 +166,7 @@
 	}
 	vm := storer.VM{Name: name, DataCentre: string(DataCentre), Address: inner.Addr().String(), Role: "entry", State: "live"}
 	if err := controller.New(system.platform, controller.WithClient(http.DefaultClient)).PutVM(ctx, vm); err != nil {
-		return fail("startNode", "%w", err)
+		return newError("startNode", "%w", err)
 	}
 	all := append([]limpetcleat.Option{
 		limpetcleat.WithCallers(callers),
