--- a/cmd/limpetcleat/main.go
+++ b/cmd/limpetcleat/main.go
@@ -1,5 +1,5 @@
-// Command limpetcleat is the one binary of the system: the node that operators
-// run, the tools that they use, and the stand-ins that tests run against.
+// Command limpetcleat is the only binary of the system. Its subcommands run a node, the operators'
+// tools, and the stand-in servers for tests.
 package main
 
 import (
--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -14,6 +14,7 @@
 	"limpetcleat/matcher"
 )
 
+// configuration reads and parses a configuration file.
 func configuration(t *testing.T, path string) *definer.Configuration {
 	t.Helper()
 	data, err := os.ReadFile(path)
@@ -31,7 +32,8 @@
 	}
 }
 
-// TestCheckLooksForFilesWhenAsked uses that the examples' files are nowhere.
+// TestCheckLooksForFilesWhenAsked checks that -files makes check report missing files. The files
+// that the example settings name do not exist here.
 func TestCheckLooksForFilesWhenAsked(t *testing.T) {
 	var out, problems bytes.Buffer
 	arguments := []string{"check", "-settings", "buttons.ini", "-files"}
@@ -39,7 +41,7 @@
 	assert.Assert(t, bytes.Contains(problems.Bytes(), []byte("operators.token")), problems.String())
 }
 
-// TestSettingsAreProtected holds that no example shows the inner protocol plain.
+// TestSettingsAreProtected checks that no example disables TLS between peers.
 func TestSettingsAreProtected(t *testing.T) {
 	for _, path := range []string{"buttons.ini", "replies.ini"} {
 		settings, err := loader.Load(path)
@@ -48,8 +50,8 @@
 	}
 }
 
-// TestSettingsShowEverySetting holds the files together with the loader's
-// table: each setting stands in them, and shown defaults are the real ones.
+// TestSettingsShowEverySetting checks the example files against the loader's table of settings:
+// each file lists every setting, and the commented-out values are the defaults.
 func TestSettingsShowEverySetting(t *testing.T) {
 	for _, path := range []string{"buttons.ini", "replies.ini"} {
 		text, err := os.ReadFile(path)
@@ -66,6 +68,8 @@
 	}
 }
 
+// TestConfigurationsHaveTheSizesOfToday checks the numbers of Organisations, upstreams and data
+// centres in the example configurations.
 func TestConfigurationsHaveTheSizesOfToday(t *testing.T) {
 	cases := []struct {
 		path        string
@@ -121,8 +125,8 @@
 	}
 }
 
-// TestRepeatsOfCallsThatMayNotBeRepeated holds that no rule lets a call that
-// changes something at a plain service be sent twice.
+// TestRepeatsOfCallsThatMayNotBeRepeated checks that the rules matching modifying calls to the plain
+// services do not mark them as idempotent.
 func TestRepeatsOfCallsThatMayNotBeRepeated(t *testing.T) {
 	for _, path := range []string{"buttons.json", "replies.json"} {
 		configuration := configuration(t, path)
