--- a/scripts/measure.sh
+++ b/scripts/measure.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Measures one load over separate processes on loopback: a platform, stand-in
-# engines and services, and three entry VMs. The result goes to standard output
-# as JSON.
+# Measures one load on a system of separate processes on the loopback interface: stand-ins for the
+# platform, engines and services, and three entry VMs. Writes the result as JSON to standard
+# output.
 #
 #   scripts/measure.sh -system buttons|replies -policy serviceLevels|strictTiers|firstCome
 #       [-scale 1.0] [-for 30s] [-seed 1] [-burst] [-issuedKeys] [-ports 17] [-fault none|straggler|engineKilled|platformAway]
@@ -36,13 +36,13 @@
   *) usage ;;
 esac
 
-# All ports begin with the same two digits, so that several runs can stand side
-# by side.
+# All ports begin with the two digits of -ports, so that several runs can share a machine.
 readonly PLATFORM=127.0.0.1:${ports}001
 work=$(mktemp -d)
 pids=()
 
-# finish ends every process that this script started, by its id.
+# finish kills every process that this script started, by its process ID, and removes the work
+# directory.
 finish() {
   local pid
   for pid in "${pids[@]}"; do
@@ -55,7 +55,7 @@
 
 go build -o "$work/limpetcleat" ./cmd/limpetcleat
 
-# begin starts one process with its output in a file.
+# begin starts a process in the background and redirects its output to a log file.
 begin() {
   local name=$1
   shift
@@ -63,7 +63,8 @@
   pids+=($!)
 }
 
-# await polls an address until it answers with success.
+# await polls a URL until it answers with success. After 200 attempts at intervals of 0.1 s, it
+# prints the ends of the logs and exits.
 await() {
   local tries
   for tries in $(seq 200); do
@@ -75,7 +76,7 @@
   exit 1
 }
 
-# settings writes the settings file of one entry.
+# settings prints the settings file of an entry VM.
 settings() {
   local index=$1
   cat <<INI
@@ -131,10 +132,10 @@
 for target in "${targets[@]}"; do
   await "http://$target/readyz"
 done
-# The nodes' view of each other has to settle before the load.
+# Wait until the nodes' membership views have converged.
 sleep 5
 
-# inject lets the fault happen some seconds into the load.
+# inject injects the fault 8 s after its start, while the load is running.
 inject() {
   sleep 8
   case $fault in
--- a/scripts/regression.sh
+++ b/scripts/regression.sh
@@ -1,21 +1,21 @@
 #!/usr/bin/env bash
-# Plays what is played before a landing, one step after the other, and prints one table.
-# A step that ended on the same commit is not played again, so that an interrupted run
-# goes on where it was. The output of each step stays in the folder of -out.
+# Runs the regression steps that are required before a merge, one after the other, and prints a
+# table of results. Steps that have completed on the same commit are skipped, so that an interrupted
+# run can be resumed. The output of each step is kept in the directory given by -out.
 #
 #   scripts/regression.sh -bench PROGRAM -sites DIRECTORY -out DIRECTORY -why TEXT
 #       [-only PATTERN] [-jobs 4] [-table]
 #
-# PROGRAM is the users' bench; below DIRECTORY lie its site files. PATTERN picks steps by
-# their names, such as 'hunt-.*-grown'. -table prints the table of what was played so far.
+# PROGRAM is the users' bench, and -sites is the directory of its site files. PATTERN selects steps
+# by name, such as 'hunt-.*-grown'. -table only prints the table of the steps run so far.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
 bench='' sites='' out='' why='' only='.' jobs=4 table=no
 
-# Days of a site of hundreds of machines are played one at a time: each takes some 400
-# processes, 4 GB and 6 minutes, and each is a step of its own, so that little is lost by
-# an interruption. The others' days are hunted in one step.
+# Each day of the site with hundreds of machines is a separate step and runs alone, because a day
+# takes about 400 processes, 4 GB and 6 minutes; an interruption then loses at most one day. For
+# every other site, all days run in one step.
 readonly LARGE=koumpi-router-large
 readonly LARGE_DAYS=8
 readonly GROWN='quote-bench-grown koumpi-router-grown failte-replies-grown'
@@ -42,8 +42,8 @@
 [ -n "$out" ] || usage
 [ "$table" = yes ] || { [ -n "$bench" ] && [ -n "$sites" ] && [ -n "$why" ]; } || usage
 
-# steps prints the steps in their order, a line each: name, verb, site, jobs, options. The
-# hunts come first, and of them the shortest: a broken rule is worth more than a figure.
+# steps prints the steps in order, one per line: name, verb, site, jobs, options. Hunts come before
+# scores, and the shortest hunt first, because a violated rule matters more than a score.
 steps() {
   local site day
   echo "hunt-$SMALL hunt $SMALL $jobs --days $SMALL_DAYS"
@@ -59,7 +59,7 @@
   echo "score-$LARGE score $LARGE 1"
 }
 
-# site_file prints the path of a site's file.
+# site_file prints the path of a site's file below the directory of -sites.
 site_file() {
   local found
   found=$(find "$sites" -name "$1.toml" -print -quit)
@@ -67,8 +67,8 @@
   echo "$found"
 }
 
-# commit prints what is played: the commit, and whether anything stands beside it but for
-# the entries that the bench writes.
+# commit prints the current commit, with the suffix +changes if the working tree has changes outside
+# journal, where the bench writes its entries.
 commit() {
   local head
   head=$(git rev-parse --short HEAD)
@@ -76,7 +76,7 @@
   echo "$head"
 }
 
-# play plays one step unless it was played on this commit.
+# play runs a step unless it has completed on this commit.
 play() {
   local name=$1 verb=$2 site=$3 step_jobs=$4 file began
   shift 4
@@ -95,19 +95,19 @@
   echo "$name: $(((SECONDS - began + 30) / 60)) min, $(verdict "$name")"
 }
 
-# verdict prints in a few words what came of a step.
+# verdict prints a summary of a step's result.
 verdict() {
   grep -hoE 'GATE (passed|failed)|[0-9]+ days on .*, [0-9]+ with a rule broken' "$out/$1.txt" | paste -sd ';' || true
 }
 
-# print_table prints the verdict of each step and a line for each of its days.
+# print_table prints the verdict of each step, followed by one line per day.
 print_table() {
   local name rest
   while read -r name rest; do
     [ -f "$out/$name.txt" ] || continue
     [ -f "$out/$name.done" ] || echo "$name: not played to its end"
     [ ! -f "$out/$name.done" ] || echo "$name, commit $(cat "$out/$name.done"): $(verdict "$name")"
-    # A day's line has its machines as OWN/UPSTREAMS.
+    # The line of a day contains the number of machines as OWN/UPSTREAMS.
     grep -hE '[0-9]+/[0-9]+ +[0-9]+\.[0-9]+ ' "$out/$name.txt" | sed 's/^/    /' || true
   done < <(steps)
 }
@@ -117,7 +117,7 @@
   readonly played=$(commit)
   while read -r name verb site step_jobs options; do
     [[ $name =~ $only ]] || continue
-    # shellcheck disable=SC2086 # Options are several words.
+    # shellcheck disable=SC2086 # The options are several words and need word splitting.
     play "$name" "$verb" "$site" "$step_jobs" $options </dev/null
   done < <(steps)
 fi
--- a/scripts/slopes.sh
+++ b/scripts/slopes.sh
@@ -1,13 +1,13 @@
 #!/usr/bin/env bash
-# Measures the slopes that docs/CAPACITY.md rests on and prints name=value lines.
+# Measures the slopes on which docs/CAPACITY.md is based and prints them as name=value lines.
 #
 #   scripts/slopes.sh [wire|memory|nodes|requests|time ...]
 #
-# Without a name all are run. nodes starts a platform and six entry
-# VMs in two data centres on loopback, with a configuration of 1,900
-# organisations, 21 models and 2,800 upstreams; requests loads four of them with
-# short and long answers. Processor times count only when
-# the load average printed with them is below 6.
+# Without arguments, all parts are run. nodes starts a platform and six entry VMs in two data
+# centres on the loopback interface, with a configuration of 1,900 Organisations, 21 models and
+# 2,800 Upstreams, and measures them without load. requests measures four entry VMs with a
+# small configuration under a load of short and long answers.
+# CPU times are valid only if the load average printed with them is below 6.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -18,7 +18,8 @@
 pids=()
 entries=()
 
-# finish ends every process that this script started, by its id.
+# finish kills every process that this script started, by its process ID, and removes the work
+# directory.
 finish() {
   local pid
   for pid in "${pids[@]}"; do
@@ -33,14 +34,14 @@
   echo "loadAverage.$1=$(cut -d' ' -f1 /proc/loadavg)"
 }
 
-# bench runs benchmarks and prints each figure on a line.
+# bench runs Go benchmarks and prints each metric on its own line.
 bench() {
   local pattern=$1 package=$2 count=$3
   go test -run '^$' -bench "$pattern" -benchtime "$count" "$package" |
     awk '/^Benchmark/ { sub(/-[0-9]+$/, "", $1); for (i = 3; i < NF; i += 2) print $1 "." $(i + 1) "=" $i }'
 }
 
-# document prints a configuration of the full size.
+# document prints a configuration of full size.
 document() {
   awk 'BEGIN {
     printf "{\"classes\": ["
@@ -85,10 +86,10 @@
 INI
 }
 
-# ticks prints the processor time that a process has used, in 10 ms.
+# ticks prints the CPU time that a process has used, in units of 10 ms.
 ticks() { awk '{ print $14 + $15 }' "/proc/$1/stat"; }
 
-# control prints the bytes and messages that a node has sent and got.
+# control prints the counters of control bytes, messages and calls from a node's metrics.
 control() {
   curl -fsS -H "Authorization: Bearer $TOKEN" "http://127.0.0.1:$((17540 + $1))/metrics" |
     awk '/^[a-z_]*control[a-z_]*(bytes|messages|count|calls)/ { gsub(/[{}",]/, " "); print }' | tr -s ' '
@@ -104,7 +105,7 @@
   exit 1
 }
 
-# begin_platform starts a platform that holds the configuration in a file.
+# begin_platform starts a stand-in platform and stores the configuration from a file in it.
 begin_platform() {
   go build -o "$work/limpetcleat" ./cmd/limpetcleat
   "$work/limpetcleat" standin platform -listen "$PLATFORM" -listLag 100ms >"$work/platform.log" 2>&1 &
@@ -113,7 +114,8 @@
   "$work/limpetcleat" rules put -platform "$PLATFORM" -file "$1" -summary measurement >"$work/rules.log" 2>&1
 }
 
-# begin_entries starts that many entry VMs; their ids stand in entries.
+# begin_entries starts the given number of entry VMs, puts their process IDs into entries and waits
+# until all are ready.
 begin_entries() {
   local index
   entries=()
@@ -130,14 +132,14 @@
   done
 }
 
-# stop ends what was started so far.
+# stop kills all processes started so far and waits for them.
 stop() {
   kill "${pids[@]}" 2>/dev/null || true
   wait "${pids[@]}" 2>/dev/null || true
   pids=()
 }
 
-# nodes measures whole processes without requests.
+# nodes measures CPU time, memory and control traffic of node processes without requests.
 nodes() {
   local index before=()
   document >"$work/rules.json"
@@ -162,7 +164,7 @@
   stop
 }
 
-# busy prints the processor time of all entries in 10 ms.
+# busy prints the total CPU time of all entry VMs, in units of 10 ms.
 busy() {
   local pid sum=0
   for pid in "${entries[@]}"; do
@@ -171,8 +173,8 @@
   echo "$sum"
 }
 
-# requests measures the processor time of entries for a request and a token, by
-# answers of two lengths.
+# requests measures the CPU time of the entry VMs per request and per token, with answers of two
+# lengths.
 requests() {
   local index before key=key-of-the-load hash tokens
   hash=$(printf %s "$key" | sha256sum | cut -d' ' -f1)
--- a/spec/run.sh
+++ b/spec/run.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Checks every model exhaustively and that every broken variant is rejected.
-# Each line of the list: model, what is expected, macros.
-# Needs spin and a C compiler. Prints a line a check; fails if one went wrong.
+# Checks every model exhaustively, and checks that every broken variant is rejected.
+# Each line of the list has the model, the expected result and the macros.
+# Requires spin and gcc. Prints one line per check and fails if a result differs.
 set -u
 cd "$(dirname "$0")" || exit 2
 list='
