--- a/spec/claim.pml
+++ b/spec/claim.pml
@@ -1,19 +1,18 @@
 /*
- * claim: a call with an Idempotency-Key runs at most once.
+ * claim: a call with an Idempotency-Key is executed at most once.
  *
- * Two entries get the same key, each at most TRIES times in a row. One platform
- * object holds the record of the key. Any conditional write may be lost before
- * or after it took effect, or reach the platform late, by way of a second
- * writer. An entry may crash at any step (and comes back as a new incarnation),
- * or be paused for as long as it likes: every interleaving is a pause. A record
- * whose holder is taken for dead, rightly or not, turns unknown.
+ * Two entries receive the same key, each up to TRIES times in sequence. One object of the platform
+ * contains the record of the key. Any conditional write may be lost before or after it takes
+ * effect, or reach the platform late through a second writer. An entry may crash at any step and
+ * restart as a new incarnation, or be paused for any time, which every interleaving represents. A
+ * record becomes unknown if its holder is suspected to have failed, whether correctly or not.
  *
- * README.md names the code of each step. BROKEN picks a wrong protocol:
- *   1  runs before the claim is confirmed (a lost write counts as done)
- *   2  runs a key again whose holder is taken for dead
- *   3  frees the claim of a call that may have run
+ * README.md lists the code of each step. BROKEN selects an incorrect protocol:
+ *   1  executes the call before the claim is confirmed (treats a lost write as done)
+ *   2  executes a call again whose holder is suspected to have failed
+ *   3  deletes the claim of a call that may have been executed
  *   4  writes without the condition on the version
- *   5  frees whatever record stands, its own or not
+ *   5  deletes any existing record, including that of another holder
  */
 #ifndef BROKEN
 #define BROKEN 0
@@ -27,30 +26,30 @@
 
 mtype = { absent, claimed, finished, unknown };
 
-/* The platform's object. Its version grows with each write. */
+/* The platform's object. Each write increments its version. */
 mtype state = absent;
 byte holder = NOBODY;
 byte version = 0;
 
-/* The service's own count of runs. */
+/* The number of executions at the service. */
 byte runs = 0;
 
-/* Request ids: one for each try of each entry, never used again. */
+/* Request IDs: unique for each attempt of each entry, never reused. */
 #define ID(entry, try) (1 + (entry) * TRIES + (try))
 
-/* A write that a writer of the platform has under way for a request. */
+/* The kinds of writes to the record that may be in progress for a request. */
 #define TAKE 1
 #define FINISH 2
 #define ABANDON 3
 #define FREE 4
 
-/* ANY is the version of a step that is read, taken and written at once. */
+/* ANY as the version marks a step that reads, modifies and writes atomically. */
 #define ANY 255
 
 /*
- * apply takes one step on the record as it stands, by the holder's id. It
- * stands for a read and a write on the condition of the version, made again
- * until no other write came in between. Takes are also shown as the two.
+ * apply performs one step on the current record for the holder's ID. It models a read and a
+ * conditional write on the version, repeated until no other write intervenes. Takes are also
+ * modelled as a separate read and write.
  */
 inline apply(step, id) {
 	if
@@ -64,8 +63,8 @@
 }
 
 /*
- * write is a take that was worked out on the version seen, with the record
- * absent. It has an effect only if that version still stands.
+ * write is a take that was computed from the version seen, with the record absent. It takes effect
+ * only if that version is still current.
  */
 inline write(id, seen) {
 	if
@@ -75,8 +74,8 @@
 }
 
 /*
- * late holds what may still reach the platform at any time: a conditional
- * write that is under way, or, with ANY, a step that a second writer has.
+ * late contains operations that may still reach the platform at any time: a conditional write in
+ * transit or, with ANY, a step of a second writer.
  */
 chan late = [2] of { byte, byte, byte };
 
@@ -95,7 +94,7 @@
 	od
 }
 
-/* Detector takes a holder for dead, whether it is or not, or finds it old. */
+/* Detector suspects a holder, correctly or not, or finds its claim too old. */
 active proctype Detector() {
 end:
 	do
@@ -103,7 +102,7 @@
 	od
 }
 
-/* notRun is told to a caller: the key must not have run by then. */
+/* The caller receives notRun: no call with the key may have been executed by then. */
 inline tellNotRun() { assert(runs == 0) }
 
 proctype Entry(byte me) {
@@ -120,27 +119,27 @@
 		granted = false;
 		mayHaveRun = false;
 
-		/* Take: write, and read back until the answer is known or given up. */
+		/* Take: write, and read back until the result is known or the claim is given up. */
 		do
-			/* Read: the record is mine, is another's, or absent. */
+			/* Read: the record is the entry's own, another's, or absent. */
 			:: true ->
 				d_step { seen = version; absentSeen = (state == absent); granted = (holder == id && state == claimed) };
 				if
 				:: granted || !absentSeen -> break
 				:: !granted && absentSeen
 				fi;
-				/* Write on the condition of what was read. */
+				/* Write on the condition that the version read is current. */
 				if
-				/* Answered. A conflict reads again. */
+				/* Answered. After a conflict, the record is read again. */
 				:: true -> atomic {
 					granted = (version == seen || BROKEN == 4);
 					write(id, seen)
 				}
-				/* Lost, with its effect now or never. */
+				/* The answer is lost; the write takes effect now or never. */
 				:: true -> atomic { write(id, seen) }
 				:: BROKEN == 1 -> granted = true
 				:: BROKEN != 1
-				/* Lost, with its effect later. */
+				/* The answer is lost; the write takes effect later. */
 				:: nfull(late) -> late ! TAKE, id, seen
 				fi;
 				seen = 0;
@@ -148,14 +147,14 @@
 				:: granted -> break
 				:: !granted
 				fi
-			/* A second writer is asked as well; it may be slow. */
+			/* The step is also sent to a second writer, which may be slow. */
 			:: nfull(late) -> late ! TAKE, id, ANY
-			/* Given up: never run from here on, and given back. */
+			/* Given up: the call is not executed from here on, and the claim is released. */
 			:: break
 		od;
 		seen = 0;
 		absentSeen = false;
-		/* Crash: the record stays, the next try is another incarnation's. */
+		/* Crash: the record remains, and the next attempt is that of a new incarnation. */
 		if
 		:: goto again
 		:: skip
@@ -166,9 +165,9 @@
 			/* The attempt. */
 			if
 			:: d_step { runs++; assert(runs <= 1) }; mayHaveRun = true
-			/* Provably not run: no byte was written, or it was refused. */
+			/* Provably not executed: no byte was written, or the service refused the call. */
 			:: skip
-			/* Cut before it ran; the entry cannot tell. */
+			/* The connection broke before the execution; the entry cannot know this. */
 			:: mayHaveRun = true
 			fi;
 			if
@@ -182,12 +181,13 @@
 				if
 				:: runs > 0 -> atomic { apply(FINISH, id) }
 				:: true -> atomic { apply(ABANDON, id) }
-				/* The end is never stored. */
+				/* The end of the call is never stored. */
 				:: skip
 				fi
 			fi
 		:: else ->
-			/* In use, unknown or finished: told so, and never run. */
+			/* In use, unknown or finished: the caller receives this state, and the call is not
+			 * executed. */
 			if
 			:: true -> atomic { apply(FREE, id) }
 			:: nfull(late) -> late ! FREE, id, ANY
--- a/spec/configuration.pml
+++ b/spec/configuration.pml
@@ -1,19 +1,20 @@
-/* How a version of the configuration is accepted and spread.
+/* How a version of the configuration is accepted and propagated.
  *
- * Two editors race with conditional writes of the head; a third writes a
- * document past the tool, unchecked. The answer to a write may be lost. Nodes
- * read the platform late (an answer may be an older version than the newest),
- * learn from peers, and restart with nothing. Cuts and outages are the steps
- * that a node does not take: only safety is checked.
+ * Two editors race with conditional writes of the head; a third bypasses the tool and writes an
+ * unvalidated document. The answer to a write may be lost. Nodes read from the platform with delay
+ * (an answer may contain an older version than the newest), receive versions from peers, and
+ * restart without state. Partitions and outages are steps that a node does not take, since only
+ * safety is checked.
  *
- * Checked: an edit that was told accepted made exactly one version, one told
- * refused none; a node's version never goes back within one run; what a node
- * applies is what the platform accepted under that number, and passed its check.
+ * Checked: an edit reported as accepted created exactly one version, and an edit reported as
+ * refused created none; the version of a node never decreases between restarts; a document that a
+ * node applies is the one that the platform accepted under that version number, and it passed the
+ * node's validation.
  *
  * BROKEN=1 writes the head without a condition.
- * BROKEN=2 lets a node apply whatever it heard last.
- * BROKEN=3 takes a lost answer for a write that did not happen.
- * BROKEN=4 lets a node apply without a check.
+ * BROKEN=2 lets a node apply any version that it received last.
+ * BROKEN=3 treats a lost answer as a write that did not take effect.
+ * BROKEN=4 lets a node apply a document without validation.
  */
 #ifndef BROKEN
 #define BROKEN 0
@@ -29,7 +30,7 @@
 #define REFUSED 2
 
 byte head = 0;
-byte content[VERSIONS + 1]; /* which editor's document a version is */
+byte content[VERSIONS + 1]; /* the editor whose document a version contains */
 byte applied[NODES];
 byte document[NODES];
 byte told[EDITORS + 1];
@@ -83,7 +84,7 @@
 	}
 }
 
-/* take applies a version that a node has heard of. */
+/* take applies a version that a node has received. */
 inline take(heard, what) {
 	if
 	:: (heard > applied[id] || (BROKEN == 2 && heard != applied[id])) && (what != UNCHECKED || BROKEN == 4) ->
@@ -102,7 +103,7 @@
 	:: steps < STEPS ->
 		steps++;
 		if
-		:: atomic { head > 0 -> /* an answer of the platform, maybe an old one */
+		:: atomic { head > 0 -> /* an answer of the platform, possibly an old version */
 				version = 1;
 				do
 				:: version < head -> version++
@@ -111,7 +112,7 @@
 				take(version, content[version]);
 				version = 0
 			}
-		:: atomic { /* a peer */
+		:: atomic { /* a message from a peer */
 				take(applied[1 - id], document[1 - id])
 			}
 		:: atomic { /* a restart */
--- a/spec/confirmation.pml
+++ b/spec/confirmation.pml
@@ -1,18 +1,17 @@
-/* How long a node honours a key that may have been revoked.
+/* How long a node accepts a key that may have been revoked.
  *
- * The store acknowledges the revocation at any tick. A node asks, waits, and is
- * answered at any tick from the end of its wait on, or never again: an outage, a
- * cut, a frozen node are steps that are not taken. A watch without a change may
- * have missed what was acknowledged in its last LAG ticks. The wall clock may be
- * set back at any tick; the steady clock is now.
+ * The store acknowledges the revocation at any tick. A node sends a watch, waits, and receives the
+ * answer at any tick from the end of its wait, or never again: an outage, a partition and a paused
+ * node are steps that are not taken. A watch without a change may have missed changes acknowledged
+ * in its last LAG ticks. The wall clock may be set back at any tick; now is the monotonic clock.
  *
- * Checked: no request runs that was sent more than BOUND ticks after the
- * acknowledgement; a request is judged at the tick at which it is sent, or later.
+ * Checked: no request is executed that was sent more than BOUND ticks after the acknowledgement. A
+ * request is evaluated at the tick at which it is sent, or later.
  *
- * BROKEN=1 counts an empty watch as confirming up to when its answer came.
- * BROKEN=2 counts it as confirming up to the end of its wait, without the lag.
- * BROKEN=3 honours keys for a tick longer than the bound.
- * BROKEN=4 measures the age by the wall clock.
+ * BROKEN=1 treats an empty watch as confirmation up to the arrival of its answer.
+ * BROKEN=2 treats it as confirmation up to the end of its wait, without subtracting the lag.
+ * BROKEN=3 accepts keys for one tick longer than the bound.
+ * BROKEN=4 measures the age with the wall clock.
  */
 #ifndef BROKEN
 #define BROKEN 0
@@ -24,10 +23,10 @@
 #define BOUND 4
 
 byte now = 1;
-byte wall = 1;       /* may be behind now */
-byte revoked = 0;    /* the tick of the acknowledgement; 0 is none */
-byte asked = 0;      /* the tick at which the watch under way was sent; 0 is none */
-byte confirmed = 1;  /* up to when the node knows the newest configuration */
+byte wall = 1;       /* wall clock; may be behind now */
+byte revoked = 0;    /* the tick of the acknowledgement; 0 means none */
+byte asked = 0;      /* the tick at which the pending watch was sent; 0 means none */
+byte confirmed = 1;  /* the tick up to which the node's configuration is confirmed as newest */
 byte confirmedWall = 1;
 bool learned = false;
 
@@ -40,9 +39,9 @@
 
 inline answer() {
 	if
-	:: revoked > 0 && revoked <= now -> /* the change is seen */
+	:: revoked > 0 && revoked <= now -> /* the watch returns the change */
 		learned = true
-	:: revoked == 0 || revoked + LAG > asked + WAIT -> /* none, or missed */
+	:: revoked == 0 || revoked + LAG > asked + WAIT -> /* no change, or one that the watch missed */
 		if
 		:: BROKEN == 1 -> confirm(now)
 		:: BROKEN == 2 -> confirm(asked + WAIT)
--- a/spec/duty.pml
+++ b/spec/duty.pml
@@ -1,18 +1,18 @@
 /*
- * duty: the usage of a window is told by one node at a time, and never twice with other
+ * duty: the usage of a window is reported by one node at a time, and never twice with different
  * counts.
  *
- * Two nodes have counted differently. One object of the store holds what is settled, by
- * whom, and the fencing token. A conditional write may be lost before or after it took
- * effect, or be carried out late, while its condition still holds. A call to the platform
- * may be carried out late as well, behind newer ones; the fence is checked then. A node
- * may start again at any step and knows nothing then. Every interleaving is a pause.
+ * Two nodes have different counts. One object of the store contains the settled counts, the holder
+ * and the fencing token. A conditional write may be lost before or after it takes effect, or be
+ * executed late if its condition still holds. A call to the platform may also be executed late,
+ * after newer ones; its fencing token is checked at that time. A node may restart at any step and
+ * then has no state. Every interleaving represents a pause.
  *
- * README.md names the code of each step. BROKEN picks a wrong protocol:
- *   1  takes a write without an answer for done
- *   2  tells its own counts in place of those that stand settled
+ * README.md lists the code of each step. BROKEN selects an incorrect protocol:
+ *   1  treats a write without an answer as done
+ *   2  reports its own counts instead of the settled counts
  *   3  writes without the condition on the revision
- *   4  claims what stands under the token that it has
+ *   4  claims the duty with the existing token instead of a new one
  */
 #ifndef BROKEN
 #define BROKEN 0
@@ -24,22 +24,23 @@
 #define NODES 2
 #define NOTHING 0
 
-/* The store's object: its revision grows with each write. */
+/* The store's object. Each write increments its revision. */
 byte revision = 0;
 byte holder = NOTHING;
 byte settled = NOTHING;
 byte token = 0;
 
-/* The platform: the newest token seen, who used it, and what was told of the window. */
+/* The platform: the highest token received, the node that used it, and the counts reported for the
+ * window. */
 byte highest = 0;
 byte actor = NOTHING;
 byte told = NOTHING;
 
-/* Writes and calls that are carried out late. */
+/* Writes and calls that are executed late. */
 chan writes = [2] of { byte, byte, byte, byte };
 chan calls = [2] of { byte, byte, byte };
 
-/* write takes effect only if the revision that was read still stands. */
+/* write takes effect only if the revision that was read is still current. */
 inline write(me, seen, counts, mark) {
 	if
 	:: revision == seen || BROKEN == 3 -> revision++; holder = me; settled = counts; token = mark
@@ -47,7 +48,7 @@
 	fi
 }
 
-/* act is carried out unless a newer token was seen; the counts of a window never differ. */
+/* act is executed unless a higher token was received; the counts of a window never differ. */
 inline act(me, mark, counts) {
 	if
 	:: mark < highest
@@ -79,7 +80,7 @@
 	:: acts < ACTS ->
 		acts++;
 		granted = false;
-		/* Read: what stands settled is told as it is, else what this node counted. */
+		/* Read: settled counts are reported unchanged; if there are none, this node's own. */
 		atomic {
 			seen = revision;
 			counts = settled;
@@ -89,7 +90,7 @@
 			fi;
 			mark = (BROKEN == 4 && token > 0 -> token : token + 1)
 		};
-		/* Write on the condition of what was read. */
+		/* Write on the condition that the revision read is current. */
 		if
 		:: atomic { revision == seen || BROKEN == 3 -> write(me, seen, counts, mark); granted = true }
 		:: atomic { revision != seen -> skip }
@@ -97,13 +98,13 @@
 		:: atomic { nfull(writes) -> writes ! me, seen, counts, mark }
 		:: skip /* The call is lost. */
 		fi;
-		/* Without an answer only what is read counts. */
+		/* Without an answer, only a read can confirm the write. */
 		if
 		:: !granted && BROKEN == 1 -> granted = true
 		:: atomic { !granted && BROKEN != 1 && holder == me && token == mark && settled == counts -> granted = true }
 		:: else
 		fi;
-		/* Act, maybe again, maybe late. */
+		/* Act, possibly repeatedly, possibly late. */
 		do
 		:: granted -> atomic { act(me, mark, counts) }
 		:: granted -> atomic { nfull(calls) -> calls ! me, mark, counts }
--- a/spec/grant.pml
+++ b/spec/grant.pml
@@ -1,17 +1,17 @@
-/* Grants of one shard over a change of owner.
+/* Grants of one shard across changes of its owner.
  *
- * Two members may own the shard, in turn: tenure 1 is member 0's, tenure 2
- * member 1's, tenure 3 member 0's again. Entry VMs and members learn of a
- * tenure at any later time. Any process may stall at any step, which stands for
- * a freeze, and for good, which stands for a crash. A member that stalled goes
- * on with what it last knew: the stale owner.
+ * Two members own the shard in turn: member 0 in tenure 1, member 1 in tenure 2, member 0 again in
+ * tenure 3. Entry VMs and members learn of a tenure at any later time. Any process may stall at any
+ * step, which models a pause, or stall permanently, which models a crash. A member that resumes
+ * after a stall continues with its last state: it is a stale owner.
  *
- * Assumed: messages between two processes keep their order; the window is longer
- * than learning and reporting take, but for one tenure, at which anyone may lag:
- * entry VMs, their messages, and the owner before (a partition, a freeze).
+ * Assumed: messages between two processes keep their order. The listen window is longer than
+ * learning and reporting take, except for one tenure, in which entry VMs, their messages and the
+ * previous owner may lag (a partition or a pause).
  *
- * Checked (safety): no request runs twice at once; at most 2 * LIMIT run, that
- * is one shard's limit too many; once all is quiet no slot is left in use.
+ * Checked (safety): no request is executed twice at the same time; at most 2 * LIMIT requests are
+ * executed, which exceeds the limit by that of one shard; when no messages are in transit and all
+ * requests are done, no slot is in use.
  */
 #define ENTRIES 3
 #define LIMIT 1
@@ -20,30 +20,29 @@
 
 #define ownerOf(t) (1 - ((t) % 2))
 
-/* To a member: entry, the bits of the grants that it holds and that it gives
- * back (a bit for each issuing tenure), whether it asks, and the tenure that it
- * knows. */
+/* To a member: the entry, the bits of the grants that it holds and of those that it releases (one
+ * bit for each issuing tenure), whether it requests a grant, and the tenure that it knows. */
 chan toMember[2] = [ROOM] of { byte, byte, byte, bool, byte };
-/* To an entry VM: the issuing tenure of a grant. */
+/* To an entry VM: the tenure that issued a grant. */
 chan toEntry[ENTRIES] = [ROOM] of { byte };
 
 byte tenure = 1;
 byte view[ENTRIES] = 1;     /* the tenure that an entry VM knows */
-byte reported[ENTRIES] = 1; /* the last tenure whose owner got its report */
+byte reported[ENTRIES] = 1; /* the last tenure whose owner received its report */
 bool running[ENTRIES];
 bool done[ENTRIES];
-byte busy;                /* requests that run */
-byte lags;                  /* tenures that opened before all had reported */
+byte busy;                /* number of running requests */
+byte lags;                  /* tenures whose window ended before all had reported */
 
 byte knows[2] = 1;          /* the tenure that a member knows */
 bool owning[2];
-bool opening[2];            /* in the window */
+bool opening[2];            /* in the listen window */
 byte held[6];               /* held[member * ENTRIES + entry]: bits of grants */
-bool queued[6];             /* the asks that wait; all ask member 0 first */
+bool queued[6];             /* waiting requests for a grant; all entries ask member 0 first */
 
 #define bits(x) (((x) & 1) + (((x) >> 1) & 1) + (((x) >> 2) & 1))
 #define used(m) (bits(held[(m)*ENTRIES]) + bits(held[(m)*ENTRIES+1]) + bits(held[(m)*ENTRIES+2]))
-/* All have learned of member m's tenure and nothing older is under way. */
+/* All processes have learned of member m's tenure and no older message is in transit. */
 #define heard(m) (tenure == knows[m] && reported[0] >= knows[m] && reported[1] >= knows[m] && reported[2] >= knows[m] && \
 	knows[1-m] >= knows[m] && empty(toMember[m]) && empty(toEntry[0]) && empty(toEntry[1]) && empty(toEntry[2]))
 
@@ -56,11 +55,11 @@
 	i = 0
 }
 
-/* A member that will never own again ignores what it is sent. */
+/* A member that will not own the shard again ignores messages. */
 #define over(m) (knows[m] == LAST && !owning[m])
 
-/* A member learns of a tenure: it drops what it knew (owner.rebuild,
- * owner.fence) and, if the tenure is its own, listens first. */
+/* A member learns of a tenure: it discards its state (owner.updateShards, owner.fence) and, if it
+ * owns the shard in this tenure, listens for reports first. */
 inline learn(m, t) {
 	if
 	:: t > knows[m] ->
@@ -77,14 +76,14 @@
 	bool asks;
 	end: do
 	:: atomic { knows[m] < tenure -> learn(m, tenure) }
-	/* The window ends (owner.open). */
+	/* The listen window ends (owner.open). */
 #ifdef BROKEN
 	:: atomic { opening[m] -> opening[m] = false }
 #else
 	:: atomic { opening[m] && heard(m) -> opening[m] = false }
 	:: atomic { opening[m] && lags < 1 -> lags++; opening[m] = false }
 #endif
-	/* owner.receive: a report (owner.adopt), a release, an ask. */
+	/* owner.handleMessage: a report (owner.adopt), a release, or a request for a grant. */
 	:: atomic { toMember[m]?e, takes, gives, asks, t ->
 		learn(m, t);
 		if
@@ -104,7 +103,7 @@
 		e = 0; takes = 0; gives = 0; asks = false; t = 0 }
 	/* scheduler.decide */
 	:: atomic { owning[m] && !opening[m] && used(m) < LIMIT && (queued[m*ENTRIES] || queued[m*ENTRIES+1] || queued[m*ENTRIES+2]) ->
-		/* By arrival: entry 0 came first. */
+		/* In order of arrival: entry 0 is first. */
 		e = (queued[m*ENTRIES] -> 0 : (queued[m*ENTRIES+1] -> 1 : 2));
 		queued[m*ENTRIES+e] = false;
 		held[m*ENTRIES+e] = held[m*ENTRIES+e] | (1 << (knows[m]-1));
@@ -116,14 +115,14 @@
 proctype Entry(byte e) {
 	byte issuer, t;
 	end: do
-	/* requester.membersMoved: report what is held, or ask anew. */
+	/* requester.handleMembersChanged: report the held grant, or request a grant again. */
 	:: atomic { view[e] < tenure ->
 		view[e] = tenure;
 		if
 		:: running[e] -> toMember[ownerOf(view[e])]!e, 1 << (issuer-1), 0, false, view[e]
 		:: else -> toMember[ownerOf(view[e])]!e, 0, 0, !done[e], view[e]
 		fi }
-	/* requester.answered: use the first grant, give any other back. */
+	/* requester.handleGrantAnswer: use the first grant, release any other. */
 	:: atomic { toEntry[e]?t ->
 		if
 		:: !running[e] && !done[e] ->
@@ -140,7 +139,7 @@
 		:: else
 		fi;
 		t = 0 }
-	/* requester.release: to the present owner, and to the issuer. */
+	/* requester.release: to the current owner and to the issuer. */
 	:: atomic { running[e] ->
 		busy--;
 		toMember[ownerOf(view[e])]!e, 0, 1 << (issuer-1), false, view[e];
@@ -158,8 +157,8 @@
 	empty(toEntry[0]) && empty(toEntry[1]) && empty(toEntry[2]))
 #define settled (view[0] == tenure && view[1] == tenure && view[2] == tenure && knows[ownerOf(tenure)] == tenure)
 
-/* The membership: the owner is taken for dead, or comes back. No slot is left
- * in use at the last owner once nothing is under way. */
+/* The membership: the owner is suspected to have failed, or returns. No slot is in use at the last
+ * owner when no messages are in transit and all requests are done. */
 proctype Membership() {
 	end: do
 	:: atomic { tenure < LAST -> tenure++ }
--- a/spec/peers.pml
+++ b/spec/peers.pml
@@ -1,21 +1,21 @@
-/* How long a node honours a key on the word of a peer.
+/* How long a node accepts a key based on confirmations by a peer.
  *
- * The store confirms to the peer, at any tick, that its version is the newest, or
- * tells it of the revocation. The node sends the peer a report; either message may
- * arrive at any later tick, or never. The peer answers with its version, when the
- * report that it has was sent, and how long after it took that in the store
- * confirmed the version (lead; negative when before). The node adds that up. It may
- * start again, once: reports tell their times by the start of the process that sent
- * them, and an answer to one of the process before counts for nothing.
+ * At any tick, the store confirms to the peer that its version is the newest, or sends it the
+ * revocation. The node sends reports to the peer; a report and its answer may each arrive at any
+ * later tick, or never. The answer contains the peer's version, the time at which the report was
+ * sent, and the lead: the time from the peer's receipt of the report to the store's confirmation of
+ * the version, negative if the confirmation came first. The node adds the lead to the time of the
+ * report. The node may restart once: times in reports are relative to the start of the sending
+ * process, and answers to reports of the previous process are ignored.
  *
- * Checked: no request runs that was sent more than BOUND ticks after the
- * revocation was acknowledged.
+ * Checked: no request is executed that was sent more than BOUND ticks after the acknowledgement of
+ * the revocation.
  *
- * BROKEN=1 counts the age of the confirmation from when the answer arrives.
- * BROKEN=2 counts from when the peer's answer was sent.
- * BROKEN=3 takes the confirmation of any version for that of its own.
- * BROKEN=4 has the peer read its version before it reads how late that is confirmed.
- * BROKEN=5 counts an answer to a report of the process before.
+ * BROKEN=1 measures the age of the confirmation from the arrival of the answer.
+ * BROKEN=2 measures it from the sending of the peer's answer.
+ * BROKEN=3 treats the confirmation of any version as one of the node's own version.
+ * BROKEN=4 lets the peer read its version before it reads the time of the version's confirmation.
+ * BROKEN=5 accepts an answer to a report of the previous process.
  */
 #ifndef BROKEN
 #define BROKEN 0
@@ -25,21 +25,21 @@
 #define BOUND 2
 
 short now = 1;
-short revoked = 0;        /* the tick of the acknowledgement; 0 is none */
+short revoked = 0;        /* the tick of the acknowledgement; 0 means none */
 bool nodeKnows = false;   /* the node has the version without the key */
 bool peerKnows = false;
-short direct = 1;         /* up to when the store confirmed the peer's version */
+short direct = 1;         /* the tick up to which the store confirmed the peer's version */
 
-short start = 0;          /* when the node's process started */
+short start = 0;          /* the tick at which the node's process started */
 bool startedAgain = false;
 
-short report = 0;         /* when the report under way was sent; 0 is none */
+short report = 0;         /* the tick at which the report in transit was sent; 0 means none */
 short reportStart = 0;    /* the start of the process that sent it */
-short takenSent = 0;      /* when the report that the peer has was sent */
-short takenAt = 0;        /* when it was taken in */
+short takenSent = 0;      /* the tick at which the report received by the peer was sent */
+short takenAt = 0;        /* the tick at which the peer received it */
 short takenStart = 0;
 
-bool answered = false;    /* an answer is under way */
+bool answered = false;    /* an answer is in transit */
 bool answerVersion;
 short answerSent;
 short answerStart;
@@ -47,7 +47,7 @@
 short answerAt;
 short answerAge;
 
-short byPeer = 1;         /* up to when the node counts its version confirmed */
+short byPeer = 1;         /* the tick up to which the node considers its version confirmed */
 
 short at;
 
@@ -84,7 +84,7 @@
 	:: report == 0 -> d_step { report = now; reportStart = start }
 	:: report > 0 -> d_step { takenSent = report; takenAt = now; takenStart = reportStart; report = 0; reportStart = 0 }
 	:: !startedAgain && now > 1 ->
-		d_step { /* the process before ends, and this one reads the store */
+		d_step { /* the previous process ends, and the new one reads the store */
 			startedAgain = true;
 			start = now;
 			nodeKnows = revoked > 0;
@@ -100,7 +100,7 @@
 			answerSent = takenSent;
 			answerStart = takenStart;
 			answerLead = direct - takenAt;
-			takenSent = 0; /* one answer a report keeps the model small */
+			takenSent = 0; /* one answer per report keeps the model small */
 			takenAt = 0;
 			takenStart = 0;
 			if
