--- a/entry.go
+++ b/entry.go
@@ -149,23 +149,23 @@
 		connector:      connector.New(),
 		drainRequested: make(chan struct{}),
 	}
-	choice := selector.New(settings.DataCentre)
-	entry.selector = choice
+	upstreamSelector := selector.New(settings.DataCentre)
+	entry.selector = upstreamSelector
 	entry.announcer = announcer.New(entry.announcerOptions()...)
 	entry.quarantine = quarantiner.New(quarantiner.WithVerdicts(entry.journal.requestHeldOff, entry.journal.requestReleased), quarantiner.WithCounts(settings.Suspecting))
 	self := definer.Member{VM: settings.VM, Incarnation: definer.Incarnation(time.Now().UnixNano())}
 	entry.messenger = messenger.New(self, settings.DataCentre, entry.receive, messenger.WithReports(entry.journal.report))
 	clock := timekeeper.New(timekeeper.SystemClock())
-	entry.informer = informer.New(entry.peer(), feeds, choice, entry.messenger, append(entry.informerOptions(), informer.WithIncarnation(self.Incarnation), informer.WithClock(clock))...)
+	entry.informer = informer.New(entry.peer(), feeds, upstreamSelector, entry.messenger, append(entry.informerOptions(), informer.WithIncarnation(self.Incarnation), informer.WithClock(clock))...)
 	entry.throttler = throttler.New(entry.peer(), entry.informer, entry.messenger, entry.announcer, entry.throttlerOptions()...)
-	entry.createSteward(self, clock, choice)
+	entry.createSteward(self, clock, upstreamSelector)
 	budget := budgeter.New(budgeter.Policy{
 		Share:  settings.RetryShare * retryShareFraction,
 		Slack:  settings.RetrySlack,
 		Nodes:  func() int { return max(entry.informer.CountPeers()+1, minBudgetNodes) },
 		Window: settings.RetryWindow,
 	}, time.Now())
-	entry.forwarder = forwarder.New(protocol, entry.informer, entry.informer.Upstreams(), choice, budget, entry.connector,
+	entry.forwarder = forwarder.New(protocol, entry.informer, entry.informer.Upstreams(), upstreamSelector, budget, entry.connector,
 		forwarder.WithLog(entry.journal.event),
 		forwarder.WithRecord(record),
 		forwarder.WithConfirmationLifetime(max(settings.Revocation-confirmationMargin, 0)),
@@ -183,14 +183,14 @@
 }
 
 // createSteward creates the steward if the platform has duties.
-func (entry *Entry) createSteward(self definer.Member, clock *timekeeper.Timekeeper, choice *selector.Selector) {
+func (entry *Entry) createSteward(self definer.Member, clock *timekeeper.Timekeeper, upstreamSelector *selector.Selector) {
 	duties := entry.settings.Duties
 	if duties.Platform == nil {
 		return
 	}
 	entry.steward = steward.New(self, duties.Settings, steward.Dependencies{
 		Fleet: entry.informer, Clock: clock, Sender: entry.messenger, Shelf: duties.Shelf, Platform: duties.Platform,
-		Services: entry.informer, Engines: entry.informer.Upstreams(), Demand: choice, Log: entry.journal.event, Observe: duties.Observe,
+		Services: entry.informer, Engines: entry.informer.Upstreams(), Demand: upstreamSelector, Log: entry.journal.event, Observe: duties.Observe,
 	})
 }
 
@@ -342,8 +342,9 @@
 	})
 }
 
-// stop shuts down gracefully: it fails readiness, waits until the load balancer has noticed, stops
-// accepting connections, and aborts the remaining requests shortly before the grace period ends.
+// stop shuts down gracefully: it fails readiness, waits until the load balancer has noticed, and
+// stops accepting connections. It refuses new requests after refusalGraceShare of the grace period,
+// and aborts the remaining ones shortly before the period ends.
 func (entry *Entry) stop() {
 	deadline := time.Now().Add(entry.settings.Grace - stopMargin)
 	entry.journal.event(logger.EventStopStep, "step", "notReady")
