--- a/node.go
+++ b/node.go
@@ -35,7 +35,7 @@
 // through Done, for the journal through its done channel, for the two HTTP servers through
 // background, and for the server and the dispatcher through Close.
 type Node struct {
-	// core guards decider and serializes the execution of its actions.
+	// core guards decider and serialises the execution of its actions.
 	core    sync.Mutex
 	decider *decider.Decider
 
