--- a/operator/announced_test.go
+++ b/operator/announced_test.go
@@ -17,14 +17,14 @@
 	"limpetcleat/throttler"
 )
 
-// issuances are the upstreams whose permits a node hands out.
+// issuances is an operator.Issuer with fixed issuances.
 type issuances []throttler.Issuance
 
 // Issuances returns them.
 func (issuances issuances) Issuances(time.Time) []throttler.Issuance { return issuances }
 
-// TestAnnouncementsAreShown has an operator see what upstreams said, who told it, and who hands
-// out the permits.
+// TestAnnouncementsAreShown checks the list of announcements: the limit, the source and the age
+// of each, and the permits that the node issues. Announcements without contents are not listed.
 func TestAnnouncementsAreShown(t *testing.T) {
 	known, now := announcer.New(), time.Now()
 	first := definer.UpstreamStart{Upstream: "u1", Incarnation: 7}
--- a/operator/client.go
+++ b/operator/client.go
@@ -18,82 +18,85 @@
 type Kind string
 
 const (
-	// Unreachable marks a node that gave no answer.
+	// Unreachable marks a node that returned no complete and valid answer.
 	Unreachable Kind = "unreachable"
-	// Refused marks a node that refused, for a wrong token for instance.
+	// Refused marks a node that answered with an error status, such as 401 for a wrong token.
 	Refused Kind = "refused"
 )
 
-// Error is the one error type of this package.
+// Error is the error type of this package.
 type Error = failer.Error[Kind]
 
 const (
-	clientTimeout = 3 * time.Second
-	maxAnswer     = 16 << 20
+	// clientTimeout bounds a call to one node.
+	clientTimeout  = 3 * time.Second
+	maxAnswerBytes = 16 << 20
 )
 
-// Client asks nodes through their operators' interface.
+// Client calls the operators' interfaces of nodes. It is safe for concurrent use.
 type Client struct {
-	// addresses are the nodes' operators' addresses, IP and port.
+	// addresses are the addresses of the operators' interfaces, with ports.
 	addresses []string
 	token     string
 	client    *http.Client
 }
 
-// Dial returns a client of the nodes; no connection is made yet.
+// Dial returns a client of the nodes at the addresses, which authenticates with the operators'
+// token. It makes no connection yet.
 func Dial(addresses []string, token string) *Client {
 	return &Client{addresses: addresses, token: token, client: &http.Client{Timeout: clientTimeout}}
 }
 
-// Addresses returns the nodes' addresses.
+// Addresses returns the addresses of the nodes' operators' interfaces.
 func (client *Client) Addresses() []string { return client.addresses }
 
-// Answer is what one node said, or why it said nothing.
+// Answer is the value that one node returned, or the error of the call.
 type Answer[Value any] struct {
 	address string
 	value   Value
 	failure error
 }
 
-// Address returns the node's operators' address.
+// Address returns the address of the node's operators' interface.
 func (answer Answer[Value]) Address() string { return answer.address }
 
-// Value returns what the node said; it is empty after a failure.
+// Value returns the value that the node returned; valid only if Failure returns nil.
 func (answer Answer[Value]) Value() Value { return answer.value }
 
-// Failure returns why the node said nothing, or nil.
+// Failure returns the error of the call, an Error, or nil.
 func (answer Answer[Value]) Failure() error { return answer.failure }
 
-// Status asks every node, at once, what it knows of itself.
+// Status requests the status of all nodes concurrently.
 func (client *Client) Status(ctx context.Context) []Answer[decider.Status] {
-	return gather[decider.Status](ctx, client, http.MethodGet, "/status")
+	return callAll[decider.Status](ctx, client, http.MethodGet, "/status")
 }
 
-// Snapshots asks every node, at once, what it has counted.
+// Snapshots requests the recorded counts of all nodes concurrently.
 func (client *Client) Snapshots(ctx context.Context) []Answer[recorder.Snapshot] {
-	return gather[recorder.Snapshot](ctx, client, http.MethodGet, "/snapshot")
+	return callAll[recorder.Snapshot](ctx, client, http.MethodGet, "/snapshot")
 }
 
-// Configurations asks every node, at once, for the configuration it applies.
+// Configurations requests the configuration in force from all nodes concurrently.
 func (client *Client) Configurations(ctx context.Context) []Answer[InForce] {
-	return gather[InForce](ctx, client, http.MethodGet, "/configuration")
+	return callAll[InForce](ctx, client, http.MethodGet, "/configuration")
 }
 
-// Drain asks every node, at once, for a planned stop.
+// Drain requests a planned stop of all nodes concurrently.
 func (client *Client) Drain(ctx context.Context) []Answer[struct{}] {
-	return gather[struct{}](ctx, client, http.MethodPost, "/drain")
+	return callAll[struct{}](ctx, client, http.MethodPost, "/drain")
 }
 
-// gather asks every node and returns the answers in the order of the addresses.
-func gather[Value any](ctx context.Context, client *Client, method, path string) []Answer[Value] {
+// callAll calls all nodes concurrently and returns the answers in the order of the addresses.
+func callAll[Value any](ctx context.Context, client *Client, method, path string) []Answer[Value] {
 	return iter.Map(client.addresses, func(address *string) Answer[Value] {
 		answer := Answer[Value]{address: *address}
-		answer.failure = client.ask(ctx, method, *address, path, &answer.value)
+		answer.failure = client.call(ctx, method, *address, path, &answer.value)
 		return answer
 	})
 }
 
-func (client *Client) ask(ctx context.Context, method, address, path string, value any) error {
+// call makes one call and decodes the body of the answer, unless it is empty, into value.
+func (client *Client) call(ctx context.Context, method, address, path string, value any) error {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, http.NoBody)
 	if err != nil {
 		return failer.New("operator.ask", Unreachable, "%w", err)
@@ -104,7 +107,7 @@
 		return failer.New("operator.ask", Unreachable, "%w", err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
 		return failer.New("operator.ask", Unreachable, "%w", err)
 	}
--- a/operator/duties.go
+++ b/operator/duties.go
@@ -9,56 +9,66 @@
 	"limpetcleat/steward"
 )
 
-// dutiesPath is where the duties that are one node's at a time are told.
+// dutiesPath is the path of the status of the duties.
 const dutiesPath = "/duties"
 
-// Duties is what a node knows of the duties, as operators see it.
+// Duties is a node's view of the duties, each of which one node at a time performs.
 type Duties struct {
-	// Usage and Scaling tell who held each last.
+	// Usage and Scaling describe the last known holder of each duty.
 	Usage   DutyHolder `json:"usage"`
 	Scaling DutyHolder `json:"scaling"`
-	// ToldUntil is the last window of usage that is known to be reported; Whole, Partial and
-	// Skipped count those of this node.
+	// ToldUntil is the newest usage window that is known to be reported. Whole, Partial and
+	// Skipped count the windows of this node of which all, some or none of the usage was
+	// reported.
 	ToldUntil uint64 `json:"toldUntil"`
 	Whole     int    `json:"whole"`
 	Partial   int    `json:"partial"`
 	Skipped   int    `json:"skipped"`
-	// Reports and Orders are the last acts of this node, the newest last.
+	// Reports and Orders are the most recent reports and orders of this node, the newest last.
 	Reports []DutyReport `json:"reports"`
 	Orders  []DutyOrder  `json:"orders"`
-	// Engines are what this node has ordered, if it holds that duty.
+	// Engines compares ordered engines with those that accept work, if this node holds the
+	// scaling duty.
 	Engines []DutyEngines `json:"engines"`
 }
 
-// DutyHolder tells who holds a duty.
+// DutyHolder is a node's view of who holds a duty.
 type DutyHolder struct {
+	// Holds is set if the node itself performed the last act that it knows of. Holder is the
+	// node that wrote the newest known claim, Token the fencing token of that claim.
 	Holds  bool   `json:"holds"`
 	Holder string `json:"holder"`
 	Token  uint64 `json:"token"`
 }
 
-// DutyReport is one window of usage that was told.
+// DutyReport is one usage window that a node reported to the platform.
 type DutyReport struct {
 	Window   uint64 `json:"window"`
 	Token    uint64 `json:"token"`
 	Requests uint64 `json:"requests"`
-	Whole    bool   `json:"whole"`
-	LateMs   int64  `json:"lateMs"`
+	// Whole is set if the report included all usage of the window. LateMs is the time from the
+	// end of the window to the report in milliseconds.
+	Whole  bool  `json:"whole"`
+	LateMs int64 `json:"lateMs"`
 }
 
-// DutyOrder is one order of engines that was placed, and what it was made from.
+// DutyOrder is one order of engines that a node placed, with the reasons for it.
 type DutyOrder struct {
-	Service    string  `json:"service"`
-	DataCentre string  `json:"dataCentre"`
-	Spot       bool    `json:"spot"`
-	Count      int     `json:"count"`
-	Token      uint64  `json:"token"`
-	Need       float64 `json:"need"`
-	Busy       float64 `json:"busy"`
-	Failure    string  `json:"failure,omitempty"`
+	Service    string `json:"service"`
+	DataCentre string `json:"dataCentre"`
+	Spot       bool   `json:"spot"`
+	Count      int    `json:"count"`
+	Token      uint64 `json:"token"`
+	// Need is the number of engines that the recent peak load requires in all, Busy the number
+	// that the load occupied when the order was placed.
+	Need float64 `json:"need"`
+	Busy float64 `json:"busy"`
+	// Failure is why the platform did not accept the order; empty if it did.
+	Failure string `json:"failure,omitempty"`
 }
 
-// DutyEngines is what is ordered of a service in a data centre, and what takes work.
+// DutyEngines compares the ordered engines of a service in a data centre with those that accept
+// work, the fields named Standing.
 type DutyEngines struct {
 	Service          string `json:"service"`
 	DataCentre       string `json:"dataCentre"`
@@ -68,18 +78,20 @@
 	StandingSpot     int    `json:"standingSpot"`
 }
 
-// ServeDuties adds what a node knows of the duties to its operators' interface.
+// ServeDuties adds the status of the duties to the operators' interface. It must be called before
+// Handler.
 func (entry *Entry) ServeDuties(status func() steward.Status) {
 	entry.duties = status
 }
 
-func (entry *Entry) showDuties(writer http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
-	answer(writer, dutiesOf(entry.duties()))
+// handleDuties answers with the status of the duties as Duties.
+func (entry *Entry) handleDuties(writer http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
+	writeJSON(writer, newDuties(entry.duties()))
 }
 
-func dutiesOf(status steward.Status) Duties {
+func newDuties(status steward.Status) Duties {
 	duties := Duties{
-		Usage: holderOf(&status.Usage.DutyStatus), Scaling: holderOf(&status.Scaling.DutyStatus),
+		Usage: newDutyHolder(&status.Usage.DutyStatus), Scaling: newDutyHolder(&status.Scaling.DutyStatus),
 		ToldUntil: uint64(status.Usage.ReportedUntil), Whole: status.Usage.Whole, Partial: status.Usage.Partial, Skipped: status.Usage.Skipped,
 	}
 	for _, report := range status.Usage.Reports {
@@ -107,11 +119,11 @@
 	return duties
 }
 
-func holderOf(status *steward.DutyStatus) DutyHolder {
+func newDutyHolder(status *steward.DutyStatus) DutyHolder {
 	return DutyHolder{Holds: status.Holds, Holder: string(status.Holder), Token: status.Token}
 }
 
-// Duties asks every node, at once, what it knows of the duties.
+// Duties requests the status of the duties from all nodes concurrently.
 func (client *Client) Duties(ctx context.Context) []Answer[Duties] {
-	return gather[Duties](ctx, client, http.MethodGet, dutiesPath)
+	return callAll[Duties](ctx, client, http.MethodGet, dutiesPath)
 }
--- a/operator/duties_test.go
+++ b/operator/duties_test.go
@@ -15,7 +15,8 @@
 	"limpetcleat/steward"
 )
 
-// TestDutiesAreShown has an operator see who holds the duties, and why an order is as it is.
+// TestDutiesAreShown checks the status of the duties: their holders, the counts of usage windows,
+// and the orders with their reasons.
 func TestDutiesAreShown(t *testing.T) {
 	entry := operator.NewEntry(quarantiner.New(), (&journal{}).log)
 	entry.ServeDuties(func() steward.Status {
--- a/operator/entry.go
+++ b/operator/entry.go
@@ -14,76 +14,80 @@
 	"limpetcleat/steward"
 )
 
-// heldOffPath is where requests that make upstreams end are told and lifted.
+// heldOffPath is the path of the requests under which upstreams crashed. Below it, each request
+// has a path with its identity.
 const heldOffPath = "/heldOff"
 
-// HeldOff is one request under which upstreams ended, as operators see it.
+// HeldOff is one request under which upstreams crashed, as one node knows it.
 type HeldOff struct {
-	// Identity is that of the request's lines in the log.
+	// Identity is the identity of the request, the same as in the log.
 	Identity string `json:"identity"`
-	// Held tells whether its attempts are refused, since when and how much longer at the
-	// most, in milliseconds.
+	// Held reports whether the request is held off: its attempts are refused. SinceMs is the
+	// time since the hold began, LeftMs the longest time until it ends, in milliseconds.
 	Held    bool  `json:"held"`
 	SinceMs int64 `json:"sinceMs"`
 	LeftMs  int64 `json:"leftMs"`
-	// Upstreams are those that ended under it, ToldBy the nodes that told so of any.
+	// Upstreams are the upstreams that crashed under the request, ToldBy the nodes that
+	// reported any of the crashes.
 	Upstreams []string `json:"upstreams"`
 	ToldBy    []string `json:"toldBy"`
-	// FirstAgoMs is how many milliseconds ago the first of them ended.
+	// FirstAgoMs is the time since the first crash in milliseconds.
 	FirstAgoMs int64 `json:"firstAgoMs"`
-	// Refused counts the attempts that the node has refused.
+	// Refused counts the attempts that this node has refused.
 	Refused int `json:"refused"`
 }
 
-// HeldOffs are the requests under which upstreams ended, as a node knows them.
+// HeldOffs are the requests under which upstreams crashed, as a node knows them.
 type HeldOffs interface {
-	// List returns what is known of them.
+	// List returns the crashes of each request and whether it is held off.
 	List(now time.Time) []quarantiner.Suspicion
-	// Lift lets one be sent again and tells whether anything was held against it.
+	// Lift allows a request to be sent again, and reports whether crashes were recorded for it.
 	Lift(now time.Time, identity definer.RequestIdentity) bool
 }
 
-// Entry serves the operators of a node that forwards by its own decisions. It asks for
-// no token: serve it on loopback alone.
+// Entry serves the operators' interface of an entry, a node that routes requests by its own
+// decisions. It does not authenticate its callers, so it must be served on the loopback
+// interface only.
 type Entry struct {
 	heldOffs HeldOffs
 	log      Log
-	// duties is nil on a platform that has none.
+	// duties is nil on a platform without duties.
 	duties func() steward.Status
-	// announcements and issuances are nil where nothing is known of either.
+	// announcements and issuer are nil unless ServeAnnounced is called.
 	announcements Announcements
-	issuances     Issuances
+	issuer        Issuer
 }
 
-// NewEntry returns the operators' interface of such a node, to what is known of requests that make
-// upstreams end.
+// NewEntry returns an operators' interface that serves the requests under which upstreams
+// crashed, and logs each request that an operator lifts.
 func NewEntry(heldOffs HeldOffs, log Log) *Entry {
 	return &Entry{heldOffs: heldOffs, log: log}
 }
 
-// Handler returns the interface.
+// Handler returns the HTTP handler of the interface.
 func (entry *Entry) Handler() http.Handler {
 	router := httprouter.New()
-	router.GET(heldOffPath, entry.list)
-	router.DELETE(heldOffPath+"/:identity", entry.lift)
+	router.GET(heldOffPath, entry.handleHeldOff)
+	router.DELETE(heldOffPath+"/:identity", entry.handleLift)
 	if entry.duties != nil {
-		router.GET(dutiesPath, entry.showDuties)
+		router.GET(dutiesPath, entry.handleDuties)
 	}
 	if entry.announcements != nil {
-		router.GET(announcedPath, entry.showAnnounced)
+		router.GET(announcedPath, entry.handleAnnounced)
 	}
 	return router
 }
 
-func (entry *Entry) list(writer http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
+// handleHeldOff answers with the requests under which upstreams crashed as a list of HeldOff.
+func (entry *Entry) handleHeldOff(writer http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	rows := []HeldOff{}
 	for _, suspicion := range entry.heldOffs.List(time.Now()) {
-		rows = append(rows, heldOff(&suspicion))
+		rows = append(rows, newHeldOff(&suspicion))
 	}
-	answer(writer, rows)
+	writeJSON(writer, rows)
 }
 
-func heldOff(suspicion *quarantiner.Suspicion) HeldOff {
+func newHeldOff(suspicion *quarantiner.Suspicion) HeldOff {
 	row := HeldOff{
 		Identity: suspicion.Identity.String(), Held: suspicion.Held, Refused: suspicion.Refused,
 		SinceMs: suspicion.Since.Milliseconds(), LeftMs: suspicion.TimeLeft.Milliseconds(), FirstAgoMs: suspicion.FirstCrashAgo.Milliseconds(),
@@ -97,7 +101,8 @@
 	return row
 }
 
-func (entry *Entry) lift(writer http.ResponseWriter, request *http.Request, params httprouter.Params) {
+// handleLift lifts the request whose identity is in the path.
+func (entry *Entry) handleLift(writer http.ResponseWriter, request *http.Request, params httprouter.Params) {
 	text := params.ByName("identity")
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != definer.RequestIdentityBytes {
@@ -112,13 +117,13 @@
 	writer.WriteHeader(http.StatusNoContent)
 }
 
-// HeldOff asks every node, at once, which requests made upstreams end.
+// HeldOff lists the requests under which upstreams crashed, from all nodes concurrently.
 func (client *Client) HeldOff(ctx context.Context) []Answer[[]HeldOff] {
-	return gather[[]HeldOff](ctx, client, http.MethodGet, heldOffPath)
+	return callAll[[]HeldOff](ctx, client, http.MethodGet, heldOffPath)
 }
 
-// Lift lets a request be sent again by every node; the one that is asked first and answers
-// tells all others.
+// Lift calls all nodes concurrently to allow a request to be sent again. One node that accepts
+// the call suffices, because it reports the lift to all others.
 func (client *Client) Lift(ctx context.Context, identity string) []Answer[struct{}] {
-	return gather[struct{}](ctx, client, http.MethodDelete, heldOffPath+"/"+identity)
+	return callAll[struct{}](ctx, client, http.MethodDelete, heldOffPath+"/"+identity)
 }
--- a/operator/entry_test.go
+++ b/operator/entry_test.go
@@ -15,8 +15,9 @@
 	"limpetcleat/quarantiner"
 )
 
-// TestHeldOffIsShownAndLifted has an operator see a request that is held off, and lift it
-// once.
+// TestHeldOffIsShownAndLifted checks that a held-off request is listed, that calls to lift a
+// malformed or unknown identity fail and log nothing, and that after the lift, which is logged, the
+// request is neither held off nor listed.
 func TestHeldOffIsShownAndLifted(t *testing.T) {
 	quarantine, journal := quarantiner.New(), &journal{}
 	identity := quarantiner.Identify(&quarantiner.RequestParts{Target: "/a"})
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -19,28 +19,28 @@
 
 const token = "operators-token-of-the-test"
 
-// node is a node of which only the drain counts.
+// node is an operator.Node that counts the calls of Drain.
 type node struct{ drains int }
 
-// Status returns a name alone.
+// Status returns a status with the name of the VM alone.
 func (*node) Status() decider.Status { return decider.Status{VM: "entry-1"} }
 
-// Drain counts.
+// Drain counts the call.
 func (node *node) Drain() { node.drains++ }
 
-// Snapshot returns nothing.
+// Snapshot returns an empty snapshot.
 func (*node) Snapshot() recorder.Snapshot { return recorder.Snapshot{} }
 
-// Configuration returns none.
+// Configuration returns nil.
 func (*node) Configuration() *definer.Configuration { return nil }
 
-// HeldOffs returns none.
+// HeldOffs returns an empty quarantine.
 func (*node) HeldOffs() operator.HeldOffs { return quarantiner.New() }
 
-// Metrics serves nothing.
+// Metrics returns a handler that answers 404 Not Found.
 func (*node) Metrics() http.Handler { return http.NotFoundHandler() }
 
-// journal keeps the numbers of the events it was given.
+// journal is a log that collects the events, with the pairs of each.
 type journal struct {
 	mutex   sync.Mutex
 	numbers []int
@@ -54,6 +54,7 @@
 	journal.pairs = append(journal.pairs, pairs)
 }
 
+// serve starts the operators' interface of the node and returns its address.
 func serve(t *testing.T, node *node, journal *journal, token string) string {
 	t.Helper()
 	server := httptest.NewServer(operator.New(node, token, operator.WithLog(journal.log)).Handler())
@@ -88,8 +89,8 @@
 	}
 }
 
-// TestHeldOffIsGuarded holds that what is held off is shown and lifted to holders of the token
-// alone.
+// TestHeldOffIsGuarded checks that held-off requests are listed with the token only, and that a
+// lift without it is rejected.
 func TestHeldOffIsGuarded(t *testing.T) {
 	address := serve(t, &node{}, &journal{}, token)
 	for _, given := range []string{token, "wrong"} {
@@ -100,8 +101,8 @@
 	assert.ErrorContains(t, refused, "401")
 }
 
-// TestRejectionsAreCountedNotFlooded makes many wrong calls at once; the log
-// must not grow with them.
+// TestRejectionsAreCountedNotFlooded makes many calls with a wrong token, one after the other. It
+// checks that they are not logged one by one, and that the log does not contain the token.
 func TestRejectionsAreCountedNotFlooded(t *testing.T) {
 	journal := &journal{}
 	address := serve(t, &node{}, journal, token)
