--- a/server/authenticator.go
+++ b/server/authenticator.go
@@ -15,29 +15,29 @@
 
 const bearerPrefix = "Bearer "
 
-// handle serves a request of a known caller.
-type handle func(writer http.ResponseWriter, request *http.Request, params httprouter.Params, caller caller)
+// callerHandle is an httprouter.Handle that also receives the request's caller.
+type callerHandle func(writer http.ResponseWriter, request *http.Request, params httprouter.Params, caller caller)
 
-// authenticated lets only requests with a known key pass.
-func (server *Server) authenticated(next handle) httprouter.Handle {
+// requireKey passes on requests with a configured key and refuses the others.
+func (server *Server) requireKey(next callerHandle) httprouter.Handle {
 	return func(writer http.ResponseWriter, request *http.Request, params httprouter.Params) {
 		configuration := server.configuration.Load()
 		if configuration == nil {
-			writeFailure(writer, notNow(messenger.NotReady, "the node has no configuration yet", request.Header.Get(headerKey)))
+			writeFailure(writer, unavailable(messenger.NotReady, "the node has no configuration yet", request.Header.Get(headerIdempotencyKey)))
 			return
 		}
 		organisation, ok := authenticate(configuration, request.Header.Get("Authorization"))
 		if !ok {
-			writeFailure(writer, callerFailure{status: http.StatusUnauthorized, code: codeInvalidKey, message: "the bearer key is missing or not known"})
+			writeFailure(writer, failure{status: http.StatusUnauthorized, code: codeInvalidKey, message: "the bearer key is missing or not known"})
 			return
 		}
-		id := definer.RequestID(writer.Header().Get(headerRequest))
-		next(writer, request, params, caller{organisation: organisation.Name(), request: id})
+		id := definer.RequestID(writer.Header().Get(headerRequestID))
+		next(writer, request, params, caller{organisation: organisation.Name(), requestID: id})
 	}
 }
 
-// authenticate returns the organisation whose key the header holds. Only sums
-// of keys are compared, in constant time.
+// authenticate returns the organisation that the bearer key in the header belongs to. Only hashes
+// of keys are compared, so that the duration of a lookup reveals nothing about a key.
 func authenticate(configuration *definer.Configuration, header string) (*definer.Organisation, bool) {
 	key, ok := strings.CutPrefix(header, bearerPrefix)
 	if !ok || key == "" {
--- a/server/caller.go
+++ b/server/caller.go
@@ -6,13 +6,13 @@
 	"limpetcleat/definer"
 )
 
-// caller is who sent a request, once that is known.
+// caller identifies the sender of a request, either by its key or by the peer that forwarded it.
 type caller struct {
 	organisation definer.OrganisationName
-	// request is the id that the answer carries.
-	request definer.RequestID
-	// forwarded says that a peer handed the call on.
+	// requestID is sent with the response in X-Request-Id.
+	requestID definer.RequestID
+	// forwarded reports whether a peer forwarded the call.
 	forwarded bool
-	// remaining bounds a forwarded call; 0 is no bound.
+	// remaining is the time to a forwarded call's deadline; 0 means no deadline.
 	remaining time.Duration
 }
--- a/server/completion.go
+++ b/server/completion.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// bytesPerToken is a rough estimate for a prompt's length.
+	// bytesPerToken is a rough estimate, used for the number of tokens in a prompt.
 	bytesPerToken = 4
-	// prefixLength is how much of a prompt is hashed for its prefix.
-	prefixLength   = 1024
-	maxModelLength = 256
+	// maxPrefixBytes is the length of the part of a prompt that is hashed for prefix affinity.
+	maxPrefixBytes = 1024
+	maxModelBytes  = 256
 )
 
-// completionBody is what is read of a completion request; the rest passes
-// through as it is.
+// completionBody has the fields of a completion request that the node reads. The body itself is
+// sent on unchanged.
 type completionBody struct {
 	Model               string          `json:"model"`
 	Stream              bool            `json:"stream"`
@@ -33,15 +33,15 @@
 	N                   *int            `json:"n"`
 }
 
-// message is what is read of one message of a chat.
+// message has the fields of a chat message that the node reads.
 type message struct {
 	Role    string          `json:"role"`
 	Content json.RawMessage `json:"content"`
 }
 
-// completion serves the two completion interfaces.
-func (server *Server) completion(writer http.ResponseWriter, request *http.Request, _ httprouter.Params, caller caller) {
-	body, failure, ok := server.read(writer, request)
+// serveCompletion serves chat completions and text completions.
+func (server *Server) serveCompletion(writer http.ResponseWriter, request *http.Request, _ httprouter.Params, caller caller) {
+	body, failure, ok := server.readBody(writer, request)
 	if !ok {
 		writeFailure(writer, failure)
 		return
@@ -51,49 +51,50 @@
 		writeFailure(writer, failure)
 		return
 	}
-	arrived, failure, ok := arrival(request, caller, body)
+	arrived, failure, ok := newRequestArrived(request, caller, body)
 	if !ok {
 		writeFailure(writer, failure)
 		return
 	}
 	prompt := append(parsed.Messages, parsed.Prompt...)
-	arrived.Prefix = xxhash.Sum64(prompt[:min(len(prompt), prefixLength)])
+	arrived.Prefix = xxhash.Sum64(prompt[:min(len(prompt), maxPrefixBytes)])
 	arrived.Properties.Model = parsed.Model
 	arrived.Properties.Streamed = parsed.Stream
 	arrived.Properties.PromptTokens = len(prompt) / bytesPerToken
-	arrived.Properties.MaxTokens = parsed.bound()
+	arrived.Properties.MaxTokens = parsed.tokenLimit()
 	exchange := dispatcher.Exchange{Method: request.Method, Path: request.URL.Path, Header: request.Header, Body: body, Streamed: parsed.Stream}
-	server.carry(request, writer, arrived, exchange)
+	server.serveRequest(request, writer, arrived, exchange)
 }
 
-// parseCompletion reads a body, or tells what is wrong with which field.
-func parseCompletion(path string, body []byte) (completionBody, callerFailure, bool) {
+// parseCompletion parses and validates a body. Its failure names the invalid field.
+func parseCompletion(path string, body []byte) (completionBody, failure, bool) {
 	var parsed completionBody
-	if failure, ok := decode(body, "", &parsed); !ok {
+	if failure, ok := decodeJSON(body, "", &parsed); !ok {
 		return parsed, failure, false
 	}
-	failure, ok := parsed.check(strings.HasSuffix(path, "/chat/completions"))
+	failure, ok := parsed.validate(strings.HasSuffix(path, "/chat/completions"))
 	return parsed, failure, ok
 }
 
-// decode reads JSON; prefix names the field that data is the value of.
-func decode(data []byte, prefix string, value any) (callerFailure, bool) {
+// decodeJSON unmarshals data into value; prefix is the path of data in the request body, which
+// failures prepend to the name of a field.
+func decodeJSON(data []byte, prefix string, value any) (failure, bool) {
 	err := json.Unmarshal(data, value)
 	var mistyped *json.UnmarshalTypeError
 	switch {
 	case errors.As(err, &mistyped) && prefix+mistyped.Field == "":
-		return invalid("the body must be a JSON object"), false
+		return invalidRequest("the body must be a JSON object"), false
 	case errors.As(err, &mistyped):
 		field := strings.TrimSuffix(prefix+mistyped.Field, ".")
-		return wrongField(field, "the field "+field+" must be of type "+typeName(mistyped.Type)), false
+		return invalidField(field, "the field "+field+" must be of type "+jsonTypeName(mistyped.Type)), false
 	case err != nil:
-		return invalid("the body is not JSON: " + err.Error()), false
+		return invalidRequest("the body is not JSON: " + err.Error()), false
 	}
-	return callerFailure{}, true
+	return failure{}, true
 }
 
-// typeName returns what JSON calls a type.
-func typeName(wanted reflect.Type) string {
+// jsonTypeName returns the JSON name of a Go type.
+func jsonTypeName(wanted reflect.Type) string {
 	names := map[reflect.Kind]string{reflect.Bool: "boolean", reflect.Int: "integer", reflect.Slice: "array", reflect.Struct: "object"}
 	if name, ok := names[wanted.Kind()]; ok {
 		return name
@@ -101,56 +102,56 @@
 	return wanted.String()
 }
 
-func (body completionBody) check(chat bool) (callerFailure, bool) {
+func (body completionBody) validate(chat bool) (failure, bool) {
 	switch {
 	case body.Model == "":
-		return wrongField("model", "the field model is missing"), false
-	case len(body.Model) > maxModelLength:
-		return wrongField("model", "the field model is too long"), false
+		return invalidField("model", "the field model is missing"), false
+	case len(body.Model) > maxModelBytes:
+		return invalidField("model", "the field model is too long"), false
 	case body.N != nil && *body.N != 1:
-		return wrongField("n", "the field n must be 1"), false
+		return invalidField("n", "the field n must be 1"), false
 	case body.MaxTokens != nil && *body.MaxTokens <= 0:
-		return wrongField("max_tokens", "the field max_tokens must be above 0"), false
+		return invalidField("max_tokens", "the field max_tokens must be above 0"), false
 	case body.MaxCompletionTokens != nil && *body.MaxCompletionTokens <= 0:
-		return wrongField("max_completion_tokens", "the field max_completion_tokens must be above 0"), false
+		return invalidField("max_completion_tokens", "the field max_completion_tokens must be above 0"), false
 	case chat:
-		return checkMessages(body.Messages)
+		return validateMessages(body.Messages)
 	default:
-		return checkPrompt(body.Prompt)
+		return validatePrompt(body.Prompt)
 	}
 }
 
-func checkMessages(raw json.RawMessage) (callerFailure, bool) {
+func validateMessages(raw json.RawMessage) (failure, bool) {
 	if len(raw) == 0 {
-		return wrongField("messages", "the field messages is missing"), false
+		return invalidField("messages", "the field messages is missing"), false
 	}
 	var messages []message
-	if failure, ok := decode(raw, "messages.", &messages); !ok {
+	if failure, ok := decodeJSON(raw, "messages.", &messages); !ok {
 		return failure, false
 	}
 	if len(messages) == 0 {
-		return wrongField("messages", "the field messages must not be empty"), false
+		return invalidField("messages", "the field messages must not be empty"), false
 	}
 	for _, message := range messages {
 		if message.Role == "" {
-			return wrongField("messages.role", "the field messages.role is missing"), false
+			return invalidField("messages.role", "the field messages.role is missing"), false
 		}
 	}
-	return callerFailure{}, true
+	return failure{}, true
 }
 
-func checkPrompt(raw json.RawMessage) (callerFailure, bool) {
+func validatePrompt(raw json.RawMessage) (failure, bool) {
 	switch {
 	case len(raw) == 0:
-		return wrongField("prompt", "the field prompt is missing"), false
+		return invalidField("prompt", "the field prompt is missing"), false
 	case raw[0] != '"' && raw[0] != '[':
-		return wrongField("prompt", "the field prompt must be of type string or array"), false
+		return invalidField("prompt", "the field prompt must be of type string or array"), false
 	}
-	return callerFailure{}, true
+	return failure{}, true
 }
 
-// bound returns the caller's bound on the answer's tokens; 0 is none.
-func (body completionBody) bound() int {
+// tokenLimit returns the caller's limit on the tokens of the answer; 0 means no limit.
+func (body completionBody) tokenLimit() int {
 	switch {
 	case body.MaxCompletionTokens != nil:
 		return *body.MaxCompletionTokens
@@ -161,10 +162,10 @@
 	}
 }
 
-func invalid(message string) callerFailure {
-	return callerFailure{status: http.StatusBadRequest, code: codeInvalidBody, message: message}
+func invalidRequest(message string) failure {
+	return failure{status: http.StatusBadRequest, code: codeInvalidBody, message: message}
 }
 
-func wrongField(field, message string) callerFailure {
-	return callerFailure{status: http.StatusBadRequest, code: codeInvalidBody, message: message, param: field}
+func invalidField(field, message string) failure {
+	return failure{status: http.StatusBadRequest, code: codeInvalidBody, message: message, param: field}
 }
--- a/server/doc.go
+++ b/server/doc.go
@@ -1,4 +1,4 @@
-// Package server takes callers' requests: it authenticates their organisation,
-// checks what they sent, and carries each request from its arrival to its one
-// final answer.
+// Package server is the HTTP API for callers, in the form of the OpenAI API: it authenticates and
+// validates requests, and executes the core's actions for each request until its final response.
+// It also runs the calls that other nodes forward to this one.
 package server
--- a/server/failure.go
+++ b/server/failure.go
@@ -13,41 +13,42 @@
 )
 
 const (
-	headerOutcome = "X-Outcome"
-	headerRequest = "X-Request-Id"
-	// headerOffer holds a key that a caller may use in place of its own.
-	headerOffer = "Idempotency-Key-Offer"
-
-	// The codes that clients of the OpenAI interface know by name.
-	codeInvalidKey = "invalid_api_key"
-	codeNoModel    = "model_not_found"
-
-	codeInvalidBody  = "invalidBody"
-	codeBodyTooLarge = "bodyTooLarge"
-	codeBodyTooSlow  = "bodyTooSlow"
-	codeNotFound     = "notFound"
-	codeMethod       = "methodNotAllowed"
-	codeInternal     = "internalError"
-	codeConnections  = "tooManyConnections"
-
-	retryLater = time.Second
+	headerOutcome   = "X-Outcome"
+	headerRequestID = "X-Request-Id"
+	// headerKeyOffer holds a key that a caller may use in place of its own.
+	headerKeyOffer = "Idempotency-Key-Offer"
+
+	// Codes of the OpenAI API that clients match by name.
+	codeInvalidKey    = "invalid_api_key"
+	codeModelNotFound = "model_not_found"
+
+	codeInvalidBody        = "invalidBody"
+	codeBodyTooLarge       = "bodyTooLarge"
+	codeBodyTooSlow        = "bodyTooSlow"
+	codeNotFound           = "notFound"
+	codeMethodNotAllowed   = "methodNotAllowed"
+	codeInternalError      = "internalError"
+	codeTooManyConnections = "tooManyConnections"
+
+	defaultRetryAfter = time.Second
 )
 
-// callerFailure is an error as a caller sees it.
-type callerFailure struct {
+// failure is an error response to a caller.
+type failure struct {
 	status  int
 	code    string
 	message string
-	// outcome is NotRun when empty.
-	outcome    definer.Outcome
+	// outcome is reported as NotRun if it is empty.
+	outcome definer.Outcome
+	// retryAfter is 0 when a retry cannot help.
 	retryAfter time.Duration
-	// param names the field at fault; empty when there is none.
-	param    string
+	// param names the invalid field; it is empty when there is none.
+	param string
+	// keyOffer is a key bound to this process; it is empty when none is offered.
 	keyOffer string
 }
 
-// failureBody is the form of an error that callers of the OpenAI interface
-// know, with the outcome beside it.
+// failureBody is an error object of the OpenAI API, extended by the outcome.
 type failureBody struct {
 	Error   failureDetail   `json:"error"`
 	Outcome definer.Outcome `json:"outcome"`
@@ -61,41 +62,44 @@
 	Outcome definer.Outcome `json:"outcome"`
 }
 
-func failureFrom(refusal decider.Refusal) callerFailure {
+func refusalFailure(refusal decider.Refusal) failure {
 	code := string(refusal.Reason)
 	if refusal.Reason == messenger.NoModel {
-		code = codeNoModel
+		code = codeModelNotFound
 	}
-	return callerFailure{status: refusal.Status, code: code, message: refusal.Message, outcome: refusal.Outcome, retryAfter: refusal.RetryAfter, keyOffer: refusal.KeyOffer}
+	return failure{status: refusal.Status, code: code, message: refusal.Message, outcome: refusal.Outcome, retryAfter: refusal.RetryAfter, keyOffer: refusal.KeyOffer}
 }
 
-// stopping returns the refusal of a node that stops; what ran under the key of
-// an earlier sending is not known here.
-func stopping(key string) callerFailure {
-	return notNow(messenger.Draining, "the node is stopping", key)
+// stoppingFailure returns the refusal of a node that is stopping. Its outcome is Unknown for a
+// request with a key, because an earlier request with the same key may have run.
+func stoppingFailure(key string) failure {
+	return unavailable(messenger.Draining, "the node is stopping", key)
 }
 
-func notNow(reason messenger.RefusalReason, message, key string) callerFailure {
-	failure := callerFailure{status: http.StatusServiceUnavailable, code: string(reason), message: message, retryAfter: retryLater}
+// unavailable returns a refusal with status 503. Its outcome is Unknown for a request with a
+// non-empty key, and otherwise NotRun.
+func unavailable(reason messenger.RefusalReason, message, key string) failure {
+	failure := failure{status: http.StatusServiceUnavailable, code: string(reason), message: message, retryAfter: defaultRetryAfter}
 	if key != "" {
 		failure.outcome = definer.Unknown
 	}
 	return failure
 }
 
-func (failure callerFailure) told() definer.Outcome {
+// reportedOutcome returns the outcome that the response states.
+func (failure failure) reportedOutcome() definer.Outcome {
 	if failure.outcome == "" {
 		return definer.NotRun
 	}
 	return failure.outcome
 }
 
-func (failure callerFailure) body() []byte {
-	detail := failureDetail{Message: failure.message, Type: failureType(failure.status), Code: failure.code, Outcome: failure.told()}
+func (failure failure) body() []byte {
+	detail := failureDetail{Message: failure.message, Type: failureType(failure.status), Code: failure.code, Outcome: failure.reportedOutcome()}
 	if failure.param != "" {
 		detail.Param = &failure.param
 	}
-	body, err := json.Marshal(failureBody{Error: detail, Outcome: failure.told()})
+	body, err := json.Marshal(failureBody{Error: detail, Outcome: failure.reportedOutcome()})
 	if err != nil {
 		return []byte("{}")
 	}
@@ -115,24 +119,24 @@
 	}
 }
 
-func writeFailure(writer http.ResponseWriter, failure callerFailure) {
+func writeFailure(writer http.ResponseWriter, failure failure) {
 	header := writer.Header()
 	header.Set("Content-Type", "application/json")
-	header.Set(headerOutcome, string(failure.told()))
+	header.Set(headerOutcome, string(failure.reportedOutcome()))
 	if failure.retryAfter > 0 {
 		header.Set("Retry-After", strconv.Itoa(int(math.Ceil(failure.retryAfter.Seconds()))))
 	}
 	if failure.keyOffer != "" {
-		header.Set(headerOffer, failure.keyOffer)
+		header.Set(headerKeyOffer, failure.keyOffer)
 	}
 	writer.WriteHeader(failure.status)
 	_, _ = writer.Write(append(failure.body(), '\n'))
 }
 
 func notFound(writer http.ResponseWriter, _ *http.Request) {
-	writeFailure(writer, callerFailure{status: http.StatusNotFound, code: codeNotFound, message: "there is nothing at this path"})
+	writeFailure(writer, failure{status: http.StatusNotFound, code: codeNotFound, message: "no resource exists at this path"})
 }
 
 func methodNotAllowed(writer http.ResponseWriter, _ *http.Request) {
-	writeFailure(writer, callerFailure{status: http.StatusMethodNotAllowed, code: codeMethod, message: "the path does not take this method"})
+	writeFailure(writer, failure{status: http.StatusMethodNotAllowed, code: codeMethodNotAllowed, message: "the path does not support this method"})
 }
--- a/server/fuzz_test.go
+++ b/server/fuzz_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// FuzzParseCompletion checks that a body is either taken whole or refused with
-// an error that callers can read.
+// FuzzParseCompletion checks that each body is either valid JSON with a model, or refused with
+// status 400, a message and a JSON error body.
 func FuzzParseCompletion(f *testing.F) {
 	f.Add(`{"model":"m","messages":[{"role":"user","content":"x"}],"stream":true}`, true)
 	f.Add(`{"model":"m","prompt":["a","b"],"max_tokens":5}`, false)
@@ -23,7 +23,7 @@
 		}
 		parsed, failure, ok := parseCompletion(path, []byte(body))
 		if ok {
-			assert.Assert(t, json.Valid([]byte(body)) && parsed.Model != "" && parsed.bound() >= 0)
+			assert.Assert(t, json.Valid([]byte(body)) && parsed.Model != "" && parsed.tokenLimit() >= 0)
 			return
 		}
 		assert.Equal(t, failure.status, 400)
--- a/server/keys.go
+++ b/server/keys.go
@@ -9,20 +9,20 @@
 	"limpetcleat/decider"
 )
 
-// issuedKey is the form of the answer to POST /v1/keys.
+// issuedKey is the body of the response to POST /v1/keys.
 type issuedKey struct {
 	Object string `json:"object"`
 	Key    string `json:"key"`
 }
 
-// issue hands out a key that is bound to this process.
-func (server *Server) issue(writer http.ResponseWriter, request *http.Request, _ httprouter.Params, caller caller) {
-	call := server.calls.begin(caller.request)
-	defer server.calls.end(caller.request)
-	server.core.Submit(decider.KeyRequested{Request: caller.request})
+// serveKey responds with a new idempotency key that is bound to this process.
+func (server *Server) serveKey(writer http.ResponseWriter, request *http.Request, _ httprouter.Params, caller caller) {
+	mailbox := server.mailboxes.add(caller.requestID)
+	defer server.mailboxes.remove(caller.requestID)
+	server.core.Submit(decider.KeyRequested{Request: caller.requestID})
 	select {
 	case <-request.Context().Done():
-	case action := <-call.actions:
+	case action := <-mailbox.actions:
 		writeKey(writer, action)
 	}
 }
@@ -30,7 +30,7 @@
 func writeKey(writer http.ResponseWriter, action decider.Action) {
 	issued, ok := action.(decider.KeyIssued)
 	if !ok || issued.Key == "" {
-		writeFailure(writer, stopping(""))
+		writeFailure(writer, stoppingFailure(""))
 		return
 	}
 	writer.Header().Set("Content-Type", "application/json")
--- a/server/listener.go
+++ b/server/listener.go
@@ -12,109 +12,111 @@
 const (
 	defaultReadHeaderTimeout = 5 * time.Second
 	defaultIdleTimeout       = 2 * time.Minute
-	defaultMaxHeader         = 64 << 10
+	defaultMaxHeaderBytes    = 64 << 10
 	defaultMaxConnections    = 4096
-	// turnedAwayTimeout bounds the time for telling a connection too many.
-	turnedAwayTimeout = time.Second
-	// maxTurnedAway bounds the connections that are being told.
-	maxTurnedAway = 64
+	// refusalTimeout bounds the time for refusing a connection above the limit.
+	refusalTimeout = time.Second
+	// maxConcurrentRefusals bounds the connections that are refused with a response at the same
+	// time.
+	maxConcurrentRefusals = 64
 )
 
-// WithHeaderLimits bounds a request's header in bytes and in time.
+// WithHeaderLimits sets the maximum size of a request's header in bytes and the timeout for
+// reading the header.
 func WithHeaderLimits(size int, timeout time.Duration) Option {
-	return func(server *Server) { server.maxHeader, server.headerTimeout = size, timeout }
+	return func(server *Server) { server.maxHeaderBytes, server.headerTimeout = size, timeout }
 }
 
-// WithIdleTimeout sets how long an unused connection stays open.
+// WithIdleTimeout sets the time after which an idle connection is closed.
 func WithIdleTimeout(timeout time.Duration) Option {
 	return func(server *Server) { server.idleTimeout = timeout }
 }
 
-// WithMaxConnections bounds the open connections of callers.
+// WithMaxConnections sets the maximum number of open connections from callers.
 func WithMaxConnections(count int) Option {
 	return func(server *Server) { server.maxConnections = count }
 }
 
-// HTTP returns the HTTP server of the callers' interface, with its limits.
+// HTTP returns an HTTP server for the handler with the configured timeouts and limits.
 func (server *Server) HTTP() *http.Server {
 	return &http.Server{
 		Handler:           server.Handler(),
 		ReadHeaderTimeout: server.headerTimeout,
 		IdleTimeout:       server.idleTimeout,
-		MaxHeaderBytes:    server.maxHeader,
+		MaxHeaderBytes:    server.maxHeaderBytes,
 	}
 }
 
-// Limit returns a listener that answers connections above the bound with a
-// refusal and closes them.
+// Limit returns a listener that bounds the open connections. It responds with status 503 to
+// connections above the limit and closes them.
 func (server *Server) Limit(inner net.Listener) net.Listener {
-	return &listener{Listener: inner, slots: make(chan struct{}, server.maxConnections), turnedAway: make(chan struct{}, maxTurnedAway)}
+	return &limitedListener{Listener: inner, slots: make(chan struct{}, server.maxConnections), refusals: make(chan struct{}, maxConcurrentRefusals)}
 }
 
-// listener bounds the open connections.
-type listener struct {
+// limitedListener bounds the open connections.
+type limitedListener struct {
 	net.Listener
 	// slots holds one element for each open connection.
 	slots chan struct{}
-	// turnedAway holds one element for each connection that is being told.
-	turnedAway chan struct{}
+	// refusals holds one element for each connection that is being refused with a response.
+	refusals chan struct{}
 }
 
-// Accept returns the next connection within the bound.
-func (listener *listener) Accept() (net.Conn, error) {
+// Accept returns the next connection within the limit and refuses those above it.
+func (limitedListener *limitedListener) Accept() (net.Conn, error) {
 	for {
-		conn, err := listener.Listener.Accept()
+		conn, err := limitedListener.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
 		select {
-		case listener.slots <- struct{}{}:
-			return &slotted{Conn: conn, release: sync.OnceFunc(func() { <-listener.slots })}, nil
+		case limitedListener.slots <- struct{}{}:
+			return &limitedConn{Conn: conn, release: sync.OnceFunc(func() { <-limitedListener.slots })}, nil
 		default:
-			listener.turnAway(conn)
+			limitedListener.refuse(conn)
 		}
 	}
 }
 
-// turnAway tells a connection that there are too many, if not too many are
-// being told already.
-func (listener *listener) turnAway(conn net.Conn) {
+// refuse responds to a connection in a new goroutine and closes it. If too many refusals are in
+// progress, it closes the connection without a response.
+func (limitedListener *limitedListener) refuse(conn net.Conn) {
 	select {
-	case listener.turnedAway <- struct{}{}:
+	case limitedListener.refusals <- struct{}{}:
 		go func() {
-			defer func() { <-listener.turnedAway }()
-			refuse(conn)
+			defer func() { <-limitedListener.refusals }()
+			writeRefusal(conn)
 		}()
 	default:
 		_ = conn.Close()
 	}
 }
 
-// refuse writes a whole refusal and closes the connection once the caller has
-// had the time to read it.
-func refuse(conn net.Conn) {
+// writeRefusal writes a complete HTTP response. It closes the connection after the caller has
+// closed its side or refusalTimeout has passed, so that the caller can read the response.
+func writeRefusal(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
-	_ = conn.SetDeadline(time.Now().Add(turnedAwayTimeout))
-	failure := callerFailure{status: http.StatusServiceUnavailable, code: codeConnections, message: "too many connections are open", retryAfter: retryLater}
+	_ = conn.SetDeadline(time.Now().Add(refusalTimeout))
+	failure := failure{status: http.StatusServiceUnavailable, code: codeTooManyConnections, message: "too many connections are open", retryAfter: defaultRetryAfter}
 	body := failure.body()
-	_, err := fmt.Fprintf(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\n%s: %s\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s", headerOutcome, failure.told(), len(body), body)
+	_, err := fmt.Fprintf(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\n%s: %s\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s", headerOutcome, failure.reportedOutcome(), len(body), body)
 	if err != nil {
 		return
 	}
-	if half, ok := conn.(interface{ CloseWrite() error }); ok {
-		_ = half.CloseWrite()
+	if halfCloser, ok := conn.(interface{ CloseWrite() error }); ok {
+		_ = halfCloser.CloseWrite()
 	}
 	_, _ = io.Copy(io.Discard, conn)
 }
 
-// slotted gives its slot back when it is closed.
-type slotted struct {
+// limitedConn releases its slot when it is closed.
+type limitedConn struct {
 	net.Conn
 	release func()
 }
 
 // Close closes the connection.
-func (slotted *slotted) Close() error {
-	defer slotted.release()
-	return slotted.Conn.Close()
+func (limitedConn *limitedConn) Close() error {
+	defer limitedConn.release()
+	return limitedConn.Conn.Close()
 }
--- a/server/models.go
+++ b/server/models.go
@@ -7,7 +7,7 @@
 	"github.com/julienschmidt/httprouter"
 )
 
-// modelList is the form of the answer to GET /v1/models.
+// modelList is the body of the response to GET /v1/models.
 type modelList struct {
 	Object string      `json:"object"`
 	Data   []modelItem `json:"data"`
@@ -20,8 +20,8 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// models lists the models that some pool offers.
-func (server *Server) models(writer http.ResponseWriter, _ *http.Request, _ httprouter.Params, _ caller) {
+// serveModels lists the models that at least one pool offers.
+func (server *Server) serveModels(writer http.ResponseWriter, _ *http.Request, _ httprouter.Params, _ caller) {
 	list := modelList{Object: "list", Data: []modelItem{}}
 	for _, model := range server.configuration.Load().Models() {
 		list.Data = append(list.Data, modelItem{ID: model, Object: "model", OwnedBy: "limpetcleat"})
--- a/server/rejection.go
+++ b/server/rejection.go
@@ -6,46 +6,49 @@
 	"limpetcleat/definer"
 )
 
-// Rejected is told of each request that was turned away with an error of the
-// caller's before the core knew of it.
-type Rejected func(request definer.RequestID, status int)
+// RejectionHandler is called for each request that is rejected with a status from 400 to 499 before
+// it is submitted to the core.
+type RejectionHandler func(request definer.RequestID, status int)
 
-// WithRejected sets who is told of requests that never reached the core.
-func WithRejected(rejected Rejected) Option {
-	return func(server *Server) { server.rejected = rejected }
+// WithRejected sets the handler for requests that are rejected before they reach the core.
+func WithRejected(rejected RejectionHandler) Option {
+	return func(server *Server) { server.onRejection = rejected }
 }
 
-// observed notes the status of an answer.
-type observed struct {
+// statusRecorder is an http.ResponseWriter that records the status of the response.
+type statusRecorder struct {
 	http.ResponseWriter
-	// status is 0 until the answer has begun.
+	// status is 0 until the header is written.
 	status int
-	// carried says that the core knows of the request.
-	carried bool
+	// submitted reports whether the request was submitted to the core.
+	submitted bool
 }
 
-// WriteHeader writes and notes the status.
-func (observed *observed) WriteHeader(status int) {
-	observed.status = status
-	observed.ResponseWriter.WriteHeader(status)
+// WriteHeader writes and records the status.
+func (statusRecorder *statusRecorder) WriteHeader(status int) {
+	statusRecorder.status = status
+	statusRecorder.ResponseWriter.WriteHeader(status)
 }
 
-// Unwrap returns the writer beneath, for http.ResponseController.
-func (observed *observed) Unwrap() http.ResponseWriter { return observed.ResponseWriter }
+// Unwrap returns the underlying writer, for http.ResponseController.
+func (statusRecorder *statusRecorder) Unwrap() http.ResponseWriter {
+	return statusRecorder.ResponseWriter
+}
 
-// observe serves a request and tells of it if it was turned away.
-func (server *Server) observe(writer http.ResponseWriter, request *http.Request, next http.Handler) {
-	observed := &observed{ResponseWriter: writer}
-	next.ServeHTTP(observed, request)
-	turnedAway := observed.status >= http.StatusBadRequest && observed.status < http.StatusInternalServerError
-	if turnedAway && !observed.carried {
-		server.rejected(definer.RequestID(writer.Header().Get(headerRequest)), observed.status)
+// serveAndReport serves a request and calls onRejection if the request was rejected before it
+// reached the core.
+func (server *Server) serveAndReport(writer http.ResponseWriter, request *http.Request, next http.Handler) {
+	statusRecorder := &statusRecorder{ResponseWriter: writer}
+	next.ServeHTTP(statusRecorder, request)
+	clientError := statusRecorder.status >= http.StatusBadRequest && statusRecorder.status < http.StatusInternalServerError
+	if clientError && !statusRecorder.submitted {
+		server.onRejection(definer.RequestID(writer.Header().Get(headerRequestID)), statusRecorder.status)
 	}
 }
 
-// markCarried notes that the core knows of the request.
-func markCarried(writer http.ResponseWriter) {
-	if observed, ok := writer.(*observed); ok {
-		observed.carried = true
+// markSubmitted records that the request is submitted to the core.
+func markSubmitted(writer http.ResponseWriter) {
+	if statusRecorder, ok := writer.(*statusRecorder); ok {
+		statusRecorder.submitted = true
 	}
 }
--- a/server/rejection_test.go
+++ b/server/rejection_test.go
@@ -12,10 +12,10 @@
 
 func TestRejectionsAreToldOnce(t *testing.T) {
 	cases := []struct {
-		name    string
-		status  int
-		carried bool
-		told    bool
+		name      string
+		status    int
+		submitted bool
+		reported  bool
 	}{
 		{"unknown key", http.StatusUnauthorized, false, true},
 		{"malformed", http.StatusBadRequest, false, true},
@@ -25,16 +25,16 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			var told []int
-			server := New(nil, nil, WithRejected(func(_ definer.RequestID, status int) { told = append(told, status) }))
+			var reported []int
+			server := New(nil, nil, WithRejected(func(_ definer.RequestID, status int) { reported = append(reported, status) }))
 			handler := http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
-				if test.carried {
-					markCarried(writer)
+				if test.submitted {
+					markSubmitted(writer)
 				}
 				writer.WriteHeader(test.status)
 			})
-			server.observe(httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, "/", http.NoBody), handler)
-			assert.Equal(t, len(told) == 1 && told[0] == test.status, test.told)
+			server.serveAndReport(httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, "/", http.NoBody), handler)
+			assert.Equal(t, len(reported) == 1 && reported[0] == test.status, test.reported)
 		})
 	}
 }
--- a/server/server.go
+++ b/server/server.go
@@ -19,167 +19,171 @@
 )
 
 const (
-	defaultMaxBody     = 4 << 20
-	defaultBodyTimeout = 30 * time.Second
+	defaultMaxBodyBytes = 4 << 20
+	defaultBodyTimeout  = 30 * time.Second
 )
 
-// Core takes in events; its actions for a request come back
-// through Server.Hand.
+// Core is the state machine that decides about requests. It receives events, and its actions for a
+// request are delivered with Server.Hand.
 type Core interface {
 	Submit(event decider.Event)
 }
 
-// Runner carries out attempts.
+// Runner executes attempts. Run blocks until the attempt has ended and writes its answer to the
+// sink.
 type Runner interface {
 	Run(ctx context.Context, start decider.StartAttempt, exchange dispatcher.Exchange, sink dispatcher.Sink, progress dispatcher.Progress) decider.AttemptEnded
 }
 
-// Crashed is told of a request whose handling crashed. The stack holds no text
-// of the request or its answer.
-type Crashed func(request definer.RequestID, cause any, stack []byte)
+// CrashHandler is called for each request whose handler panicked, with the recovered value. The
+// stack contains no text of the request or its answer.
+type CrashHandler func(request definer.RequestID, cause any, stack []byte)
 
-// Server serves callers.
+// Server serves the requests of callers. It is safe for concurrent use.
 type Server struct {
-	core    Core
-	runner  Runner
-	calls   *calls
-	peers   Peers
-	crashed Crashed
-	// rejected is told of requests that never reached the core.
-	rejected Rejected
-	// configuration is nil before the first.
+	core      Core
+	runner    Runner
+	mailboxes *mailboxes
+	peers     Peers
+	onCrash   CrashHandler
+	// onRejection is called for requests that are rejected before they reach the core.
+	onRejection RejectionHandler
+	// configuration is nil until the first call of Apply.
 	configuration atomic.Pointer[definer.Configuration]
-	// ready tells the balancer whether to send callers here.
+	// ready determines the status of /readyz.
 	ready          atomic.Bool
-	maxBody        int64
+	maxBodyBytes   int64
 	bodyTimeout    time.Duration
-	maxHeader      int
+	maxHeaderBytes int
 	headerTimeout  time.Duration
 	idleTimeout    time.Duration
 	maxConnections int
-	// forwards serves calls that peers handed on.
-	forwards http.Handler
-	// life ends when the server is closed.
-	life context.Context
-	end  context.CancelFunc
-	// passages counts the requests under way.
-	passages sync.WaitGroup
-	// group runs the calls that peers handed on.
+	// forwardedHandler serves calls that peers forwarded.
+	forwardedHandler http.Handler
+	// lifetime is cancelled when the server is closed.
+	lifetime context.Context
+	cancel   context.CancelFunc
+	// activeRequests counts the requests that are being served.
+	activeRequests sync.WaitGroup
+	// group runs the calls that peers forwarded.
 	group conc.WaitGroup
-	// mutex guards forwarded and the end of life; no other lock is taken under it.
+	// mutex guards forwardedCalls and the cancellation of lifetime; no other lock is taken under it.
 	mutex sync.Mutex
-	// forwarded holds the calls that peers handed on and that are under way.
-	forwarded map[definer.RequestID]struct{}
+	// forwardedCalls holds the running calls that peers forwarded.
+	forwardedCalls map[definer.RequestID]struct{}
 }
 
 // Option changes one setting of a Server.
 type Option func(*Server)
 
-// WithBodyLimits bounds a request's body in bytes and in time.
+// WithBodyLimits sets the maximum size of a request's body in bytes and the timeout for reading the
+// body.
 func WithBodyLimits(size int64, timeout time.Duration) Option {
-	return func(server *Server) { server.maxBody, server.bodyTimeout = size, timeout }
+	return func(server *Server) { server.maxBodyBytes, server.bodyTimeout = size, timeout }
 }
 
-// WithCrashed sets who is told of each request whose handling crashed.
-func WithCrashed(crashed Crashed) Option {
-	return func(server *Server) { server.crashed = crashed }
+// WithCrashed sets the handler for requests whose handling panicked.
+func WithCrashed(crashed CrashHandler) Option {
+	return func(server *Server) { server.onCrash = crashed }
 }
 
-// WithPeers sets how calls are handed on to other processes.
+// WithPeers sets the transport for calls that are forwarded to other processes.
 func WithPeers(peers Peers) Option {
 	return func(server *Server) { server.peers = peers }
 }
 
-// alone hands calls on to nobody.
-type alone struct{}
+// noPeers is the transport of a server without peers.
+type noPeers struct{}
 
 // Forward drops a message.
-func (alone) Forward(string, messenger.Message) {}
+func (noPeers) Forward(string, messenger.Message) {}
 
-// New returns a server that hands requests to the core and attempts to the
-// runner; Close ends it.
+// New returns a server that submits requests to the core and executes attempts with the runner. The
+// caller must call Close.
 func New(core Core, runner Runner, options ...Option) *Server {
 	server := &Server{
 		core:           core,
 		runner:         runner,
-		calls:          newCalls(),
-		peers:          alone{},
-		crashed:        func(definer.RequestID, any, []byte) {},
-		rejected:       func(definer.RequestID, int) {},
-		maxBody:        defaultMaxBody,
+		mailboxes:      newMailboxes(),
+		peers:          noPeers{},
+		onCrash:        func(definer.RequestID, any, []byte) {},
+		onRejection:    func(definer.RequestID, int) {},
+		maxBodyBytes:   defaultMaxBodyBytes,
 		bodyTimeout:    defaultBodyTimeout,
-		maxHeader:      defaultMaxHeader,
+		maxHeaderBytes: defaultMaxHeaderBytes,
 		headerTimeout:  defaultReadHeaderTimeout,
 		idleTimeout:    defaultIdleTimeout,
 		maxConnections: defaultMaxConnections,
-		forwarded:      make(map[definer.RequestID]struct{}),
+		forwardedCalls: make(map[definer.RequestID]struct{}),
 	}
-	server.life, server.end = context.WithCancel(context.Background())
+	server.lifetime, server.cancel = context.WithCancel(context.Background())
 	for _, option := range options {
 		option(server)
 	}
-	server.forwards = server.routes(believed)
+	server.forwardedHandler = server.routes(requireForwarded)
 	return server
 }
 
-// Close cuts what goes on without a caller, and waits for all requests.
+// Close cancels forwarded calls and attempts that continue without their caller, refuses new
+// requests, and waits until all requests have ended.
 func (server *Server) Close() {
 	server.mutex.Lock()
-	server.end()
+	server.cancel()
 	server.mutex.Unlock()
 	server.group.Wait()
-	server.passages.Wait()
+	server.activeRequests.Wait()
 }
 
-// Apply sets the configuration whose keys and models the server uses.
+// Apply sets the configuration that provides the keys and models.
 func (server *Server) Apply(configuration *definer.Configuration) {
 	server.configuration.Store(configuration)
 }
 
-// SetReady tells the balancer, through /readyz, whether to send callers here.
+// SetReady sets the status that /readyz reports to load balancers. The node is not reported as
+// ready before the first call of Apply.
 func (server *Server) SetReady(ready bool) { server.ready.Store(ready) }
 
-// Handler returns the callers' interface.
+// Handler returns the HTTP API for callers, with the health and readiness endpoints.
 func (server *Server) Handler() http.Handler {
-	router := server.routes(server.authenticated)
-	router.GET("/healthz", server.health)
-	router.GET("/readyz", server.readiness)
+	router := server.routes(server.requireKey)
+	router.GET("/healthz", server.serveHealth)
+	router.GET("/readyz", server.serveReadiness)
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		writer.Header().Set(headerRequest, uuid.NewString())
-		server.observe(writer, request, router)
+		writer.Header().Set(headerRequestID, uuid.NewString())
+		server.serveAndReport(writer, request, router)
 	})
 }
 
-// routes returns the paths of requests whose callers known finds out.
-func (server *Server) routes(known func(handle) httprouter.Handle) *httprouter.Router {
+// routes returns a router for the API; identify determines the caller of each request.
+func (server *Server) routes(identify func(callerHandle) httprouter.Handle) *httprouter.Router {
 	router := httprouter.New()
-	router.GET("/v1/models", known(server.models))
-	router.POST("/v1/keys", known(server.issue))
-	router.POST("/v1/chat/completions", known(server.completion))
-	router.POST("/v1/completions", known(server.completion))
+	router.GET("/v1/models", identify(server.serveModels))
+	router.POST("/v1/keys", identify(server.serveKey))
+	router.POST("/v1/chat/completions", identify(server.serveCompletion))
+	router.POST("/v1/completions", identify(server.serveCompletion))
 	for _, method := range []string{http.MethodGet, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete} {
-		router.Handle(method, "/services/:name/*path", known(server.service))
+		router.Handle(method, "/services/:name/*path", identify(server.serveService))
 	}
 	router.HandleOPTIONS = false
 	router.RedirectTrailingSlash = false
 	router.RedirectFixedPath = false
 	router.NotFound = http.HandlerFunc(notFound)
 	router.MethodNotAllowed = http.HandlerFunc(methodNotAllowed)
-	router.PanicHandler = server.rescue
+	router.PanicHandler = server.handlePanic
 	return router
 }
 
-// rescue answers a request whose handling crashed before the core knew of it.
-func (server *Server) rescue(writer http.ResponseWriter, _ *http.Request, cause any) {
-	server.crashed(definer.RequestID(writer.Header().Get(headerRequest)), cause, debug.Stack())
-	writeFailure(writer, crash())
+// handlePanic responds to a request whose handler panicked before it was submitted to the core.
+func (server *Server) handlePanic(writer http.ResponseWriter, _ *http.Request, cause any) {
+	server.onCrash(definer.RequestID(writer.Header().Get(headerRequestID)), cause, debug.Stack())
+	writeFailure(writer, panicFailure())
 }
 
-func (server *Server) health(writer http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
+func (server *Server) serveHealth(writer http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	writer.WriteHeader(http.StatusOK)
 }
 
-func (server *Server) readiness(writer http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
+func (server *Server) serveReadiness(writer http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	if !server.ready.Load() || server.configuration.Load() == nil {
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
--- a/server/service.go
+++ b/server/service.go
@@ -8,14 +8,14 @@
 	"limpetcleat/dispatcher"
 )
 
-// service serves calls to plain services.
-func (server *Server) service(writer http.ResponseWriter, request *http.Request, params httprouter.Params, caller caller) {
-	body, failure, ok := server.read(writer, request)
+// serveService serves calls to the service that the path names.
+func (server *Server) serveService(writer http.ResponseWriter, request *http.Request, params httprouter.Params, caller caller) {
+	body, failure, ok := server.readBody(writer, request)
 	if !ok {
 		writeFailure(writer, failure)
 		return
 	}
-	arrived, failure, ok := arrival(request, caller, body)
+	arrived, failure, ok := newRequestArrived(request, caller, body)
 	if !ok {
 		writeFailure(writer, failure)
 		return
@@ -27,5 +27,5 @@
 		path += "?" + request.URL.RawQuery
 	}
 	exchange := dispatcher.Exchange{Method: request.Method, Path: path, Header: request.Header, Body: body}
-	server.carry(request, writer, arrived, exchange)
+	server.serveRequest(request, writer, arrived, exchange)
 }
--- a/server/sink.go
+++ b/server/sink.go
@@ -8,11 +8,11 @@
 	"limpetcleat/messenger"
 )
 
-// sink writes one answer to one caller.
+// sink writes the response to one request. It implements dispatcher.Sink.
 type sink struct {
 	writer     http.ResponseWriter
 	controller *http.ResponseController
-	// status is 0 until the answer has begun.
+	// status is 0 until the header is written.
 	status int
 }
 
@@ -20,23 +20,23 @@
 	return &sink{writer: writer, controller: http.NewResponseController(writer)}
 }
 
-// Begin writes the status and the header. The answer counts as one of a request
-// that ran unless the header says otherwise.
+// Begin writes the status and the header, except for the request id, which the server has set. The
+// outcome is Ran unless the header states another.
 func (sink *sink) Begin(status int, header http.Header) {
-	own := sink.writer.Header()
+	ownHeader := sink.writer.Header()
 	for name, values := range header {
-		if name != headerRequest {
-			own[name] = values
+		if name != headerRequestID {
+			ownHeader[name] = values
 		}
 	}
-	if own.Get(headerOutcome) == "" {
-		own.Set(headerOutcome, string(definer.Ran))
+	if ownHeader.Get(headerOutcome) == "" {
+		ownHeader.Set(headerOutcome, string(definer.Ran))
 	}
 	sink.status = status
 	sink.writer.WriteHeader(status)
 }
 
-// Write writes a part of the body and pushes it to the caller.
+// Write writes a part of the body and flushes it to the caller.
 func (sink *sink) Write(data []byte) error {
 	if _, err := sink.writer.Write(data); err != nil {
 		return err
@@ -44,12 +44,13 @@
 	return sink.controller.Flush()
 }
 
-// Begun tells whether Begin was called.
+// Begun reports whether the header was written.
 func (sink *sink) Begun() bool { return sink.status != 0 }
 
-// fail ends the answer with an error: as the whole answer when none has begun,
-// else as an explicit last event, never as a silent end.
-func (sink *sink) fail(failure callerFailure) {
+// fail ends the response with a failure: as the whole response if the header is unwritten,
+// otherwise as a last event of the stream, so that callers can distinguish a failure from a normal
+// end.
+func (sink *sink) fail(failure failure) {
 	if !sink.Begun() {
 		sink.status = failure.status
 		writeFailure(sink.writer, failure)
@@ -59,14 +60,14 @@
 	_ = sink.Write(append(last, '\n', '\n'))
 }
 
-// replay gives an answer that was kept.
+// replay writes a stored answer as the response.
 func (sink *sink) replay(answer decider.StoredAnswer) {
 	sink.writer.Header().Set("Idempotency-Replayed", "true")
 	sink.Begin(answer.Status, answer.Header)
 	_ = sink.Write(answer.Body)
 }
 
-// relay gives an answer that a peer gave for this request.
+// relay writes a peer's answer as the response.
 func (sink *sink) relay(answer *messenger.CallAnswer) {
 	header := http.Header(answer.Header).Clone()
 	if header == nil {
