--- a/server/benchmark_test.go
+++ b/server/benchmark_test.go
@@ -12,30 +12,29 @@
 	"gotest.tools/v3/assert"
 )
 
-// BenchmarkWholePath compares a call through a node with the same call sent to
-// the stand-in engine directly, in turn within one run. The allocations are
-// those of the whole process for one call, so that their difference is the
-// node's.
+// BenchmarkWholePath measures the latency and allocations that a node adds to a call. It sends
+// calls alternately through a node and directly to the stand-in engine. Allocations are counted for
+// the whole process, so their difference is the node's share.
 func BenchmarkWholePath(b *testing.B) {
 	for _, stream := range []bool{false, true} {
 		b.Run(fmt.Sprintf("streamed=%t", stream), func(b *testing.B) {
-			system := start(b, plan{slots: 64})
+			system := start(b, setup{slots: 64})
 			body := chat("zips #len=8", stream)
-			through := func() *http.Request { return system.request("/v1/chat/completions", body) }
+			viaNode := func() *http.Request { return system.request("/v1/chat/completions", body) }
 			direct := func() *http.Request {
-				request := through()
-				request.URL.Host = system.engines[0]
+				request := viaNode()
+				request.URL.Host = system.engineAddresses[0]
 				return request
 			}
 			for range 20 {
-				timed(b, through())
-				timed(b, direct())
+				timeRequest(b, viaNode())
+				timeRequest(b, direct())
 			}
 			var node, engine []time.Duration
 			nodeAllocations, engineAllocations := uint64(0), uint64(0)
 			for b.Loop() {
-				node = append(node, counted(b, through, &nodeAllocations))
-				engine = append(engine, counted(b, direct, &engineAllocations))
+				node = append(node, timeAndCount(b, viaNode, &nodeAllocations))
+				engine = append(engine, timeAndCount(b, direct, &engineAllocations))
 			}
 			for _, share := range []float64{0.5, 0.99} {
 				b.ReportMetric(milliseconds(quantile(node, share)-quantile(engine, share)), fmt.Sprintf("added-ms-p%.0f", 100*share))
@@ -48,17 +47,19 @@
 	}
 }
 
-func counted(b *testing.B, request func() *http.Request, allocations *uint64) time.Duration {
+// timeAndCount returns the duration of a request and adds the allocations of the process during the
+// request to allocations.
+func timeAndCount(b *testing.B, request func() *http.Request, allocations *uint64) time.Duration {
 	var before, after runtime.MemStats
-	made := request()
+	prepared := request()
 	runtime.ReadMemStats(&before)
-	taken := timed(b, made)
+	elapsed := timeRequest(b, prepared)
 	runtime.ReadMemStats(&after)
 	*allocations += after.Mallocs - before.Mallocs
-	return taken
+	return elapsed
 }
 
-func timed(b *testing.B, request *http.Request) time.Duration {
+func timeRequest(b *testing.B, request *http.Request) time.Duration {
 	began := time.Now()
 	response, err := http.DefaultClient.Do(request)
 	assert.NilError(b, err)
--- a/server/client_test.go
+++ b/server/client_test.go
@@ -14,46 +14,46 @@
 	"limpetcleat/standin/engine"
 )
 
-// client returns the official client of the interface, without retries.
+// client returns the official OpenAI client, connected to the first node, without retries.
 func (system *system) client(key string, options ...option.RequestOption) openai.Client {
 	return openai.NewClient(append([]option.RequestOption{
-		option.WithBaseURL("http://" + system.callers[0] + "/v1"), option.WithAPIKey(key), option.WithMaxRetries(0),
+		option.WithBaseURL("http://" + system.callerAddresses[0] + "/v1"), option.WithAPIKey(key), option.WithMaxRetries(0),
 	}, options...)...)
 }
 
-func chatOf(model, prompt string) openai.ChatCompletionNewParams {
+func chatParams(model, prompt string) openai.ChatCompletionNewParams {
 	return openai.ChatCompletionNewParams{Model: model, Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage(prompt)}}
 }
 
-func completionOf(prompt string) openai.CompletionNewParams {
+func completionParams(prompt string) openai.CompletionNewParams {
 	return openai.CompletionNewParams{Model: model, Prompt: openai.CompletionNewParamsPromptUnion{OfString: openai.String(prompt)}}
 }
 
 func TestOfficialClientAnswers(t *testing.T) {
-	system := start(t, plan{})
+	system := start(t, setup{})
 	client := system.client(apiKey)
 	ctx := context.Background()
 
-	whole, err := client.Chat.Completions.New(ctx, chatOf(model, prompt))
+	whole, err := client.Chat.Completions.New(ctx, chatParams(model, prompt))
 	assert.NilError(t, err)
 	assert.Equal(t, whole.Choices[0].Message.Content, expected(prompt, 20))
 	assert.Equal(t, whole.Choices[0].FinishReason, "stop")
 	assert.Equal(t, whole.Usage.CompletionTokens, int64(20))
 
-	stream := client.Chat.Completions.NewStreaming(ctx, chatOf(model, prompt))
+	stream := client.Chat.Completions.NewStreaming(ctx, chatParams(model, prompt))
 	accumulated := openai.ChatCompletionAccumulator{}
 	for stream.Next() {
-		assert.Assert(t, accumulated.AddChunk(stream.Current()), "all chunks have one id")
+		assert.Assert(t, accumulated.AddChunk(stream.Current()), "all chunks must have the same id")
 	}
 	assert.NilError(t, stream.Err())
 	assert.Equal(t, accumulated.Choices[0].Message.Content, expected(prompt, 20))
 	assert.Equal(t, accumulated.Choices[0].FinishReason, "stop")
 
-	text, err := client.Completions.New(ctx, completionOf(prompt))
+	text, err := client.Completions.New(ctx, completionParams(prompt))
 	assert.NilError(t, err)
 	assert.Equal(t, text.Choices[0].Text, engine.Answer(model, prompt, 0, 20))
 
-	parts := client.Completions.NewStreaming(ctx, completionOf(prompt))
+	parts := client.Completions.NewStreaming(ctx, completionParams(prompt))
 	joined := ""
 	for parts.Next() {
 		joined += parts.Current().Choices[0].Text
@@ -68,7 +68,7 @@
 }
 
 func TestOfficialClientRefusals(t *testing.T) {
-	system := start(t, plan{slots: 1, engine: []engine.Option{engine.WithTokenTime(10*time.Millisecond, 0)}})
+	system := start(t, setup{slots: 1, engine: []engine.Option{engine.WithTokenTime(10*time.Millisecond, 0)}})
 	cases := []struct {
 		name, key, model, code string
 		busy                   bool
@@ -84,10 +84,10 @@
 			system.t = t
 			options := []option.RequestOption{}
 			if test.busy {
-				system.fill(t, 8)
+				system.saturate(t, 8)
 				options = append(options, option.WithHeader("X-Request-Timeout-Ms", "100"))
 			}
-			_, err := new(system.client(test.key, options...)).Chat.Completions.New(context.Background(), chatOf(test.model, prompt))
+			_, err := new(system.client(test.key, options...)).Chat.Completions.New(context.Background(), chatParams(test.model, prompt))
 			var failure *openai.Error
 			assert.Assert(t, errors.As(err, &failure), "%v", err)
 			assert.Equal(t, failure.StatusCode, test.status, failure.RawJSON())
@@ -101,12 +101,13 @@
 	}
 }
 
-// fill gives the one slot work for long, and some more to wait behind it.
-func (system *system) fill(t *testing.T, count int) {
+// saturate sends long streaming requests that occupy the only slot and queue behind it, and returns
+// once an engine has received one.
+func (system *system) saturate(t *testing.T, requests int) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	for range count {
+	for range requests {
 		request := system.request("/v1/chat/completions", chat("busy #len=2000", true)).WithContext(ctx)
 		go func() {
 			response, err := http.DefaultClient.Do(request)
@@ -122,10 +123,10 @@
 }
 
 func TestOfficialClientSeesBrokenStreams(t *testing.T) {
-	system := start(t, plan{})
-	system.fault(`{"cutAfterTokens":3,"cutCount":50}`, "")
+	system := start(t, setup{})
+	system.injectFaults(`{"cutAfterTokens":3,"cutCount":50}`, "")
 	client := system.client(apiKey)
-	stream := client.Chat.Completions.NewStreaming(context.Background(), chatOf(model, prompt))
+	stream := client.Chat.Completions.NewStreaming(context.Background(), chatParams(model, prompt))
 	count := 0
 	for stream.Next() {
 		count++
@@ -135,10 +136,10 @@
 }
 
 func TestOfficialClientCancels(t *testing.T) {
-	system := start(t, plan{})
+	system := start(t, setup{})
 	ctx, cancel := context.WithCancel(context.Background())
 	client := system.client(apiKey)
-	stream := client.Chat.Completions.NewStreaming(ctx, chatOf(model, "zips #len=5000"))
+	stream := client.Chat.Completions.NewStreaming(ctx, chatParams(model, "zips #len=5000"))
 	assert.Assert(t, stream.Next())
 	cancel()
 	for stream.Next() {
@@ -146,6 +147,6 @@
 	}
 	assert.ErrorIs(t, stream.Err(), context.Canceled)
 	for attempt := range system.attempts() {
-		system.await(attempt[:len(attempt)-len(".1")], func(record engine.Record) bool { return record.Cancelled })
+		system.awaitRecord(attempt[:len(attempt)-len(".1")], func(record engine.Record) bool { return record.Cancelled })
 	}
 }
--- a/server/crash_test.go
+++ b/server/crash_test.go
@@ -17,18 +17,19 @@
 	"limpetcleat/standin/caller"
 )
 
-// crasher is a core and a runner that crash where they are told to.
+// crasher is a core and a runner that panic at one point.
 type crasher struct {
-	at string
-	// served takes the actions; it is set before the first event.
+	// point names the point of the panic, as passed to crash.
+	point string
+	// served receives the actions; it is set before the first event.
 	served *server.Server
 	mutex  sync.Mutex
-	seen   []decider.Event
+	events []decider.Event
 }
 
-// crash fails as a fault in the code would.
+// crash panics with a nil dereference, as a programming error does, if at is the chosen point.
 func (crasher *crasher) crash(at string) {
-	if crasher.at == at {
+	if crasher.point == at {
 		var missing *definer.Class
 		_ = missing.Name()
 	}
@@ -36,7 +37,7 @@
 
 func (crasher *crasher) Submit(event decider.Event) {
 	crasher.mutex.Lock()
-	crasher.seen = append(crasher.seen, event)
+	crasher.events = append(crasher.events, event)
 	crasher.mutex.Unlock()
 	switch event := event.(type) {
 	case decider.RequestArrived:
@@ -53,7 +54,7 @@
 }
 
 func (crasher *crasher) Run(_ context.Context, start decider.StartAttempt, _ dispatcher.Exchange, sink dispatcher.Sink, _ dispatcher.Progress) decider.AttemptEnded {
-	if crasher.at == "stream" {
+	if crasher.point == "stream" {
 		sink.Begin(http.StatusOK, http.Header{})
 	}
 	crasher.crash("run")
@@ -76,12 +77,12 @@
 		{at: "stream", status: http.StatusOK, outcome: "unknown"},
 		{at: "end", status: http.StatusInternalServerError, outcome: "unknown", left: true},
 	}
-	system := &system{t: t, service: nowhere, engines: []string{nowhere}, plan: plan{slots: 1}}
+	system := &system{t: t, serviceAddress: closedAddress, engineAddresses: []string{closedAddress}, setup: setup{slots: 1}}
 	configuration, err := definer.Build(1, system.document())
 	assert.NilError(t, err)
 	for _, test := range cases {
 		t.Run(test.at+test.key, func(t *testing.T) {
-			crasher := &crasher{at: test.at}
+			crasher := &crasher{point: test.at}
 			crashes := 0
 			served := server.New(crasher, crasher, server.WithCrashed(func(id definer.RequestID, cause any, stack []byte) {
 				assert.Assert(t, id != "" && cause != nil && len(stack) > 0)
@@ -99,8 +100,8 @@
 			assert.Equal(t, answer.Outcome, test.outcome)
 			assert.Equal(t, answer.Header.Get("Retry-After") != "", test.retryAfter)
 			assert.Equal(t, crashes > 0, test.at != "nowhere")
-			_, left := crasher.seen[len(crasher.seen)-1].(decider.CallerLeft)
-			assert.Equal(t, left, test.left, "the core has to forget the request")
+			_, left := crasher.events[len(crasher.events)-1].(decider.CallerLeft)
+			assert.Equal(t, left, test.left, "whether the last event is CallerLeft, so that the core ends the request")
 			served.Close()
 		})
 	}
--- a/server/leave_test.go
+++ b/server/disconnect_test.go
@@ -9,8 +9,9 @@
 	"limpetcleat/standin/engine"
 )
 
-// leave sends a request, goes away once an engine runs it, and returns its id.
-func (system *system) leave(request *http.Request, stream bool) string {
+// sendAndDisconnect sends a request, disconnects once an engine has generated some tokens, and
+// returns the request's id.
+func (system *system) sendAndDisconnect(request *http.Request, stream bool) string {
 	system.t.Helper()
 	before := system.attempts()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -44,8 +45,8 @@
 
 func (system *system) attempts() map[string]engine.Record {
 	attempts := make(map[string]engine.Record)
-	for _, address := range system.engines {
-		runs, err := at(address).EngineRuns(context.Background())
+	for _, address := range system.engineAddresses {
+		runs, err := controllerOf(address).EngineRuns(context.Background())
 		assert.NilError(system.t, err)
 		for _, record := range runs.Attempts {
 			attempts[record.AttemptID] = record
@@ -54,9 +55,9 @@
 	return attempts
 }
 
-// await returns the record of a request's only attempt once the condition
-// holds; the test's own timeout is the only bound.
-func (system *system) await(id string, holds func(engine.Record) bool) engine.Record {
+// awaitRecord polls until a record of the request's attempts fulfils the condition, and returns the
+// record. Only the test's own timeout bounds the wait.
+func (system *system) awaitRecord(id string, holds func(engine.Record) bool) engine.Record {
 	system.t.Helper()
 	for {
 		for _, record := range system.records(id) {
--- a/server/input_test.go
+++ b/server/input_test.go
@@ -24,8 +24,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// hasty are limits that a test can reach.
-func hasty() []server.Option {
+// shortLimits returns limits low enough for a test to exceed.
+func shortLimits() []server.Option {
 	return []server.Option{
 		server.WithBodyLimits(4<<10, 200*time.Millisecond),
 		server.WithHeaderLimits(8<<10, 200*time.Millisecond),
@@ -33,8 +33,8 @@
 	}
 }
 
-// failure is the body of an error.
-type failure struct {
+// errorBody is the body of an error response.
+type errorBody struct {
 	Error struct {
 		Message, Type, Code, Param, Outcome string
 	}
@@ -42,7 +42,7 @@
 }
 
 func TestWrongRequests(t *testing.T) {
-	system := start(t, plan{server: hasty()})
+	system := start(t, setup{server: shortLimits()})
 	const chats, texts, stock = "/v1/chat/completions", "/v1/completions", "/services/stock/x"
 	cases := []struct {
 		name, path, body, param string
@@ -87,7 +87,7 @@
 			answer := system.do(system.request(test.path, test.body, test.headers...))
 			assert.NilError(t, answer.Err)
 			assert.Equal(t, answer.Status, test.status, answer.Body)
-			var failure failure
+			var failure errorBody
 			assert.NilError(t, json.Unmarshal([]byte(answer.Body), &failure), answer.Body)
 			assert.Equal(t, failure.Error.Param, test.param, answer.Body)
 			assert.Assert(t, strings.Contains(failure.Error.Message, test.param))
@@ -102,16 +102,16 @@
 	assert.Equal(t, len(system.attempts()), 0)
 }
 
-// TestHostileConnections checks what bytes on a bare connection come to, and
-// that callers are served after each.
+// TestHostileConnections sends malformed, slow and truncated requests on raw connections. It checks
+// the statuses of the responses, and that the node serves other callers afterwards.
 func TestHostileConnections(t *testing.T) {
-	system := start(t, plan{server: hasty()})
+	system := start(t, setup{server: shortLimits()})
 	head := "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + apiKey + "\r\n"
 	cases := []struct {
 		name, sent string
-		// leaves says that the caller closes at once.
+		// leaves makes the caller close the connection without reading a response.
 		leaves bool
-		// statuses are those of the answers until the connection ends.
+		// statuses are those of all responses on the connection.
 		statuses []int
 	}{
 		{name: "header flood", sent: head + strings.Repeat("X-Flood: aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa\r\n", 1000) + "\r\n", statuses: []int{431}},
@@ -133,21 +133,21 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			system.t = t
-			conn, err := net.Dial("tcp", system.callers[0])
+			conn, err := net.Dial("tcp", system.callerAddresses[0])
 			assert.NilError(t, err)
 			defer func() { _ = conn.Close() }()
 			go func() { _, _ = io.WriteString(conn, test.sent) }()
 			if !test.leaves {
-				assert.DeepEqual(t, statuses(conn), test.statuses)
+				assert.DeepEqual(t, readStatuses(conn), test.statuses)
 			}
 			_ = conn.Close()
-			system.stillServes()
+			system.assertServes()
 		})
 	}
 }
 
-// statuses reads answers until the connection ends.
-func statuses(conn net.Conn) []int {
+// readStatuses reads responses until the connection is closed and returns their statuses.
+func readStatuses(conn net.Conn) []int {
 	var statuses []int
 	reader := bufio.NewReader(conn)
 	for {
@@ -160,7 +160,7 @@
 	}
 }
 
-func (system *system) stillServes() {
+func (system *system) assertServes() {
 	system.t.Helper()
 	answer := system.do(system.request("/v1/chat/completions", chat(prompt, false)))
 	assert.NilError(system.t, answer.Err)
@@ -168,8 +168,8 @@
 }
 
 func TestTooManyConnections(t *testing.T) {
-	const most = 4
-	system := start(t, plan{server: []server.Option{server.WithMaxConnections(most)}})
+	const maxConnections = 4
+	system := start(t, setup{server: []server.Option{server.WithMaxConnections(maxConnections)}})
 	http.DefaultTransport.(*http.Transport).CloseIdleConnections()
 	var open []net.Conn
 	defer func() {
@@ -178,7 +178,7 @@
 		}
 	}()
 	for {
-		conn, err := net.Dial("tcp", system.callers[0])
+		conn, err := net.Dial("tcp", system.callerAddresses[0])
 		assert.NilError(t, err)
 		open = append(open, conn)
 		_, err = io.WriteString(conn, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -192,7 +192,7 @@
 			assert.Equal(t, response.Header.Get("Retry-After"), "1")
 			break
 		}
-		assert.Assert(t, len(open) <= most)
+		assert.Assert(t, len(open) <= maxConnections)
 	}
 	for _, conn := range open {
 		_ = conn.Close()
@@ -202,45 +202,45 @@
 	}
 }
 
-// TestLeavingInMidStream checks that many callers who leave take nothing with
-// them: their work is cancelled and the next caller is served.
+// TestLeavingInMidStream checks that the work of callers who disconnect in the middle of a stream
+// is cancelled, and that the next caller is served.
 func TestLeavingInMidStream(t *testing.T) {
-	system := start(t, plan{engine: []engine.Option{engine.WithResumeGrace(time.Hour)}})
+	system := start(t, setup{engine: []engine.Option{engine.WithResumeGrace(time.Hour)}})
 	for range 5 {
-		id := system.leave(system.request("/v1/chat/completions", chat("zips #len=5000", true)), true)
-		system.await(id, func(record engine.Record) bool { return record.Cancelled })
+		id := system.sendAndDisconnect(system.request("/v1/chat/completions", chat("zips #len=5000", true)), true)
+		system.awaitRecord(id, func(record engine.Record) bool { return record.Cancelled })
 	}
-	system.stillServes()
+	system.assertServes()
 }
 
-// journal is a logger that keeps all it is told.
-type journal struct {
+// recordingLogger is a logger that keeps all events as text.
+type recordingLogger struct {
 	mutex sync.Mutex
 	text  strings.Builder
 }
 
-func (journal *journal) Event(number int, pairs ...any) {
-	journal.mutex.Lock()
-	defer journal.mutex.Unlock()
-	_, _ = fmt.Fprintln(&journal.text, number, pairs)
+func (recordingLogger *recordingLogger) Event(number int, pairs ...any) {
+	recordingLogger.mutex.Lock()
+	defer recordingLogger.mutex.Unlock()
+	_, _ = fmt.Fprintln(&recordingLogger.text, number, pairs)
 }
 
 func TestLogsHoldNoSecrets(t *testing.T) {
-	journal := &journal{}
-	system := start(t, plan{node: []limpetcleat.Option{limpetcleat.WithLogger(journal)}})
+	logger := &recordingLogger{}
+	system := start(t, setup{node: []limpetcleat.Option{limpetcleat.WithLogger(logger)}})
 	const secretPrompt, secretKey = "secretprompt #len=9", "secretidempotency"
 	send := func(path, body string) {
 		system.do(system.request(path, body, "X-Repeat", "keyed", "Idempotency-Key", secretKey))
 		system.do(system.request(path, body))
 	}
 	for _, faults := range []string{`{}`, `{"crossed":9}`, `{"failBefore":9}`, `{"cutAfterTokens":1,"cutCount":9}`} {
-		system.fault(faults, "")
+		system.injectFaults(faults, "")
 		send("/v1/chat/completions", chat(secretPrompt, true))
 		send("/v1/chat/completions", chat(secretPrompt, true)+"secretprompt")
 	}
-	journal.mutex.Lock()
-	defer journal.mutex.Unlock()
-	text := journal.text.String()
+	logger.mutex.Lock()
+	defer logger.mutex.Unlock()
+	text := logger.text.String()
 	assert.Assert(t, len(text) > 0)
 	for _, secret := range []string{apiKey, "secretprompt", secretKey, expected(secretPrompt, 9), expected(secretPrompt, 1)} {
 		assert.Assert(t, !strings.Contains(text, secret), text)
@@ -248,19 +248,19 @@
 }
 
 func TestKeysBoundToAProcess(t *testing.T) {
-	system := start(t, plan{nodes: 2, node: []limpetcleat.Option{limpetcleat.WithDrain(0, time.Minute)}})
+	system := start(t, setup{nodes: 2, node: []limpetcleat.Option{limpetcleat.WithDrain(0, time.Minute)}})
 	issued := system.do(system.request("/v1/keys", ""))
 	assert.Equal(t, issued.Status, http.StatusCreated, issued.Body)
 	var key struct{ Key string }
 	assert.NilError(t, json.Unmarshal([]byte(issued.Body), &key))
 	call := func(node int, body string) caller.Reply {
 		request := system.request("/services/stock/reservations?x=1", body, "X-Repeat", "keyed", "Idempotency-Key", key.Key)
-		request.URL.Host = system.callers[node]
+		request.URL.Host = system.callerAddresses[node]
 		return system.do(request)
 	}
 	first := call(1, "{}")
 	for first.Status == http.StatusServiceUnavailable {
-		// The second node may not know the first yet.
+		// The second node may not have discovered the first one yet.
 		assert.Equal(t, first.Outcome, "unknown")
 		first = call(1, "{}")
 	}
@@ -277,7 +277,7 @@
 	}
 	assert.Equal(t, system.runs(first.Header.Get("X-Request-Id")), 1)
 
-	// With its holder gone, nobody knows what became of a key.
+	// When the process that issued a key has ended, the outcome of a call with this key is unknown.
 	system.nodes[0].Drain()
 	<-system.nodes[0].Done()
 	gone := call(1, "{}")
@@ -286,8 +286,8 @@
 }
 
 func TestKeysAreOfferedInAnOutage(t *testing.T) {
-	system := start(t, plan{})
-	assert.NilError(t, at(system.platform).Faults(context.Background(), json.RawMessage(`{"outage":true}`)))
+	system := start(t, setup{})
+	assert.NilError(t, controllerOf(system.platformAddress).Faults(context.Background(), json.RawMessage(`{"outage":true}`)))
 	own := system.do(system.request("/services/stock/x", "{}", "X-Repeat", "keyed", "Idempotency-Key", "mine"))
 	assert.Equal(t, own.Status, http.StatusServiceUnavailable, own.Body)
 	assert.Equal(t, own.Outcome, "unknown")
--- a/server/outcome_test.go
+++ b/server/outcome_test.go
@@ -16,63 +16,63 @@
 
 const prompt = "zips #len=20"
 
-// failurePoint is one way in which the upstreams fail a request.
+// failurePoint is one way in which upstreams fail to serve a request.
 type failurePoint struct {
-	name      string
-	engines   string
-	services  string
-	nowhere   bool
-	short     bool
-	timeoutMs string
-	// outcome is what must be told of every failed call; empty is anything but
-	// notRun.
+	name          string
+	engineFaults  string
+	serviceFaults string
+	unreachable   bool
+	shortTimeouts bool
+	timeoutMs     string
+	// outcome is the outcome that every failed call must report; if it is empty, any outcome that
+	// agrees with the upstreams' records is accepted.
 	outcome string
-	// whole says that idempotent streams come whole all the same.
-	whole bool
+	// complete reports whether idempotent streams must still be complete.
+	complete bool
 }
 
 func failurePoints() []failurePoint {
 	return []failurePoint{
-		{name: "none", whole: true},
-		{name: "connection refused", nowhere: true, outcome: "notRun"},
-		{name: "refused without running", engines: `{"failBefore":50}`, services: `{"failBefore":50}`, outcome: "notRun"},
-		{name: "error after running", engines: `{"failAfter":50}`, services: `{"failAfter":50}`},
-		{name: "cut before the first byte", engines: `{"cutAfterTokens":0,"cutCount":50}`, services: `{"cutAfterBytes":1,"cutCount":50}`},
-		{name: "cut after some tokens", engines: `{"cutAfterTokens":5,"cutCount":1}`, services: `{"cutAfterBytes":9,"cutCount":50}`, whole: true},
-		{name: "cut each time", engines: `{"cutAfterTokens":2,"cutCount":50}`, services: `{"cutAfterBytes":9,"cutCount":50}`},
-		{name: "crossed", engines: `{"crossed":50}`, services: `{"crossed":50}`},
-		{name: "doubled", engines: `{"doubled":50}`, whole: true},
-		{name: "stalled", engines: `{"stallMs":600000}`, services: `{"stallMs":600000}`, short: true},
-		{name: "dead", engines: `{"dead":true}`, services: `{"dead":true}`, short: true},
-		{name: "deadline", engines: `{"stallMs":600000}`, services: `{"stallMs":600000}`, timeoutMs: "300"},
+		{name: "none", complete: true},
+		{name: "connection refused", unreachable: true, outcome: "notRun"},
+		{name: "refused without running", engineFaults: `{"failBefore":50}`, serviceFaults: `{"failBefore":50}`, outcome: "notRun"},
+		{name: "error after running", engineFaults: `{"failAfter":50}`, serviceFaults: `{"failAfter":50}`},
+		{name: "cut before the first byte", engineFaults: `{"cutAfterTokens":0,"cutCount":50}`, serviceFaults: `{"cutAfterBytes":1,"cutCount":50}`},
+		{name: "cut after some tokens", engineFaults: `{"cutAfterTokens":5,"cutCount":1}`, serviceFaults: `{"cutAfterBytes":9,"cutCount":50}`, complete: true},
+		{name: "cut each time", engineFaults: `{"cutAfterTokens":2,"cutCount":50}`, serviceFaults: `{"cutAfterBytes":9,"cutCount":50}`},
+		{name: "crossed", engineFaults: `{"crossed":50}`, serviceFaults: `{"crossed":50}`},
+		{name: "doubled", engineFaults: `{"doubled":50}`, complete: true},
+		{name: "stalled", engineFaults: `{"stallMs":600000}`, serviceFaults: `{"stallMs":600000}`, shortTimeouts: true},
+		{name: "dead", engineFaults: `{"dead":true}`, serviceFaults: `{"dead":true}`, shortTimeouts: true},
+		{name: "deadline", engineFaults: `{"stallMs":600000}`, serviceFaults: `{"stallMs":600000}`, timeoutMs: "300"},
 	}
 }
 
-// form is one way to call.
-type form struct {
+// requestForm is one kind of call.
+type requestForm struct {
 	name, path, body string
 }
 
-func forms() []form {
-	return []form{
+func requestForms() []requestForm {
+	return []requestForm{
 		{"stream", "/v1/chat/completions", chat(prompt, true)},
 		{"whole", "/v1/chat/completions", chat(prompt, false)},
 		{"service", "/services/stock/reservations", `{"zips":12}`},
 	}
 }
 
-// TestOutcomeIsTrue checks what a caller is told, at each point of failure,
-// against the upstreams' own record of what they ran.
+// TestOutcomeIsTrue compares the outcome that a caller receives, at each point of failure, with the
+// upstreams' own records of the attempts that they ran.
 func TestOutcomeIsTrue(t *testing.T) {
 	for _, point := range failurePoints() {
 		t.Run(point.name, func(t *testing.T) {
 			for _, repeat := range []definer.Repeat{definer.Idempotent, definer.Never, definer.Keyed} {
-				system := start(t, point.plan())
-				for _, form := range forms() {
-					t.Run(string(repeat)+" "+form.name, func(t *testing.T) {
+				system := start(t, point.setup())
+				for _, requestForm := range requestForms() {
+					t.Run(string(repeat)+" "+requestForm.name, func(t *testing.T) {
 						system.t = t
-						system.fault(point.engines, point.services)
-						point.check(system, repeat, form)
+						system.injectFaults(point.engineFaults, point.serviceFaults)
+						point.check(system, repeat, requestForm)
 					})
 				}
 			}
@@ -80,23 +80,23 @@
 	}
 }
 
-func (point failurePoint) plan() plan {
-	plan := plan{engines: 2}
-	if point.nowhere {
-		plan.engineAt, plan.serviceAt = nowhere, nowhere
+func (point failurePoint) setup() setup {
+	setup := setup{engines: 2}
+	if point.unreachable {
+		setup.engineAddress, setup.serviceAddress = closedAddress, closedAddress
 	}
-	if point.short {
+	if point.shortTimeouts {
 		short := 300 * time.Millisecond
-		plan.dispatcher = []dispatcher.Option{dispatcher.WithTimeouts(short, short), dispatcher.WithUnstreamedTimeout(short)}
+		setup.dispatcher = []dispatcher.Option{dispatcher.WithTimeouts(short, short), dispatcher.WithUnstreamedTimeout(short)}
 	}
-	return plan
+	return setup
 }
 
-func (point failurePoint) check(system *system, repeat definer.Repeat, form form) {
+func (point failurePoint) check(system *system, repeat definer.Repeat, requestForm requestForm) {
 	t := system.t
-	request := system.request(form.path, form.body, "X-Repeat", string(repeat))
+	request := system.request(requestForm.path, requestForm.body, "X-Repeat", string(repeat))
 	if repeat == definer.Keyed {
-		request.Header.Set("Idempotency-Key", point.name+form.name)
+		request.Header.Set("Idempotency-Key", point.name+requestForm.name)
 	}
 	if point.timeoutMs != "" {
 		request.Header.Set("X-Request-Timeout-Ms", point.timeoutMs)
@@ -106,45 +106,45 @@
 	id := answer.Header.Get("X-Request-Id")
 	assert.Assert(t, id != "")
 	runs := system.runs(id)
-	told := answer.Outcome
-	t.Logf("status %d, outcome %s, runs %d", answer.Status, told, runs)
-	if told == "notRun" {
+	outcome := answer.Outcome
+	t.Logf("status %d, outcome %s, runs %d", answer.Status, outcome, runs)
+	if outcome == "notRun" {
 		assert.Equal(t, runs, 0, answer.Body)
 	}
-	if told == "ran" {
+	if outcome == "ran" {
 		assert.Assert(t, runs > 0, answer.Body)
 	}
 	if repeat != definer.Idempotent {
-		assert.Assert(t, runs <= 1, "it ran %d times", runs)
+		assert.Assert(t, runs <= 1, "the request ran %d times", runs)
 	}
 	if !answer.Failed {
-		assert.Equal(t, told, "ran")
-		if form.name != "service" {
+		assert.Equal(t, outcome, "ran")
+		if requestForm.name != "service" {
 			assert.Equal(t, answer.Text, expected(prompt, 20))
 		}
 		return
 	}
-	assert.Assert(t, !point.whole || form.name == "service" || repeat != definer.Idempotent, answer.Body)
-	assert.Assert(t, told == "notRun" || told == "unknown" || told == "ran", told)
+	assert.Assert(t, !point.complete || requestForm.name == "service" || repeat != definer.Idempotent, answer.Body)
+	assert.Assert(t, outcome == "notRun" || outcome == "unknown" || outcome == "ran", outcome)
 	if point.outcome != "" {
-		assert.Equal(t, told, point.outcome, answer.Body)
+		assert.Equal(t, outcome, point.outcome, answer.Body)
 	}
 	if answer.Status != http.StatusOK {
-		assert.Equal(t, answer.Header.Get("X-Outcome"), told)
+		assert.Equal(t, answer.Header.Get("X-Outcome"), outcome)
 	}
-	mayRepeat := repeat == definer.Idempotent || told == "notRun"
+	mayRepeat := repeat == definer.Idempotent || outcome == "notRun"
 	assert.Equal(t, answer.Header.Get("Retry-After") != "", mayRepeat && answer.Status != http.StatusOK, answer.Body)
 }
 
-// TestCallerLeaves checks that work for a caller that left is cancelled, but
-// for a keyed call, whose answer is there for its repeat if it can be kept.
+// TestCallerLeaves checks that the work for a disconnected caller is cancelled, except for a call
+// with an idempotency key: its answer is completed and, if it can be stored, replayed to a retry.
 func TestCallerLeaves(t *testing.T) {
-	system := start(t, plan{engine: []engine.Option{engine.WithResumeGrace(time.Hour)}})
+	system := start(t, setup{engine: []engine.Option{engine.WithResumeGrace(time.Hour)}})
 	cases := []struct {
 		repeat definer.Repeat
 		stream bool
 		tokens int
-		// status is that of the repeat; 0 when there is none.
+		// status is the status of the retry; 0 when there is no retry.
 		status int
 	}{
 		{definer.Idempotent, true, 3000, 0},
@@ -161,13 +161,13 @@
 			request := func() *http.Request {
 				return system.request("/v1/chat/completions", chat(prompt, test.stream), "X-Repeat", string(test.repeat), "Idempotency-Key", t.Name())
 			}
-			id := system.leave(request(), test.stream)
+			id := system.sendAndDisconnect(request(), test.stream)
 			if test.repeat != definer.Keyed {
-				record := system.await(id, func(record engine.Record) bool { return record.Cancelled })
+				record := system.awaitRecord(id, func(record engine.Record) bool { return record.Cancelled })
 				assert.Assert(t, record.Tokens < test.tokens)
 				return
 			}
-			record := system.await(id, func(record engine.Record) bool { return record.Finished })
+			record := system.awaitRecord(id, func(record engine.Record) bool { return record.Finished })
 			assert.Equal(t, record.Starts, 1)
 			answer := system.do(request())
 			for strings.Contains(answer.Body, "keyInUse") {
@@ -177,7 +177,7 @@
 			}
 			assert.Equal(t, answer.Status, test.status, answer.Body)
 			assert.Equal(t, answer.Outcome, "ran")
-			assert.Equal(t, system.runs(answer.Header.Get("X-Request-Id")), 0, "the repeat ran")
+			assert.Equal(t, system.runs(answer.Header.Get("X-Request-Id")), 0, "the retry must not run")
 			if test.status == http.StatusOK {
 				assert.Equal(t, answer.Header.Get("Idempotency-Replayed"), "true")
 				assert.Equal(t, answer.Text, expected(prompt, test.tokens))
@@ -186,11 +186,11 @@
 	}
 }
 
-// TestCutStreamsGoOn checks that an engine computes nothing twice for a stream
-// that was cut and taken up again.
+// TestCutStreamsGoOn checks that an engine computes no token twice for a stream that is interrupted
+// and resumed.
 func TestCutStreamsGoOn(t *testing.T) {
-	system := start(t, plan{engine: []engine.Option{engine.WithResumeGrace(time.Hour)}})
-	system.fault(`{"cutAfterTokens":5,"cutCount":1}`, "")
+	system := start(t, setup{engine: []engine.Option{engine.WithResumeGrace(time.Hour)}})
+	system.injectFaults(`{"cutAfterTokens":5,"cutCount":1}`, "")
 	answer := system.do(system.request("/v1/chat/completions", chat(prompt, true)))
 	assert.Equal(t, answer.Text, expected(prompt, 20), answer.Body)
 	assert.Equal(t, strings.Count(answer.Body, "[DONE]"), 1)
--- a/server/system_test.go
+++ b/server/system_test.go
@@ -35,60 +35,60 @@
 	model      = "m"
 	apiKey     = "caller-key"
 	dataCentre = "skopje"
-	// nowhere is an address that nobody serves.
-	nowhere = "127.0.0.1:1"
+	// closedAddress refuses connections.
+	closedAddress = "127.0.0.1:1"
 )
 
-// plan says which system a test wants.
-type plan struct {
+// setup describes the system of a test; zero values select defaults.
+type setup struct {
 	nodes   int
 	engines int
 	engine  []engine.Option
-	// engineAt and serviceAt take the place of the stand-ins' addresses.
-	engineAt, serviceAt string
-	dispatcher          []dispatcher.Option
-	server              []server.Option
-	node                []limpetcleat.Option
-	slots               int
-	change              func(document *definer.Document)
+	// engineAddress and serviceAddress override the stand-ins' addresses in the configuration.
+	engineAddress, serviceAddress string
+	dispatcher                    []dispatcher.Option
+	server                        []server.Option
+	node                          []limpetcleat.Option
+	slots                         int
+	configure                     func(document *definer.Document)
 }
 
-// system is a platform, engines, a service and nodes on loopback.
+// system is a platform, engines, a service and nodes on loopback addresses.
 type system struct {
-	t        testing.TB
-	plan     plan
-	platform string
-	engines  []string
-	service  string
-	callers  []string
-	nodes    []*limpetcleat.Node
-	group    conc.WaitGroup
+	t               testing.TB
+	setup           setup
+	platformAddress string
+	engineAddresses []string
+	serviceAddress  string
+	callerAddresses []string
+	nodes           []*limpetcleat.Node
+	group           conc.WaitGroup
 }
 
-func start(t testing.TB, plan plan) *system {
+func start(t testing.TB, setup setup) *system {
 	t.Helper()
-	plan.nodes, plan.engines = max(plan.nodes, 1), max(plan.engines, 1)
-	if plan.slots == 0 {
-		plan.slots = 8
+	setup.nodes, setup.engines = max(setup.nodes, 1), max(setup.engines, 1)
+	if setup.slots == 0 {
+		setup.slots = 8
 	}
-	system := &system{t: t, plan: plan}
+	system := &system{t: t, setup: setup}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(func() {
 		cancel()
 		system.group.Wait()
 		http.DefaultTransport.(*http.Transport).CloseIdleConnections()
 	})
-	system.platform = system.run(ctx, platform.New(platform.WithListLag(0)))
-	for range plan.engines {
-		options := append([]engine.Option{engine.WithModels(model), engine.WithTokenTime(time.Millisecond, 0), engine.WithPrefillTime(time.Millisecond), engine.WithLoadLag(0)}, plan.engine...)
-		system.engines = append(system.engines, system.run(ctx, engine.New(options...)))
+	system.platformAddress = system.run(ctx, platform.New(platform.WithListLag(0)))
+	for range setup.engines {
+		options := append([]engine.Option{engine.WithModels(model), engine.WithTokenTime(time.Millisecond, 0), engine.WithPrefillTime(time.Millisecond), engine.WithLoadLag(0)}, setup.engine...)
+		system.engineAddresses = append(system.engineAddresses, system.run(ctx, engine.New(options...)))
 	}
-	system.service = system.run(ctx, service.New(service.WithName("stock"), service.WithLatency(time.Millisecond)))
-	assert.NilError(t, demonstrator.Store(ctx, system.platform, system.document()))
-	for index := range plan.nodes {
+	system.serviceAddress = system.run(ctx, service.New(service.WithName("stock"), service.WithLatency(time.Millisecond)))
+	assert.NilError(t, demonstrator.Store(ctx, system.platformAddress, system.document()))
+	for index := range setup.nodes {
 		system.startNode(ctx, fmt.Sprintf("entry-%d", index+1))
 	}
-	assert.NilError(t, demonstrator.AwaitReady(ctx, system.callers...))
+	assert.NilError(t, demonstrator.AwaitReady(ctx, system.callerAddresses...))
 	return system
 }
 
@@ -105,7 +105,8 @@
 	return running.Address()
 }
 
-// document gives a rule to each way of repeating, chosen by a header.
+// document returns a configuration with one rule for each repeat policy, which requests select with
+// the header X-Repeat.
 func (system *system) document() definer.Document {
 	sum := sha256.Sum256([]byte(apiKey))
 	document := definer.Document{
@@ -113,15 +114,15 @@
 		Pools: []definer.PoolDocument{
 			{Name: "models", Kind: string(definer.Engine)},
 			{Name: "stock", Kind: string(definer.Service), Upstreams: []definer.UpstreamDocument{
-				{Name: "stock", DataCentre: dataCentre, Address: or(system.plan.serviceAt, system.service), Slots: 64},
+				{Name: "stock", DataCentre: dataCentre, Address: firstNonEmpty(system.setup.serviceAddress, system.serviceAddress), Slots: 64},
 			}},
 		},
 		Organisations: []definer.OrganisationDocument{{Name: "buttons", KeyHashes: []string{hex.EncodeToString(sum[:])}}},
 		Limits:        definer.LimitsDocument{RetryShare: 0.1, ClaimKeepMs: 600000},
 	}
-	for index, address := range system.engines {
+	for index, address := range system.engineAddresses {
 		document.Pools[0].Upstreams = append(document.Pools[0].Upstreams, definer.UpstreamDocument{
-			Name: fmt.Sprintf("engine-%d", index+1), DataCentre: dataCentre, Address: or(system.plan.engineAt, address), Slots: system.plan.slots, MaxSlots: system.plan.slots, Models: []string{model},
+			Name: fmt.Sprintf("engine-%d", index+1), DataCentre: dataCentre, Address: firstNonEmpty(system.setup.engineAddress, address), Slots: system.setup.slots, MaxSlots: system.setup.slots, Models: []string{model},
 		})
 	}
 	for _, repeat := range []definer.Repeat{definer.Never, definer.Keyed, definer.Idempotent} {
@@ -134,13 +135,13 @@
 		}
 	}
 	document.Rules = append(document.Rules, definer.RuleDocument{Name: "rest", When: `service == ""`, Then: definer.ActionDocument{Class: "class", Pool: "models"}})
-	if system.plan.change != nil {
-		system.plan.change(&document)
+	if system.setup.configure != nil {
+		system.setup.configure(&document)
 	}
 	return document
 }
 
-func or(first, second string) string {
+func firstNonEmpty(first, second string) string {
 	if first != "" {
 		return first
 	}
@@ -150,30 +151,30 @@
 func (system *system) startNode(ctx context.Context, name string) {
 	callers, inner := system.listen(), system.listen()
 	vm := storer.VM{Name: name, DataCentre: dataCentre, Address: inner.Addr().String(), Role: "entry", State: "live"}
-	assert.NilError(system.t, at(system.platform).PutVM(ctx, vm))
+	assert.NilError(system.t, controllerOf(system.platformAddress).PutVM(ctx, vm))
 	options := append([]limpetcleat.Option{
-		limpetcleat.WithCallers(callers, system.plan.server...),
+		limpetcleat.WithCallers(callers, system.setup.server...),
 		limpetcleat.WithInner(inner, inner.Addr().String()),
-		limpetcleat.WithDispatcher(system.plan.dispatcher...),
+		limpetcleat.WithDispatcher(system.setup.dispatcher...),
 		limpetcleat.WithPlatform(func(deliver func(decider.Event)) limpetcleat.Platform {
-			return watcher.New([]string{system.platform}, "", deliver)
+			return watcher.New([]string{system.platformAddress}, "", deliver)
 		}),
-	}, system.plan.node...)
+	}, system.setup.node...)
 	node := limpetcleat.New(definer.VM(name), dataCentre, options...)
 	system.nodes = append(system.nodes, node)
-	system.callers = append(system.callers, callers.Addr().String())
+	system.callerAddresses = append(system.callerAddresses, callers.Addr().String())
 	system.group.Go(func() { _ = node.Run(ctx) })
 }
 
-// do sends a request as it is.
+// do sends a request unchanged and returns the reply.
 func (system *system) do(request *http.Request) caller.Reply {
 	system.t.Helper()
 	return caller.New(caller.WithTransport(http.DefaultTransport)).Do(request, nil)
 }
 
-// request returns a caller's request to the first node.
+// request returns an authenticated request to the first node; headers are names and values in turn.
 func (system *system) request(path, body string, headers ...string) *http.Request {
-	request, err := http.NewRequest(http.MethodPost, "http://"+system.callers[0]+path, bytes.NewReader([]byte(body)))
+	request, err := http.NewRequest(http.MethodPost, "http://"+system.callerAddresses[0]+path, bytes.NewReader([]byte(body)))
 	assert.NilError(system.t, err)
 	request.Header.Set("Authorization", "Bearer "+apiKey)
 	for index := 0; index+1 < len(headers); index += 2 {
@@ -186,47 +187,47 @@
 	return fmt.Sprintf(`{"model":%q,"stream":%t,"messages":[{"role":"user","content":%q}]}`, model, stream, prompt)
 }
 
-// expected is the text that an engine answers to a prompt.
+// expected returns the text that an engine generates for a prompt.
 func expected(prompt string, tokens int) string {
 	return engine.Answer(model, "user: "+prompt+"\n", 0, tokens)
 }
 
-// at returns what controls the stand-in of the address.
-func at(address string) *controller.Controller {
+// controllerOf returns the controller of the stand-in at an address.
+func controllerOf(address string) *controller.Controller {
 	return controller.New(address, controller.WithClient(http.DefaultClient))
 }
 
-// fault orders faults at every upstream; empty ones are none.
-func (system *system) fault(engines, services string) {
+// injectFaults sets the faults of all engines and of the service; an empty string changes nothing.
+func (system *system) injectFaults(engines, services string) {
 	system.t.Helper()
-	for _, address := range system.engines {
+	for _, address := range system.engineAddresses {
 		if engines != "" {
-			assert.NilError(system.t, at(address).Faults(context.Background(), json.RawMessage(engines)))
+			assert.NilError(system.t, controllerOf(address).Faults(context.Background(), json.RawMessage(engines)))
 		}
 	}
 	if services != "" {
-		assert.NilError(system.t, at(system.service).ServiceFaults(context.Background(), json.RawMessage(services)))
+		assert.NilError(system.t, controllerOf(system.serviceAddress).ServiceFaults(context.Background(), json.RawMessage(services)))
 	}
 }
 
-// records returns what the engines know of a request's attempts.
+// records returns the engines' records of a request's attempts.
 func (system *system) records(request string) []engine.Record {
 	var found []engine.Record
-	for _, address := range system.engines {
-		records, err := at(address).AttemptsOf(context.Background(), request)
+	for _, address := range system.engineAddresses {
+		records, err := controllerOf(address).AttemptsOf(context.Background(), request)
 		assert.NilError(system.t, err)
 		found = append(found, records...)
 	}
 	return found
 }
 
-// runs returns how often the upstreams began to run a request.
+// runs returns how many times upstreams started to run a request.
 func (system *system) runs(request string) int {
 	total := 0
 	for _, record := range system.records(request) {
 		total += record.Starts
 	}
-	services, err := at(system.service).ServiceRuns(context.Background(), "")
+	services, err := controllerOf(system.serviceAddress).ServiceRuns(context.Background(), "")
 	assert.NilError(system.t, err)
 	for attempt, count := range services.Attempts {
 		if controller.IsOf(attempt, request) {
