--- a/server/failure.go
+++ b/server/failure.go
@@ -134,9 +134,9 @@
 }
 
 func notFound(writer http.ResponseWriter, _ *http.Request) {
-	writeFailure(writer, failure{status: http.StatusNotFound, code: codeNotFound, message: "no resource exists at this path"})
+	writeFailure(writer, failure{status: http.StatusNotFound, code: codeNotFound, message: "there is nothing at this path"})
 }
 
 func methodNotAllowed(writer http.ResponseWriter, _ *http.Request) {
-	writeFailure(writer, failure{status: http.StatusMethodNotAllowed, code: codeMethodNotAllowed, message: "the path does not support this method"})
+	writeFailure(writer, failure{status: http.StatusMethodNotAllowed, code: codeMethodNotAllowed, message: "the path does not take this method"})
 }
--- a/server/forwarding.go
+++ b/server/forwarding.go
@@ -168,7 +168,7 @@
 // answerTooLarge returns the replacement for an answer that exceeds maxForwardedAnswerBytes.
 func answerTooLarge(request definer.RequestID) *buffer {
 	writer := &buffer{header: http.Header{headerRequestID: {string(request)}}}
-	writeFailure(writer, failure{status: http.StatusBadGateway, code: string(messenger.AnswerNotKept), message: "the call ran; its answer is too large to be forwarded", outcome: definer.Ran})
+	writeFailure(writer, failure{status: http.StatusBadGateway, code: string(messenger.AnswerNotKept), message: "the call ran; its answer is too large to be handed on", outcome: definer.Ran})
 	return writer
 }
 
--- a/server/request.go
+++ b/server/request.go
@@ -39,7 +39,7 @@
 	case errors.As(err, &tooLarge):
 		return nil, failure{status: http.StatusRequestEntityTooLarge, code: codeBodyTooLarge, message: "the body is larger than " + strconv.FormatInt(server.maxBodyBytes, 10) + " bytes"}, false
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return nil, failure{status: http.StatusRequestTimeout, code: codeBodyTooSlow, message: "the body was not received in time", retryAfter: defaultRetryAfter}, false
+		return nil, failure{status: http.StatusRequestTimeout, code: codeBodyTooSlow, message: "the body did not come in time", retryAfter: defaultRetryAfter}, false
 	default:
 		return nil, invalidRequest("the body could not be read"), false
 	}
@@ -50,7 +50,7 @@
 func newRequestArrived(request *http.Request, caller caller, body []byte) (decider.RequestArrived, failure, bool) {
 	key := request.Header.Get(headerIdempotencyKey)
 	if len(key) > maxKeyBytes {
-		return decider.RequestArrived{}, invalidRequest("the header " + headerIdempotencyKey + " is longer than " + strconv.Itoa(maxKeyBytes) + " bytes"), false
+		return decider.RequestArrived{}, invalidRequest("the header " + headerIdempotencyKey + " is longer than " + strconv.Itoa(maxKeyBytes) + " characters"), false
 	}
 	deadline, ok := parseTimeout(request.Header.Get(headerRequestTimeout))
 	if !ok {
