--- a/commander/announced.go
+++ b/commander/announced.go
@@ -15,10 +15,10 @@
 }
 
 func (commander *Commander) announcedCommand() command {
-	report := report[[]operator.Announced]{
-		ask: (*operator.Client).Announced,
+	report := nodeReport[[]operator.Announced]{
+		query: (*operator.Client).Announced,
 		row: func(answer operator.Answer[[]operator.Announced]) any {
-			return announcedRow{Address: answer.Address(), Announced: answer.Value(), Failure: failureText(answer)}
+			return announcedRow{Address: answer.Address(), Announced: answer.Value(), Failure: errorText(answer)}
 		},
 		header: "node\tupstream\tlimit\tleaving\tsaid\tby\tpermits",
 		write:  writeAnnounced,
@@ -35,7 +35,7 @@
 func writeAnnounced(table io.Writer, address string, rows []operator.Announced) {
 	for _, row := range rows {
 		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%t\t%s ago\t%s\t%s\n", address, row.Upstream, limitText(row), row.Leaving,
-			seconds(row.AgeMs), sourceText(row), permitsText(row))
+			formatSeconds(row.AgeMs), sourceText(row), permitsText(row))
 	}
 }
 
@@ -58,5 +58,5 @@
 	if !row.Issues {
 		return "elsewhere"
 	}
-	return fmt.Sprintf("%.3g/s, %d nodes before, %d wait, asked %s ago", row.PermitsPerSecond, row.Position, row.Waiting, seconds(row.AskedAgoMs))
+	return fmt.Sprintf("%.3g/s, %d nodes before, %d wait, asked %s ago", row.PermitsPerSecond, row.Position, row.Waiting, formatSeconds(row.AskedAgoMs))
 }
--- a/commander/authority.go
+++ b/commander/authority.go
@@ -12,36 +12,36 @@
 const authorityVerb = "authority"
 
 // authorityFlags are the flags of standin authority.
-type authorityFlags struct {
+type authorityOptions struct {
 	directory *string
 	names     *string
 }
 
-func newAuthorityFlags(flags *flag.FlagSet) authorityFlags {
-	return authorityFlags{
+func authorityFlags(flags *flag.FlagSet) authorityOptions {
+	return authorityOptions{
 		directory: flags.String("dir", "", "authority: `directory` to write to"),
 		names:     flags.String("names", "", "authority: `names` of the nodes, with commas"),
 	}
 }
 
 // writeAuthority writes the certificates between the nodes of a trial.
-func (commander *Commander) writeAuthority(chosen authorityFlags) error {
-	if *chosen.directory == "" {
-		return fail("standin", WrongUsage, "-dir is missing")
+func (commander *Commander) writeAuthority(options authorityOptions) error {
+	if *options.directory == "" {
+		return fail("standin", InvalidUsage, "-dir is missing")
 	}
-	if *chosen.names == "" {
-		return fail("standin", WrongUsage, "-names is missing")
+	if *options.names == "" {
+		return fail("standin", InvalidUsage, "-names is missing")
 	}
-	made, err := authority.New()
+	trialAuthority, err := authority.New()
 	if err != nil {
-		return fail("standin", Failing, "%w", err)
+		return fail("standin", Failed, "%w", err)
 	}
-	paths, err := made.WriteNodes(*chosen.directory, strings.Split(*chosen.names, ",")...)
+	paths, err := trialAuthority.WriteNodes(*options.directory, strings.Split(*options.names, ",")...)
 	for _, path := range paths {
 		_, _ = fmt.Fprintln(commander.out, path)
 	}
 	if err != nil {
-		return fail("standin", Failing, "%w", err)
+		return fail("standin", Failed, "%w", err)
 	}
 	return nil
 }
--- a/commander/await.go
+++ b/commander/await.go
@@ -9,77 +9,77 @@
 )
 
 const (
-	putWait      = 17 * time.Second
-	putPollEvery = 200 * time.Millisecond
+	defaultPutWait  = 17 * time.Second
+	putPollInterval = 200 * time.Millisecond
 	// silentFor is how long a node may give no answer before it counts as one
 	// that cannot be reached.
-	silentFor = 3 * time.Second
+	unreachableAfter = 3 * time.Second
 )
 
 // spread tells on which nodes a version is in force.
-type spread struct {
+type rollout struct {
 	inForce []string
 	// late nodes answer and apply an older version.
-	late []string
+	outdated []string
 	// silent nodes give no answer.
-	silent []string
+	unanswered []string
 }
 
 // awaitInForce returns once every node that answers applies the result's
 // version. Its error is of kind NotEverywhere and names the nodes that are late
 // when the time is over, and those that gave no answer.
-func (commander *Commander) awaitInForce(ctx context.Context, chosen ruleFlags, result *putResult) error {
-	if !chosen.nodes.given() {
-		_, _ = fmt.Fprintln(commander.problems, "whether it is in force was not looked at, since -nodes is missing")
+func (commander *Commander) awaitInForce(ctx context.Context, options rulesOptions, result *putResult) error {
+	if !options.nodes.isSet() {
+		_, _ = fmt.Fprintln(commander.errOut, "whether it is in force was not looked at, since -nodes is missing")
 		return nil
 	}
-	client, err := chosen.nodes.client()
+	client, err := options.nodes.operatorClient()
 	if err != nil {
 		return err
 	}
-	seen := poll(ctx, client, result.Version, *chosen.wait)
-	result.InForce = append(result.InForce, seen.inForce...)
-	result.Behind = append(append(result.Behind, seen.late...), seen.silent...)
+	current := pollVersions(ctx, client, result.Version, *options.wait)
+	result.InForce = append(result.InForce, current.inForce...)
+	result.Behind = append(append(result.Behind, current.outdated...), current.unanswered...)
 	switch {
-	case len(seen.late) > 0:
-		return fail("put", NotEverywhere, "version %d is accepted, but not yet in force on %v; no answer from %v", result.Version, seen.late, seen.silent)
-	case len(seen.silent) > 0:
-		return fail("put", NotEverywhere, "version %d is accepted and in force on the nodes that answer; no answer from %v", result.Version, seen.silent)
+	case len(current.outdated) > 0:
+		return fail("put", Partial, "version %d is accepted, but not yet in force on %v; no answer from %v", result.Version, current.outdated, current.unanswered)
+	case len(current.unanswered) > 0:
+		return fail("put", Partial, "version %d is accepted and in force on the nodes that answer; no answer from %v", result.Version, current.unanswered)
 	}
 	return nil
 }
 
 // poll asks the nodes again and again until nothing more is to be waited for.
-func poll(ctx context.Context, client *operator.Client, version uint64, wait time.Duration) spread {
-	limited, cancel := context.WithTimeout(ctx, wait)
+func pollVersions(ctx context.Context, client *operator.Client, version uint64, wait time.Duration) rollout {
+	waitCtx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	began := time.Now()
+	start := time.Now()
 	for {
-		seen := look(ctx, client, version)
-		quiet := len(seen.silent) == 0 || time.Since(began) >= silentFor
-		if len(seen.late) == 0 && quiet {
-			return seen
+		current := checkVersions(ctx, client, version)
+		settled := len(current.unanswered) == 0 || time.Since(start) >= unreachableAfter
+		if len(current.outdated) == 0 && settled {
+			return current
 		}
 		select {
-		case <-limited.Done():
-			return seen
-		case <-time.After(putPollEvery):
+		case <-waitCtx.Done():
+			return current
+		case <-time.After(putPollInterval):
 		}
 	}
 }
 
 // look asks every node once which version it applies.
-func look(ctx context.Context, client *operator.Client, version uint64) spread {
-	var seen spread
+func checkVersions(ctx context.Context, client *operator.Client, version uint64) rollout {
+	var current rollout
 	for _, answer := range client.Status(ctx) {
 		switch {
 		case answer.Failure() != nil:
-			seen.silent = append(seen.silent, answer.Address())
+			current.unanswered = append(current.unanswered, answer.Address())
 		case answer.Value().Configuration < version:
-			seen.late = append(seen.late, answer.Address())
+			current.outdated = append(current.outdated, answer.Address())
 		default:
-			seen.inForce = append(seen.inForce, answer.Address())
+			current.inForce = append(current.inForce, answer.Address())
 		}
 	}
-	return seen
+	return current
 }
--- a/commander/burn.go
+++ b/commander/burn.go
@@ -12,10 +12,10 @@
 )
 
 // burnFlags are the flags of burn.
-type burnFlags struct {
-	nodes  *access
-	output *string
-	page   *string
+type burnOptions struct {
+	nodes    *endpoint
+	output   *string
+	htmlPath *string
 }
 
 func (commander *Commander) burnCommand() command {
@@ -24,21 +24,21 @@
 		summary: "show each class's attainment, error budget and burn rates over all nodes",
 		example: "limpetcleat burn -nodes 10.0.0.1:8081 -tokenFile operators.token -html burn.html",
 		prepare: func(flags *flag.FlagSet) action {
-			chosen := burnFlags{
-				nodes:  nodeFlags(flags),
-				output: outputFlag(flags),
-				page:   flags.String("html", "", "write a page with plots to the `file` as well"),
+			options := burnOptions{
+				nodes:    nodeFlags(flags),
+				output:   outputFlag(flags),
+				htmlPath: flags.String("html", "", "write a page with plots to the `file` as well"),
 			}
-			return func(ctx context.Context, _ string) error { return commander.burn(ctx, chosen) }
+			return func(ctx context.Context, _ string) error { return commander.burn(ctx, options) }
 		},
 	}
 }
 
-func (commander *Commander) burn(ctx context.Context, chosen burnFlags) error {
-	if err := checkOutput(*chosen.output); err != nil {
+func (commander *Commander) burn(ctx context.Context, options burnOptions) error {
+	if err := checkOutput(*options.output); err != nil {
 		return err
 	}
-	client, err := chosen.nodes.client()
+	client, err := options.nodes.operatorClient()
 	if err != nil {
 		return err
 	}
@@ -53,17 +53,17 @@
 		snapshots = append(snapshots, answer.Value())
 	}
 	if len(snapshots) == 0 {
-		return silent(answers)
+		return unansweredError(answers)
 	}
 	classes, err := newestClasses(ctx, client)
 	if err != nil {
 		return err
 	}
 	report := reporter.Build(snapshots, classes...).WithMissing(missing...)
-	if err := commander.showBurn(report, chosen); err != nil {
+	if err := commander.showBurn(report, options); err != nil {
 		return err
 	}
-	return silent(answers)
+	return unansweredError(answers)
 }
 
 // newestClasses returns the classes of the newest configuration that any node
@@ -85,13 +85,13 @@
 	return configuration.Classes(), nil
 }
 
-func (commander *Commander) showBurn(report reporter.Report, chosen burnFlags) error {
-	if *chosen.page != "" {
-		if err := writePage(report, *chosen.page); err != nil {
+func (commander *Commander) showBurn(report reporter.Report, options burnOptions) error {
+	if *options.htmlPath != "" {
+		if err := writePage(report, *options.htmlPath); err != nil {
 			return err
 		}
 	}
-	if *chosen.output == outputJSON {
+	if *options.output == outputJSON {
 		return report.WriteJSON(commander.out)
 	}
 	return report.WriteText(commander.out)
@@ -100,7 +100,7 @@
 func writePage(report reporter.Report, path string) error {
 	file, err := os.Create(path)
 	if err != nil {
-		return fail("burn", Failing, "%w", err)
+		return fail("burn", Failed, "%w", err)
 	}
 	if err := report.WriteHTML(file); err != nil {
 		_ = file.Close()
--- a/commander/check.go
+++ b/commander/check.go
@@ -14,20 +14,20 @@
 )
 
 // checkFlags are the flags of check.
-type checkFlags struct {
-	settings *string
-	rules    *string
-	files    *bool
-	output   *string
+type checkOptions struct {
+	settings   *string
+	rules      *string
+	checkFiles *bool
+	output     *string
 }
 
 // checkedFile is what check found in one file.
 type checkedFile struct {
-	File string `json:"file"`
-	Good bool   `json:"good"`
+	File  string `json:"file"`
+	Valid bool   `json:"good"`
 	// Holds tells what a good file holds.
-	Holds  string   `json:"holds,omitempty"`
-	Faults []string `json:"faults,omitempty"`
+	Contents string   `json:"holds,omitempty"`
+	Faults   []string `json:"faults,omitempty"`
 }
 
 func (commander *Commander) checkCommand() command {
@@ -36,39 +36,39 @@
 		summary: "check a settings file, a rules file or both, without a running system",
 		example: "limpetcleat check -settings entry.ini -rules rules.json",
 		prepare: func(flags *flag.FlagSet) action {
-			chosen := checkFlags{
-				settings: flags.String("settings", "", "the settings `file`, in INI"),
-				rules:    flags.String("rules", "", "the configuration `file`, in JSON"),
-				files:    flags.Bool("files", false, "also check that the files named in the settings can be read here"),
-				output:   outputFlag(flags),
+			options := checkOptions{
+				settings:   flags.String("settings", "", "the settings `file`, in INI"),
+				rules:      flags.String("rules", "", "the configuration `file`, in JSON"),
+				checkFiles: flags.Bool("files", false, "also check that the files named in the settings can be read here"),
+				output:     outputFlag(flags),
 			}
-			return func(context.Context, string) error { return commander.check(chosen) }
+			return func(context.Context, string) error { return commander.check(options) }
 		},
 	}
 }
 
 // check reports on every file before it fails.
-func (commander *Commander) check(chosen checkFlags) error {
-	if *chosen.settings == "" && *chosen.rules == "" {
-		return fail("check", WrongUsage, "name -settings, -rules or both")
+func (commander *Commander) check(options checkOptions) error {
+	if *options.settings == "" && *options.rules == "" {
+		return fail("check", InvalidUsage, "name -settings, -rules or both")
 	}
-	if err := checkOutput(*chosen.output); err != nil {
+	if err := checkOutput(*options.output); err != nil {
 		return err
 	}
 	var files []checkedFile
 	var faults []error
-	note := func(path, holds string, err error) {
-		files = append(files, checkedFile{File: path, Good: err == nil, Holds: holds, Faults: lines(err)})
+	add := func(path, holds string, err error) {
+		files = append(files, checkedFile{File: path, Valid: err == nil, Contents: holds, Faults: errorTexts(err)})
 		faults = append(faults, err)
 	}
-	if *chosen.settings != "" {
-		note(*chosen.settings, "", checkSettings(*chosen.settings, *chosen.files))
+	if *options.settings != "" {
+		add(*options.settings, "", checkSettings(*options.settings, *options.checkFiles))
 	}
-	if *chosen.rules != "" {
-		holds, err := checkRules(*chosen.rules)
-		note(*chosen.rules, holds, err)
+	if *options.rules != "" {
+		holds, err := checkRules(*options.rules)
+		add(*options.rules, holds, err)
 	}
-	if err := commander.showChecked(files, *chosen.output); err != nil {
+	if err := commander.showChecked(files, *options.output); err != nil {
 		return err
 	}
 	return errors.Join(faults...)
@@ -79,15 +79,15 @@
 		return writeJSON(commander.out, files)
 	}
 	for _, file := range files {
-		if file.Good {
-			_, _ = fmt.Fprintf(commander.out, "%s is good%s\n", file.File, file.Holds)
+		if file.Valid {
+			_, _ = fmt.Fprintf(commander.out, "%s is good%s\n", file.File, file.Contents)
 		}
 	}
 	return nil
 }
 
 // lines returns the faults that an error joins, one a line.
-func lines(err error) []string {
+func errorTexts(err error) []string {
 	if err == nil {
 		return nil
 	}
@@ -97,7 +97,7 @@
 	}
 	var faults []string
 	for _, fault := range joined.Unwrap() {
-		faults = append(faults, lines(fault)...)
+		faults = append(faults, errorTexts(fault)...)
 	}
 	return faults
 }
@@ -119,7 +119,7 @@
 		return "", err
 	}
 	if err := editor.Check(1, document); err != nil {
-		return "", fail("check", Failing, "%s: %w", path, err)
+		return "", fail("check", Failed, "%s: %w", path, err)
 	}
 	return fmt.Sprintf(": %d classes, %d pools, %d organisations, %d rules", len(document.Classes),
 		len(document.Pools), len(document.Organisations), len(document.Rules)), nil
@@ -131,13 +131,13 @@
 	var document definer.Document
 	file, err := os.Open(path)
 	if err != nil {
-		return document, fail("readDocument", Failing, "%w", err)
+		return document, fail("readDocument", Failed, "%w", err)
 	}
 	defer func() { _ = file.Close() }()
 	decoder := json.NewDecoder(file)
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&document); err != nil {
-		return document, fail("readDocument", Failing, "%s: %w", path, err)
+		return document, fail("readDocument", Failed, "%s: %w", path, err)
 	}
 	return document, nil
 }
--- a/commander/client.go
+++ b/commander/client.go
@@ -9,7 +9,7 @@
 )
 
 // clientNames returns the flags that a client settings file may give.
-func clientNames() []string {
+func clientFileFlags() []string {
 	return []string{"nodes", "tokenFile", "platform", "platformTokenFile"}
 }
 
@@ -17,13 +17,13 @@
 // declared more than once.
 func clientFlag(flags *flag.FlagSet) {
 	if flags.Lookup("client") == nil {
-		flags.String("client", "", "a `file`, in INI, that gives "+strings.Join(clientNames(), ", ")+" where they are not flags")
+		flags.String("client", "", "a `file`, in INI, that gives "+strings.Join(clientFileFlags(), ", ")+" where they are not flags")
 	}
 }
 
 // applyClient sets the flags that were not given from the client settings file,
 // if one was named.
-func applyClient(flags *flag.FlagSet) error {
+func applyClientFile(flags *flag.FlagSet) error {
 	named := flags.Lookup("client")
 	if named == nil || named.Value.String() == "" {
 		return nil
@@ -31,20 +31,20 @@
 	path := named.Value.String()
 	file, err := ini.LoadSources(ini.LoadOptions{IgnoreInlineComment: true}, path)
 	if err != nil {
-		return fail("client", Failing, "%w", err)
+		return fail("client", Failed, "%w", err)
 	}
 	given := make(map[string]bool)
 	flags.Visit(func(flag *flag.Flag) { given[flag.Name] = true })
 	for _, section := range file.Sections() {
 		for _, key := range section.Keys() {
-			if section.Name() != ini.DefaultSection || !slices.Contains(clientNames(), key.Name()) {
-				return fail("client", Failing, "%s: found %q; allowed are %s, in no section", path, key.Name(), strings.Join(clientNames(), ", "))
+			if section.Name() != ini.DefaultSection || !slices.Contains(clientFileFlags(), key.Name()) {
+				return fail("client", Failed, "%s: found %q; allowed are %s, in no section", path, key.Name(), strings.Join(clientFileFlags(), ", "))
 			}
 			if flags.Lookup(key.Name()) == nil || given[key.Name()] {
 				continue
 			}
 			if err := flags.Set(key.Name(), key.Value()); err != nil {
-				return fail("client", Failing, "%s: %s: %w", path, key.Name(), err)
+				return fail("client", Failed, "%s: %s: %w", path, key.Name(), err)
 			}
 		}
 	}
--- a/commander/client_test.go
+++ b/commander/client_test.go
@@ -10,10 +10,10 @@
 
 func TestClientSettingsStandForFlags(t *testing.T) {
 	directory := t.TempDir()
-	good := write(t, directory, "good.ini", "# what operators use\nnodes = 127.0.0.1:1\nplatform = 127.0.0.1:2\n")
-	unknown := write(t, directory, "unknown.ini", "node = 127.0.0.1:1\n")
-	sectioned := write(t, directory, "sectioned.ini", "[client]\nnodes = 127.0.0.1:1\n")
-	token := write(t, directory, "token.ini", "token = operators-token-of-the-test\n")
+	good := writeFile(t, directory, "good.ini", "# what operators use\nnodes = 127.0.0.1:1\nplatform = 127.0.0.1:2\n")
+	unknown := writeFile(t, directory, "unknown.ini", "node = 127.0.0.1:1\n")
+	sectioned := writeFile(t, directory, "sectioned.ini", "[client]\nnodes = 127.0.0.1:1\n")
+	token := writeFile(t, directory, "token.ini", "token = operators-token-of-the-test\n")
 	cases := []struct {
 		name     string
 		args     []string
--- a/commander/commander.go
+++ b/commander/commander.go
@@ -50,14 +50,14 @@
 // Commander runs sub-commands.
 type Commander struct {
 	out      io.Writer
-	problems io.Writer
+	errOut   io.Writer
 	commands []command
 }
 
 // New returns a commander with every sub-command. Results and help that was
 // asked for go to out, problems to problems.
-func New(out, problems io.Writer) *Commander {
-	commander := &Commander{out: out, problems: problems}
+func New(out, errOut io.Writer) *Commander {
+	commander := &Commander{out: out, errOut: errOut}
 	commander.commands = commander.defaultCommands()
 	return commander
 }
@@ -65,21 +65,21 @@
 // Run runs the sub-command that the arguments name and returns its exit code.
 func (commander *Commander) Run(ctx context.Context, args []string) int {
 	if len(args) == 0 {
-		commander.usage(commander.problems)
+		commander.printUsage(commander.errOut)
 		return ExitUsage
 	}
 	if slices.Contains([]string{"help", "-h", "-help", "--help"}, args[0]) {
 		return commander.help(args[1:])
 	}
-	if command, ok := commander.find(args[0]); ok {
+	if command, ok := commander.findCommand(args[0]); ok {
 		return commander.run(ctx, command, args[1:])
 	}
-	_, _ = fmt.Fprintf(commander.problems, "limpetcleat: there is no command %q\n", args[0])
-	commander.usage(commander.problems)
+	_, _ = fmt.Fprintf(commander.errOut, "limpetcleat: there is no command %q\n", args[0])
+	commander.printUsage(commander.errOut)
 	return ExitUsage
 }
 
-func (commander *Commander) find(name string) (command, bool) {
+func (commander *Commander) findCommand(name string) (command, bool) {
 	for _, command := range commander.commands {
 		if command.name == name {
 			return command, true
@@ -91,45 +91,45 @@
 // help tells of all commands, or of the one named.
 func (commander *Commander) help(names []string) int {
 	if len(names) == 0 {
-		commander.usage(commander.out)
+		commander.printUsage(commander.out)
 		return ExitDone
 	}
-	command, ok := commander.find(names[0])
+	command, ok := commander.findCommand(names[0])
 	if !ok {
-		_, _ = fmt.Fprintf(commander.problems, "limpetcleat: there is no command %q\n", names[0])
+		_, _ = fmt.Fprintf(commander.errOut, "limpetcleat: there is no command %q\n", names[0])
 		return ExitUsage
 	}
-	flags, _ := command.flags()
-	commander.describe(command, flags)
+	flags, _ := command.flagSet()
+	commander.printHelp(command, flags)
 	return ExitDone
 }
 
 // flags returns the command's flags, which print nothing by themselves.
-func (command command) flags() (*flag.FlagSet, action) {
+func (command command) flagSet() (*flag.FlagSet, action) {
 	flags := flag.NewFlagSet(command.name, flag.ContinueOnError)
 	flags.SetOutput(io.Discard)
 	return flags, command.prepare(flags)
 }
 
 func (commander *Commander) run(ctx context.Context, command command, args []string) int {
-	flags, act := command.flags()
+	flags, act := command.flagSet()
 	verb, err := command.parse(flags, args)
 	if err == nil {
-		err = applyClient(flags)
+		err = applyClientFile(flags)
 	}
 	if errors.Is(err, flag.ErrHelp) {
-		commander.describe(command, flags)
+		commander.printHelp(command, flags)
 		return ExitDone
 	}
 	if err == nil {
 		err = act(ctx, verb)
 	}
 	if err != nil {
-		_, _ = fmt.Fprintf(commander.problems, "limpetcleat %s: %v\n", command.name, err)
+		_, _ = fmt.Fprintf(commander.errOut, "limpetcleat %s: %v\n", command.name, err)
 	}
 	code := exitCode(err)
 	if code == ExitUsage {
-		_, _ = fmt.Fprintf(commander.problems, "limpetcleat %s -h tells the flags, with an example\n", command.name)
+		_, _ = fmt.Fprintf(commander.errOut, "limpetcleat %s -h tells the flags, with an example\n", command.name)
 	}
 	return code
 }
@@ -138,41 +138,41 @@
 // returns the verb.
 func (command command) parse(flags *flag.FlagSet, args []string) (string, error) {
 	if err := flags.Parse(args); err != nil {
-		return "", fail(command.name, WrongUsage, "%w", err)
+		return "", fail(command.name, InvalidUsage, "%w", err)
 	}
 	rest := flags.Args()
 	if len(command.verbs) == 0 {
-		return "", command.checkRest(rest)
+		return "", command.rejectArguments(rest)
 	}
 	allowed := strings.Join(command.verbs, ", ")
 	if len(rest) == 0 {
-		return "", fail(command.name, WrongUsage, "name one of %s", allowed)
+		return "", fail(command.name, InvalidUsage, "name one of %s", allowed)
 	}
 	if !slices.Contains(command.verbs, rest[0]) {
-		return "", fail(command.name, WrongUsage, "there is no verb %q; name one of %s", rest[0], allowed)
+		return "", fail(command.name, InvalidUsage, "there is no verb %q; name one of %s", rest[0], allowed)
 	}
 	if err := flags.Parse(rest[1:]); err != nil {
-		return "", fail(command.name, WrongUsage, "%w", err)
+		return "", fail(command.name, InvalidUsage, "%w", err)
 	}
-	return rest[0], command.checkRest(flags.Args())
+	return rest[0], command.rejectArguments(flags.Args())
 }
 
-func (command command) checkRest(rest []string) error {
+func (command command) rejectArguments(rest []string) error {
 	if len(rest) > 0 {
-		return fail(command.name, WrongUsage, "%q is neither a flag nor expected", rest[0])
+		return fail(command.name, InvalidUsage, "%q is neither a flag nor expected", rest[0])
 	}
 	return nil
 }
 
 // describe writes the help of one command.
-func (commander *Commander) describe(command command, flags *flag.FlagSet) {
+func (commander *Commander) printHelp(command command, flags *flag.FlagSet) {
 	_, _ = fmt.Fprintf(commander.out, "limpetcleat %s: %s\n\nExample:\n  %s\n\nFlags:\n", command.name, command.summary, command.example)
 	flags.SetOutput(commander.out)
 	flags.PrintDefaults()
 	_, _ = fmt.Fprintf(commander.out, "\n%s\n", exitCodes)
 }
 
-func (commander *Commander) usage(writer io.Writer) {
+func (commander *Commander) printUsage(writer io.Writer) {
 	_, _ = fmt.Fprintln(writer, "usage: limpetcleat COMMAND [flags]\n\nCommands:")
 	for _, command := range commander.commands {
 		_, _ = fmt.Fprintf(writer, "  %-10s %s\n", command.name, command.summary)
@@ -187,11 +187,11 @@
 		return ExitDone
 	case !errors.As(err, &failure):
 		return ExitFailed
-	case failure.Kind() == WrongUsage:
+	case failure.Kind() == InvalidUsage:
 		return ExitUsage
-	case failure.Kind() == Conflicting:
+	case failure.Kind() == Conflict:
 		return ExitConflict
-	case failure.Kind() == NotEverywhere:
+	case failure.Kind() == Partial:
 		return ExitPartial
 	default:
 		return ExitFailed
--- a/commander/commander_test.go
+++ b/commander/commander_test.go
@@ -98,9 +98,9 @@
 
 func TestCheck(t *testing.T) {
 	directory := t.TempDir()
-	wrongRules := write(t, directory, "wrong.json", `{"rules":[{"name":"a","when":"model ==","then":{"class":"none","pool":"none"}}]}`)
-	misspelt := write(t, directory, "misspelt.json", `{"rulez":[]}`)
-	wrongSettings := write(t, directory, "wrong.ini", "[node]\nname = a b\ncolour = green\n")
+	wrongRules := writeFile(t, directory, "wrong.json", `{"rules":[{"name":"a","when":"model ==","then":{"class":"none","pool":"none"}}]}`)
+	misspelt := writeFile(t, directory, "misspelt.json", `{"rulez":[]}`)
+	wrongSettings := writeFile(t, directory, "wrong.ini", "[node]\nname = a b\ncolour = green\n")
 	const settings, rules = "../examples/buttons.ini", "../examples/buttons.json"
 	cases := []struct {
 		name          string
@@ -146,7 +146,7 @@
 	assert.NilError(t, json.Unmarshal([]byte(text), value), text)
 }
 
-func write(t *testing.T, directory, name, content string) string {
+func writeFile(t *testing.T, directory, name, content string) string {
 	t.Helper()
 	path := filepath.Join(directory, name)
 	assert.NilError(t, os.WriteFile(path, []byte(content), 0o600))
@@ -172,7 +172,7 @@
 	store := storer.New([]string{system.Platform()}, "")
 	t.Cleanup(store.Close)
 	directory := t.TempDir()
-	token := write(t, directory, "token", demonstrator.OperatorToken+"\n")
+	token := writeFile(t, directory, "token", demonstrator.OperatorToken+"\n")
 	return &fixture{
 		t: t, system: system, directory: directory, store: store,
 		nodes:    []string{"-nodes", strings.Join(system.Operators(), ","), "-tokenFile", token},
@@ -181,7 +181,7 @@
 }
 
 // rules runs a verb of rules with the flags that reach everything.
-func (fixture *fixture) rules(verb string, args ...string) result {
+func (fixture *fixture) runRules(verb string, args ...string) result {
 	fixture.t.Helper()
 	all := append([]string{"rules"}, fixture.platform...)
 	all = append(append(all, verb), fixture.nodes...)
@@ -189,7 +189,7 @@
 }
 
 // save stores a changed copy of the configuration in a file.
-func (fixture *fixture) save(name string, change func(document *definer.Document)) string {
+func (fixture *fixture) saveChanged(name string, change func(document *definer.Document)) string {
 	fixture.t.Helper()
 	version, err := editor.New(fixture.store, "test").Load(fixture.t.Context())
 	assert.NilError(fixture.t, err)
@@ -197,5 +197,5 @@
 	change(&document)
 	data, err := json.Marshal(document)
 	assert.NilError(fixture.t, err)
-	return write(fixture.t, fixture.directory, name, string(data))
+	return writeFile(fixture.t, fixture.directory, name, string(data))
 }
--- a/commander/demo.go
+++ b/commander/demo.go
@@ -14,19 +14,19 @@
 
 const (
 	// demoLoadTime is how long requests arrive where nothing else is chosen.
-	demoLoadTime = 8 * time.Second
+	defaultDemoLoadDuration = 8 * time.Second
 	// demoServeTime is how long callers are served where nothing else is chosen.
-	demoServeTime = time.Minute
-	demoTimeout   = 15 * time.Second
+	defaultDemoServeDuration = time.Minute
+	demoRequestTimeout       = 15 * time.Second
 )
 
 // demoFlags are the flags of demo.
-type demoFlags struct {
-	serve  *bool
-	listen *string
-	key    *string
-	last   *time.Duration
-	seed   *uint64
+type demoOptions struct {
+	serve    *bool
+	listen   *string
+	key      *string
+	duration *time.Duration
+	seed     *uint64
 }
 
 func (commander *Commander) demoCommand() command {
@@ -35,48 +35,48 @@
 		summary: "run a whole small system on loopback under a short mixed load",
 		example: "limpetcleat demo -for 8s",
 		prepare: func(flags *flag.FlagSet) action {
-			chosen := demoFlags{
-				serve:  flags.Bool("serve", false, "serve any client in place of making load"),
-				listen: flags.String("listen", "127.0.0.1:0", "the first node's `address` for callers"),
-				key:    flags.String("apiKey", demonstrator.ButtonsKey, "the callers' `key`"),
-				last:   flags.Duration("for", 0, "how long to make load, 8s if not given, or to serve, 1m if not given"),
-				seed:   flags.Uint64("seed", 1, "the load's seed"),
+			options := demoOptions{
+				serve:    flags.Bool("serve", false, "serve any client in place of making load"),
+				listen:   flags.String("listen", "127.0.0.1:0", "the first node's `address` for callers"),
+				key:      flags.String("apiKey", demonstrator.ButtonsKey, "the callers' `key`"),
+				duration: flags.Duration("for", 0, "how long to make load, 8s if not given, or to serve, 1m if not given"),
+				seed:     flags.Uint64("seed", 1, "the load's seed"),
 			}
-			return func(ctx context.Context, _ string) error { return commander.demo(ctx, chosen) }
+			return func(ctx context.Context, _ string) error { return commander.demo(ctx, options) }
 		},
 	}
 }
 
-func (commander *Commander) demo(ctx context.Context, chosen demoFlags) error {
-	if *chosen.last < 0 {
-		return fail("demo", WrongUsage, "-for is %v; allowed is a duration above 0", *chosen.last)
+func (commander *Commander) demo(ctx context.Context, options demoOptions) error {
+	if *options.duration < 0 {
+		return fail("demo", InvalidUsage, "-for is %v; allowed is a duration above 0", *options.duration)
 	}
-	system, err := demonstrator.Start(ctx, *chosen.listen, *chosen.key)
+	system, err := demonstrator.Start(ctx, *options.listen, *options.key)
 	if err != nil {
 		return err
 	}
 	defer system.Stop()
-	if *chosen.serve {
-		return commander.demoServe(ctx, system, cmp.Or(*chosen.last, demoServeTime))
+	if *options.serve {
+		return commander.demoServe(ctx, system, cmp.Or(*options.duration, defaultDemoServeDuration))
 	}
-	return commander.demoLoad(ctx, system, chosen)
+	return commander.demoLoad(ctx, system, options)
 }
 
-func (commander *Commander) demoServe(ctx context.Context, system *demonstrator.System, last time.Duration) error {
+func (commander *Commander) demoServe(ctx context.Context, system *demonstrator.System, duration time.Duration) error {
 	_, _ = fmt.Fprintf(commander.out, "callers are served at http://%s/v1 (model %s)\n", system.Callers()[0], demonstrator.ModelName)
-	clock := time.NewTimer(last)
-	defer clock.Stop()
+	timer := time.NewTimer(duration)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-clock.C:
+	case <-timer.C:
 	}
 	return nil
 }
 
-func (commander *Commander) demoLoad(ctx context.Context, system *demonstrator.System, chosen demoFlags) error {
-	load := generator.New(system.Callers(), generator.WithDuration(cmp.Or(*chosen.last, demoLoadTime)), generator.WithSeed(*chosen.seed),
-		generator.WithTimeout(demoTimeout), generator.WithCheck(checkAnswer))
-	result := load.Run(ctx, demonstrator.Mix(*chosen.key))
+func (commander *Commander) demoLoad(ctx context.Context, system *demonstrator.System, options demoOptions) error {
+	load := generator.New(system.Callers(), generator.WithDuration(cmp.Or(*options.duration, defaultDemoLoadDuration)), generator.WithSeed(*options.seed),
+		generator.WithTimeout(demoRequestTimeout), generator.WithCheck(checkAnswer))
+	result := load.Run(ctx, demonstrator.Mix(*options.key))
 	result.SetWasted(system.Wasted())
 	if err := result.WriteText(commander.out); err != nil {
 		return err
@@ -91,6 +91,6 @@
 }
 
 // checkAnswer tells whether a text is what the stand-in engines must answer.
-func checkAnswer(model, prompt, text string, tokens int) bool {
-	return text == engine.Answer(model, prompt, 0, tokens)
+func checkAnswer(model, prompt, answer string, tokens int) bool {
+	return answer == engine.Answer(model, prompt, 0, tokens)
 }
--- a/commander/drain.go
+++ b/commander/drain.go
@@ -9,12 +9,12 @@
 	"limpetcleat/operator"
 )
 
-const drainPollEvery = 500 * time.Millisecond
+const drainPollInterval = 500 * time.Millisecond
 
 // drainRow is one node in the JSON form of drain.
 type drainRow struct {
-	Address string `json:"address"`
-	Drains  bool   `json:"drains"`
+	Address  string `json:"address"`
+	Draining bool   `json:"drains"`
 	// Stopped is set only when the end of the stop was waited for.
 	Stopped bool   `json:"stopped"`
 	Failure string `json:"failure,omitempty"`
@@ -34,20 +34,20 @@
 	}
 }
 
-func (commander *Commander) drain(ctx context.Context, nodes *access, output string, wait time.Duration) error {
+func (commander *Commander) drain(ctx context.Context, nodes *endpoint, output string, wait time.Duration) error {
 	if err := checkOutput(output); err != nil {
 		return err
 	}
-	client, err := nodes.client()
+	client, err := nodes.operatorClient()
 	if err != nil {
 		return err
 	}
 	answers := client.Drain(ctx)
 	rows := make([]drainRow, 0, len(answers))
 	for _, answer := range answers {
-		rows = append(rows, drainRow{Address: answer.Address(), Drains: answer.Failure() == nil, Failure: failureText(answer)})
+		rows = append(rows, drainRow{Address: answer.Address(), Draining: answer.Failure() == nil, Failure: errorText(answer)})
 	}
-	failure := silent(answers)
+	failure := unansweredError(answers)
 	if failure == nil && wait > 0 {
 		failure = awaitStopped(ctx, client, rows, wait)
 	}
@@ -60,23 +60,23 @@
 // awaitStopped returns once no node gives an answer any more. Its error is of
 // kind NotEverywhere and names those that still do when the time is over.
 func awaitStopped(ctx context.Context, client *operator.Client, rows []drainRow, wait time.Duration) error {
-	limited, cancel := context.WithTimeout(ctx, wait)
+	waitCtx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	for {
-		var open []string
+		var running []string
 		for index, answer := range client.Status(ctx) {
 			rows[index].Stopped = answer.Failure() != nil
 			if answer.Failure() == nil {
-				open = append(open, answer.Address())
+				running = append(running, answer.Address())
 			}
 		}
-		if len(open) == 0 {
+		if len(running) == 0 {
 			return nil
 		}
 		select {
-		case <-limited.Done():
-			return fail("drain", NotEverywhere, "not stopped yet: %v", open)
-		case <-time.After(drainPollEvery):
+		case <-waitCtx.Done():
+			return fail("drain", Partial, "not stopped yet: %v", running)
+		case <-time.After(drainPollInterval):
 		}
 	}
 }
@@ -89,7 +89,7 @@
 		switch {
 		case row.Stopped:
 			_, _ = fmt.Fprintf(commander.out, "%s has stopped\n", row.Address)
-		case row.Drains:
+		case row.Draining:
 			_, _ = fmt.Fprintf(commander.out, "%s drains\n", row.Address)
 		}
 	}
--- a/commander/duties.go
+++ b/commander/duties.go
@@ -15,10 +15,10 @@
 }
 
 func (commander *Commander) dutiesCommand() command {
-	report := report[operator.Duties]{
-		ask: (*operator.Client).Duties,
+	report := nodeReport[operator.Duties]{
+		query: (*operator.Client).Duties,
 		row: func(answer operator.Answer[operator.Duties]) any {
-			return dutiesRow{Address: answer.Address(), Duties: answer.Value(), Failure: failureText(answer)}
+			return dutiesRow{Address: answer.Address(), Duties: answer.Value(), Failure: errorText(answer)}
 		},
 		write: writeDuties,
 	}
--- a/commander/explain.go
+++ b/commander/explain.go
@@ -12,7 +12,7 @@
 )
 
 // requestFlags are a request's properties as flags.
-type requestFlags struct {
+type requestOptions struct {
 	properties matcher.Properties
 	headers    headerFlag
 }
@@ -27,59 +27,59 @@
 func (headers headerFlag) Set(pair string) error {
 	name, value, ok := strings.Cut(pair, "=")
 	if !ok {
-		return fail("explain", WrongUsage, "-header is %q; allowed is name=value", pair)
+		return fail("explain", InvalidUsage, "-header is %q; allowed is name=value", pair)
 	}
 	headers[strings.ToLower(name)] = value
 	return nil
 }
 
-func explainFlags(flags *flag.FlagSet) *requestFlags {
-	request := &requestFlags{headers: make(headerFlag)}
-	flags.StringVar(&request.properties.Organisation, "organisation", "", "explain: the request's organisation")
-	flags.StringVar(&request.properties.Model, "model", "", "explain: the model it names")
-	flags.StringVar(&request.properties.Service, "service", "", "explain: the plain service it calls")
-	flags.StringVar(&request.properties.Method, "method", "POST", "explain: its method")
-	flags.StringVar(&request.properties.Path, "path", "", "explain: its path")
-	flags.BoolVar(&request.properties.Streamed, "streamed", false, "explain: whether it wants a stream")
-	flags.IntVar(&request.properties.PromptTokens, "promptTokens", 0, "explain: its prompt's length in tokens")
-	flags.IntVar(&request.properties.MaxTokens, "maxTokens", 0, "explain: the most tokens it wants")
-	flags.Var(request.headers, "header", "explain: a header as `name=value`; may be given again")
-	return request
+func requestFlags(flags *flag.FlagSet) *requestOptions {
+	options := &requestOptions{headers: make(headerFlag)}
+	flags.StringVar(&options.properties.Organisation, "organisation", "", "explain: the request's organisation")
+	flags.StringVar(&options.properties.Model, "model", "", "explain: the model it names")
+	flags.StringVar(&options.properties.Service, "service", "", "explain: the plain service it calls")
+	flags.StringVar(&options.properties.Method, "method", "POST", "explain: its method")
+	flags.StringVar(&options.properties.Path, "path", "", "explain: its path")
+	flags.BoolVar(&options.properties.Streamed, "streamed", false, "explain: whether it wants a stream")
+	flags.IntVar(&options.properties.PromptTokens, "promptTokens", 0, "explain: its prompt's length in tokens")
+	flags.IntVar(&options.properties.MaxTokens, "maxTokens", 0, "explain: the most tokens it wants")
+	flags.Var(options.headers, "header", "explain: a header as `name=value`; may be given again")
+	return options
 }
 
 // verdictRow is one rule in the JSON form of explain.
 type verdictRow struct {
-	Rule  string `json:"rule"`
-	When  string `json:"when"`
-	Holds bool   `json:"holds"`
-	Why   string `json:"why"`
+	Rule        string `json:"rule"`
+	When        string `json:"when"`
+	Holds       bool   `json:"holds"`
+	Explanation string `json:"why"`
 }
 
-func (commander *Commander) rulesExplain(ctx context.Context, chosen ruleFlags) error {
-	document, err := chosen.document(ctx)
+func (commander *Commander) rulesExplain(ctx context.Context, options rulesOptions) error {
+	document, err := options.document(ctx)
 	if err != nil {
 		return err
 	}
 	configuration, err := definer.Build(1, document)
 	if err != nil {
-		return fail("explain", Failing, "%w", err)
+		return fail("explain", Failed, "%w", err)
 	}
 	compiled, err := matcher.New(configuration.Rules())
 	if err != nil {
 		return err
 	}
-	properties := chosen.request.properties
-	properties.Headers = chosen.request.headers
+	properties := options.request.properties
+	properties.Headers = options.request.headers
 	verdicts := compiled.Explain(properties)
-	return commander.showVerdicts(verdicts, properties, *chosen.output)
+	return commander.showVerdicts(verdicts, properties, *options.output)
 }
 
 // document returns the configuration in the file, or the stored one.
-func (chosen ruleFlags) document(ctx context.Context) (definer.Document, error) {
-	if *chosen.file != "" {
-		return readDocument(*chosen.file)
+func (options rulesOptions) document(ctx context.Context) (definer.Document, error) {
+	if *options.file != "" {
+		return readDocument(*options.file)
 	}
-	version, err := chosen.load(ctx)
+	version, err := options.loadNewest(ctx)
 	if err != nil {
 		return definer.Document{}, err
 	}
@@ -89,13 +89,13 @@
 func (commander *Commander) showVerdicts(verdicts []matcher.Verdict, properties matcher.Properties, output string) error {
 	rows := make([]verdictRow, 0, len(verdicts))
 	for _, verdict := range verdicts {
-		rows = append(rows, verdictRow{Rule: verdict.Rule().Name(), When: verdict.Rule().When(), Holds: verdict.Holds(), Why: why(verdict, properties)})
+		rows = append(rows, verdictRow{Rule: verdict.Rule().Name(), When: verdict.Rule().When(), Holds: verdict.Holds(), Explanation: explanation(verdict, properties)})
 	}
 	if output == outputJSON {
 		return writeJSON(commander.out, rows)
 	}
 	for _, row := range rows {
-		_, _ = fmt.Fprintf(commander.out, "%q: %s\n    when %s\n", row.Rule, row.Why, row.When)
+		_, _ = fmt.Fprintf(commander.out, "%q: %s\n    when %s\n", row.Rule, row.Explanation, row.When)
 	}
 	if len(verdicts) == 0 || !verdicts[len(verdicts)-1].Holds() {
 		_, _ = fmt.Fprintf(commander.out, "no rule matches: the caller is refused with %s\n", messenger.NoRule)
@@ -103,7 +103,7 @@
 	return nil
 }
 
-func why(verdict matcher.Verdict, properties matcher.Properties) string {
+func explanation(verdict matcher.Verdict, properties matcher.Properties) string {
 	switch {
 	case verdict.Failure() != nil:
 		return "does not match, its condition failed: " + verdict.Failure().Error()
--- a/commander/failure.go
+++ b/commander/failure.go
@@ -7,13 +7,13 @@
 
 const (
 	// WrongUsage marks a wrong command line.
-	WrongUsage Kind = "wrongUsage"
+	InvalidUsage Kind = "wrongUsage"
 	// Conflicting marks a change that another operator's change overtook.
-	Conflicting Kind = "conflict"
+	Conflict Kind = "conflict"
 	// NotEverywhere marks a change that some node does not apply yet.
-	NotEverywhere Kind = "notEverywhere"
+	Partial Kind = "notEverywhere"
 	// Failing marks anything else.
-	Failing Kind = "failed"
+	Failed Kind = "failed"
 )
 
 // Error is the one error type of this package.
--- a/commander/flags.go
+++ b/commander/flags.go
@@ -23,7 +23,7 @@
 
 func checkOutput(output string) error {
 	if output != outputText && output != outputJSON {
-		return fail("output", WrongUsage, "-output is %q; allowed is text or json", output)
+		return fail("output", InvalidUsage, "-output is %q; allowed is text or json", output)
 	}
 	return nil
 }
@@ -37,19 +37,19 @@
 }
 
 // access is how a command reaches a guarded server.
-type access struct {
+type endpoint struct {
 	addresses *string
 	token     *string
 	tokenFile *string
 	// what names the server in messages.
-	what string
+	flagName string
 }
 
 // nodeFlags declares the flags that say which nodes to ask.
-func nodeFlags(flags *flag.FlagSet) *access {
+func nodeFlags(flags *flag.FlagSet) *endpoint {
 	clientFlag(flags)
-	return &access{
-		what:      "nodes",
+	return &endpoint{
+		flagName:  "nodes",
 		addresses: flags.String("nodes", "", "operators' `addresses` of the nodes, IP:port, with commas"),
 		token:     flags.String("token", "", "the operators' `token`; -tokenFile keeps it out of the process list"),
 		tokenFile: flags.String("tokenFile", "", "the `file` that holds the operators' token"),
@@ -57,10 +57,10 @@
 }
 
 // platformFlags declares the flags that say how to reach the platform.
-func platformFlags(flags *flag.FlagSet) *access {
+func platformFlags(flags *flag.FlagSet) *endpoint {
 	clientFlag(flags)
-	return &access{
-		what:      "platform",
+	return &endpoint{
+		flagName:  "platform",
 		addresses: flags.String("platform", "", "`addresses` of the platform's object API, IP:port, with commas"),
 		token:     flags.String("platformToken", "", "the platform's `token`"),
 		tokenFile: flags.String("platformTokenFile", "", "the `file` that holds the platform's token"),
@@ -68,43 +68,43 @@
 }
 
 // given tells whether there is any address.
-func (access *access) given() bool { return *access.addresses != "" }
+func (endpoint *endpoint) isSet() bool { return *endpoint.addresses != "" }
 
 // list returns the addresses; the error is of kind WrongUsage when there is none.
-func (access *access) list() ([]string, error) {
-	if !access.given() {
-		return nil, fail("flags", WrongUsage, "-%s is missing", access.what)
+func (endpoint *endpoint) addressList() ([]string, error) {
+	if !endpoint.isSet() {
+		return nil, fail("flags", InvalidUsage, "-%s is missing", endpoint.flagName)
 	}
 	var addresses []string
-	for _, address := range strings.Split(*access.addresses, ",") {
+	for _, address := range strings.Split(*endpoint.addresses, ",") {
 		addresses = append(addresses, strings.TrimSpace(address))
 	}
 	return addresses, nil
 }
 
-func (access *access) secret() (string, error) {
-	if *access.tokenFile == "" {
-		return *access.token, nil
+func (endpoint *endpoint) readToken() (string, error) {
+	if *endpoint.tokenFile == "" {
+		return *endpoint.token, nil
 	}
-	data, err := os.ReadFile(*access.tokenFile)
+	data, err := os.ReadFile(*endpoint.tokenFile)
 	if err != nil {
-		return "", fail("flags", Failing, "%w", err)
+		return "", fail("flags", Failed, "%w", err)
 	}
 	return strings.TrimSpace(string(data)), nil
 }
 
 // read returns the addresses and the secret.
-func (access *access) read() (addresses []string, token string, err error) {
-	if addresses, err = access.list(); err != nil {
+func (endpoint *endpoint) resolve() (addresses []string, token string, err error) {
+	if addresses, err = endpoint.addressList(); err != nil {
 		return nil, "", err
 	}
-	token, err = access.secret()
+	token, err = endpoint.readToken()
 	return addresses, token, err
 }
 
 // client returns a client of the nodes.
-func (access *access) client() (*operator.Client, error) {
-	addresses, token, err := access.read()
+func (endpoint *endpoint) operatorClient() (*operator.Client, error) {
+	addresses, token, err := endpoint.resolve()
 	if err != nil {
 		return nil, err
 	}
@@ -112,8 +112,8 @@
 }
 
 // store returns a client of the platform.
-func (access *access) store() (*storer.Storer, error) {
-	addresses, token, err := access.read()
+func (endpoint *endpoint) storeClient() (*storer.Storer, error) {
+	addresses, token, err := endpoint.resolve()
 	if err != nil {
 		return nil, err
 	}
--- a/commander/heldoff.go
+++ b/commander/heldoff.go
@@ -31,7 +31,7 @@
 				if err := checkOutput(*output); err != nil {
 					return err
 				}
-				client, err := nodes.client()
+				client, err := nodes.operatorClient()
 				if err != nil {
 					return err
 				}
@@ -45,7 +45,7 @@
 }
 
 func (commander *Commander) lift(ctx context.Context, client *operator.Client, identity string) error {
-	if err := silent(client.Lift(ctx, identity)); err != nil {
+	if err := unansweredError(client.Lift(ctx, identity)); err != nil {
 		return err
 	}
 	_, _ = fmt.Fprintf(commander.out, "%s may be sent again\n", identity)
@@ -53,11 +53,11 @@
 }
 
 // heldOffReport shows which requests each node refuses or suspects.
-func heldOffReport() report[[]operator.HeldOff] {
-	return report[[]operator.HeldOff]{
-		ask: (*operator.Client).HeldOff,
+func heldOffReport() nodeReport[[]operator.HeldOff] {
+	return nodeReport[[]operator.HeldOff]{
+		query: (*operator.Client).HeldOff,
 		row: func(answer operator.Answer[[]operator.HeldOff]) any {
-			return heldOffRow{Address: answer.Address(), HeldOff: answer.Value(), Failure: failureText(answer)}
+			return heldOffRow{Address: answer.Address(), HeldOff: answer.Value(), Failure: errorText(answer)}
 		},
 		header: "node\trequest\tstate\tended\tfirst ago\trefused\ttold by\tupstreams",
 		write:  writeHeldOff,
@@ -69,14 +69,14 @@
 	for _, row := range rows {
 		state := "suspected"
 		if row.Held {
-			state = "held off, " + seconds(row.LeftMs) + " left"
+			state = "held off, " + formatSeconds(row.LeftMs) + " left"
 		}
 		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%s\t%d\t%s\t%s\n", address, row.Identity, state, len(row.Upstreams),
-			seconds(row.FirstAgoMs), row.Refused, strings.Join(row.ToldBy, ","), strings.Join(row.Upstreams, ","))
+			formatSeconds(row.FirstAgoMs), row.Refused, strings.Join(row.ToldBy, ","), strings.Join(row.Upstreams, ","))
 	}
 }
 
 // seconds returns milliseconds as whole seconds to be read.
-func seconds(millis int64) string {
+func formatSeconds(millis int64) string {
 	return (time.Duration(millis) * time.Millisecond).Round(time.Second).String()
 }
--- a/commander/platform.go
+++ b/commander/platform.go
@@ -27,7 +27,7 @@
 const memoryLimitShare = 0.6
 
 // asideTimeout bounds the head of a scraper's or an operator's request.
-const asideTimeout = 5 * time.Second
+const auxiliaryHeaderTimeout = 5 * time.Second
 
 func (commander *Commander) platformCommand() command {
 	return command{
@@ -35,30 +35,30 @@
 		summary: "run one node on the users' platform; SIGTERM begins a planned stop",
 		example: platform.SettingsVariable + "=/etc/limpetcleat/boot.yaml limpetcleat platform",
 		prepare: func(flags *flag.FlagSet) action {
-			port := flags.Uint("metricsPort", 0, "the `port` of the metrics, at /metrics; 0 serves none")
-			operators := flags.Uint("operatorsPort", 0, "the `port` on 127.0.0.1 where operators see and lift what is held off; 0 serves none")
+			metricsPort := flags.Uint("metricsPort", 0, "the `port` of the metrics, at /metrics; 0 serves none")
+			operatorPort := flags.Uint("operatorsPort", 0, "the `port` on 127.0.0.1 where operators see and lift what is held off; 0 serves none")
 			delegation := flags.Bool("delegation", false, "let few nodes ask the store and tell the others; the same at all nodes")
 			headroom := flags.Float64("engineHeadroom", scaler.DefaultHeadroom, "how many `engines` there are to be for each one that the usual work takes, for bursts that are over before an engine has started")
 			longestBackoff := flags.Duration("longestBackoff", interpreter.MaxRetryAfter, "the longest `time` for which an upstream that turns requests away may ask not to be sent any")
 			return func(ctx context.Context, _ string) error {
-				return commander.servePlatform(ctx, &entryOptions{longestBackoff: *longestBackoff, metricsPort: uint16(*port), operatorsPort: uint16(*operators), delegation: *delegation, headroom: *headroom})
+				return commander.servePlatform(ctx, &platformOptions{longestBackoff: *longestBackoff, metricsPort: uint16(*metricsPort), operatorPort: uint16(*operatorPort), delegation: *delegation, headroom: *headroom})
 			}
 		},
 	}
 }
 
 // entryOptions are what the command line says of a node on the users' platform.
-type entryOptions struct {
-	metricsPort   uint16
-	operatorsPort uint16
-	delegation    bool
+type platformOptions struct {
+	metricsPort  uint16
+	operatorPort uint16
+	delegation   bool
 	// headroom is how many engines there are to be for each one that the work takes.
 	headroom float64
 	// longestBackoff bounds how long an upstream may ask not to be sent anything.
 	longestBackoff time.Duration
 }
 
-func (commander *Commander) servePlatform(ctx context.Context, options *entryOptions) error {
+func (commander *Commander) servePlatform(ctx context.Context, options *platformOptions) error {
 	log := logger.New(commander.out)
 	settings, err := platform.LoadSettings()
 	if err != nil {
@@ -72,13 +72,13 @@
 		return err
 	}
 	counts := meter.New(func(err error) { log.Event(logger.EventMetricsFailed, "cause", err) })
-	account := accountant.New(log.Event, counts.StoreCall)
-	store := platform.NewStore(settings.Store, platform.WithCalls(account.Count), platform.WithArrived(counts.StoreBytes),
+	accountant := accountant.New(log.Event, counts.StoreCall)
+	store := platform.NewStore(settings.Store, platform.WithCalls(accountant.Count), platform.WithArrived(counts.StoreBytes),
 		platform.WithReadings(sifter.New(log.Event, counts.Unreadable)))
 	defer store.Close()
 	nodeSettings := entrySettings(settings, options, counts)
 	if settings.Authority.IsValid() {
-		authority := platform.NewAuthority(settings.Authority, account.Count)
+		authority := platform.NewAuthority(settings.Authority, accountant.Count)
 		defer authority.Close()
 		settings.Duties.Headroom = options.headroom
 		nodeSettings.Duties = limpetcleat.Duties{Settings: settings.Duties, Shelf: platform.NewShelf(store), Platform: authority, Observe: counts.Duties}
@@ -95,12 +95,12 @@
 		operators.ServeDuties(duties.Status)
 	}
 	operators.ServeAnnounced(entry.Announcer(), entry.Throttler())
-	stopOperators := serveAside(operatorsAddress(options.operatorsPort), operators.Handler(), log)
-	accountCtx, endAccount := context.WithCancel(context.WithoutCancel(ctx))
-	go account.Run(accountCtx)
+	stopOperators := serveAuxiliary(operatorAddress(options.operatorPort), operators.Handler(), log)
+	accountantCtx, stopAccountant := context.WithCancel(context.WithoutCancel(ctx))
+	go accountant.Run(accountantCtx)
 	commander.runEntry(ctx, entry, listeners)
-	endAccount()
-	<-account.Done()
+	stopAccountant()
+	<-accountant.Done()
 	stopMetrics()
 	stopOperators()
 	if err := counts.Close(); err != nil {
@@ -115,7 +115,7 @@
 }
 
 // operatorsAddress is on loopback: what is served there asks for no token.
-func operatorsAddress(port uint16) netip.AddrPort {
+func operatorAddress(port uint16) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), port)
 }
 
@@ -123,16 +123,16 @@
 func serveMetrics(address netip.AddrPort, handler http.Handler, log *logger.Logger) func() {
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", handler)
-	return serveAside(address, mux, log)
+	return serveAuxiliary(address, mux, log)
 }
 
 // serveAside serves what is not for callers in the background, unless the port is 0; the
 // function that it returns ends that. A node serves callers without it too.
-func serveAside(address netip.AddrPort, handler http.Handler, log *logger.Logger) func() {
+func serveAuxiliary(address netip.AddrPort, handler http.Handler, log *logger.Logger) func() {
 	if address.Port() == 0 {
 		return func() {}
 	}
-	server := &http.Server{Addr: address.String(), Handler: handler, ReadHeaderTimeout: asideTimeout}
+	server := &http.Server{Addr: address.String(), Handler: handler, ReadHeaderTimeout: auxiliaryHeaderTimeout}
 	go func() {
 		if err := server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
 			log.Event(logger.EventMetricsFailed, "listen", address, "cause", err)
@@ -143,21 +143,21 @@
 
 // runEntry runs the entry until a signal has asked for a planned stop.
 func (commander *Commander) runEntry(ctx context.Context, entry *limpetcleat.Entry, listeners []net.Listener) {
-	stopWatch := context.AfterFunc(ctx, func() {
+	stopDrainOnSignal := context.AfterFunc(ctx, func() {
 		entry.Event(logger.EventDrainAsked, "by", "signal")
 		entry.Drain()
 	})
-	defer stopWatch()
-	reloads := reloadSignals()
+	defer stopDrainOnSignal()
+	reloads := newReloadNotifier()
 	defer reloads.stop()
-	go reloads.each(func() {
+	go reloads.forEach(func() {
 		_, err := platform.LoadSettings()
 		entry.Event(logger.EventSettingsReloaded, "cause", err)
 	})
 	entry.Run(listeners[0], listeners[1], listeners[2])
 }
 
-func entrySettings(settings *platform.Settings, options *entryOptions, counts *meter.Meter) limpetcleat.EntrySettings {
+func entrySettings(settings *platform.Settings, options *platformOptions, counts *meter.Meter) limpetcleat.EntrySettings {
 	return limpetcleat.EntrySettings{
 		VM:             settings.VM,
 		DataCentre:     settings.DataCentre,
--- a/commander/put.go
+++ b/commander/put.go
@@ -36,48 +36,48 @@
 // rulesPut shows what changes, writes it, and waits until it is in force. Its
 // error is of kind Conflicting when another operator was faster, and of kind
 // NotEverywhere when some node does not apply the change.
-func (commander *Commander) rulesPut(ctx context.Context, chosen ruleFlags) error {
-	if *chosen.file == "" {
-		return fail("put", WrongUsage, "-file is missing")
+func (commander *Commander) rulesPut(ctx context.Context, options rulesOptions) error {
+	if *options.file == "" {
+		return fail("put", InvalidUsage, "-file is missing")
 	}
-	document, err := readDocument(*chosen.file)
+	document, err := readDocument(*options.file)
 	if err != nil {
 		return err
 	}
-	store, err := chosen.platform.store()
+	store, err := options.platform.storeClient()
 	if err != nil {
 		return err
 	}
 	defer store.Close()
-	editing := editor.New(store, *chosen.editor, editor.WithFloor(*chosen.floor))
-	before, err := newest(ctx, editing)
+	configurationEditor := editor.New(store, *options.editor, editor.WithFloor(*options.floor))
+	before, err := loadNewestOrEmpty(ctx, configurationEditor)
 	if err != nil {
 		return err
 	}
-	if base := *chosen.base; base != 0 && base != before.Number() {
-		return overtaken(before.Head().Edit)
+	if base := *options.base; base != 0 && base != before.Number() {
+		return conflictError(before.Head().Edit)
 	}
-	differences, err := commander.showDifferences(before, document, *chosen.output)
+	differences, err := commander.showDifferences(before, document, *options.output)
 	if err != nil {
 		return err
 	}
-	result := putResult{Version: before.Number(), DryRun: *chosen.dryRun, Differences: differences, InForce: []string{}, Behind: []string{}}
-	if *chosen.dryRun {
-		return commander.concludePut(result, *chosen.output, editor.Check(before.Number()+1, document))
+	result := putResult{Version: before.Number(), DryRun: *options.dryRun, Differences: differences, InForce: []string{}, Behind: []string{}}
+	if *options.dryRun {
+		return commander.reportPut(result, *options.output, editor.Check(before.Number()+1, document))
 	}
-	after, err := editing.Edit(ctx, replace(before, document, *chosen.summary))
+	after, err := configurationEditor.Edit(ctx, replacement(before, document, *options.summary))
 	if err != nil {
-		return putFailure(err)
+		return putError(err)
 	}
 	result.Version, result.Changed = after.Number(), after.Number() != before.Number()
-	commander.tellAccepted(result, *chosen.output)
-	err = commander.awaitInForce(ctx, chosen, &result)
-	return commander.concludePut(result, *chosen.output, err)
+	commander.reportAccepted(result, *options.output)
+	err = commander.awaitInForce(ctx, options, &result)
+	return commander.reportPut(result, *options.output, err)
 }
 
 // newest returns the stored version, which is 0 when there is none.
-func newest(ctx context.Context, editing *editor.Editor) (*editor.Version, error) {
-	version, err := editing.Load(ctx)
+func loadNewestOrEmpty(ctx context.Context, configurationEditor *editor.Editor) (*editor.Version, error) {
+	version, err := configurationEditor.Load(ctx)
 	var failure *editor.Error
 	if errors.As(err, &failure) && failure.Kind() == editor.Empty {
 		return version, nil
@@ -87,36 +87,36 @@
 
 // replace returns the change from the version that was shown to the document.
 // A version 0 cannot be named as the base, so that its emptiness is checked.
-func replace(before *editor.Version, document definer.Document, summary string) editor.Change {
+func replacement(before *editor.Version, document definer.Document, summary string) editor.Change {
 	return editor.Change{Base: before.Number(), Summary: summary, Apply: func(found definer.Document) (definer.Document, error) {
 		if before.Number() == 0 && !reflect.DeepEqual(found, before.Document()) {
-			return found, fail("put", Conflicting, "somebody else wrote the first version meanwhile; read it and make the change anew")
+			return found, fail("put", Conflict, "somebody else wrote the first version meanwhile; read it and make the change anew")
 		}
 		return document, nil
 	}}
 }
 
 // overtaken tells who made the edit that the operator has not seen.
-func overtaken(edit sectioner.Edit) error {
-	return fail("put", Conflicting, "version %d was written by %q at %s: %q; read it and make the change anew",
+func conflictError(edit sectioner.Edit) error {
+	return fail("put", Conflict, "version %d was written by %q at %s: %q; read it and make the change anew",
 		edit.Version, edit.Editor, edit.EditedAt.Format(time.RFC3339), edit.Summary)
 }
 
-func putFailure(err error) error {
+func putError(err error) error {
 	if rival, ok := editor.RivalOf(err); ok {
-		return overtaken(rival.Edit())
+		return conflictError(rival.Edit())
 	}
 	return err
 }
 
-func (commander *Commander) tellAccepted(result putResult, output string) {
+func (commander *Commander) reportAccepted(result putResult, output string) {
 	if output == outputText && result.Changed {
 		_, _ = fmt.Fprintf(commander.out, "version %d is accepted\n", result.Version)
 	}
 }
 
 // concludePut writes the result, also of a put that failed half way.
-func (commander *Commander) concludePut(result putResult, output string, failure error) error {
+func (commander *Commander) reportPut(result putResult, output string, failure error) error {
 	if output == outputJSON {
 		return errors.Join(writeJSON(commander.out, result), failure)
 	}
--- a/commander/reload.go
+++ b/commander/reload.go
@@ -7,24 +7,24 @@
 )
 
 // reload hands out the signals that ask for the settings to be read again.
-type reload struct {
+type reloadNotifier struct {
 	signals chan os.Signal
 }
 
-func reloadSignals() *reload {
-	reload := &reload{signals: make(chan os.Signal, 1)}
-	signal.Notify(reload.signals, syscall.SIGHUP)
-	return reload
+func newReloadNotifier() *reloadNotifier {
+	notifier := &reloadNotifier{signals: make(chan os.Signal, 1)}
+	signal.Notify(notifier.signals, syscall.SIGHUP)
+	return notifier
 }
 
 // each calls act for each signal until stop.
-func (reload *reload) each(act func()) {
-	for range reload.signals {
+func (notifier *reloadNotifier) forEach(act func()) {
+	for range notifier.signals {
 		act()
 	}
 }
 
-func (reload *reload) stop() {
-	signal.Stop(reload.signals)
-	close(reload.signals)
+func (notifier *reloadNotifier) stop() {
+	signal.Stop(notifier.signals)
+	close(notifier.signals)
 }
--- a/commander/report.go
+++ b/commander/report.go
@@ -11,9 +11,9 @@
 )
 
 // report asks all nodes the same and shows what each answers.
-type report[Value any] struct {
+type nodeReport[Value any] struct {
 	// ask is the method of Client that asks.
-	ask func(client *operator.Client, ctx context.Context) []operator.Answer[Value]
+	query func(client *operator.Client, ctx context.Context) []operator.Answer[Value]
 	// row returns the JSON form of one node's answer, also of a failure.
 	row func(answer operator.Answer[Value]) any
 	// header holds the titles of the table's columns; it is empty if write sets its own.
@@ -23,7 +23,7 @@
 }
 
 // prepare declares the flags of a command that shows the report and does nothing else.
-func (report report[Value]) prepare(commander *Commander) func(flags *flag.FlagSet) action {
+func (report nodeReport[Value]) prepare(commander *Commander) func(flags *flag.FlagSet) action {
 	return func(flags *flag.FlagSet) action {
 		nodes := nodeFlags(flags)
 		output := outputFlag(flags)
@@ -31,7 +31,7 @@
 			if err := checkOutput(*output); err != nil {
 				return err
 			}
-			client, err := nodes.client()
+			client, err := nodes.operatorClient()
 			if err != nil {
 				return err
 			}
@@ -41,15 +41,15 @@
 }
 
 // run asks, and shows all answers; the error tells which nodes were silent.
-func (report report[Value]) run(ctx context.Context, out io.Writer, client *operator.Client, output string) error {
-	answers := report.ask(client, ctx)
+func (report nodeReport[Value]) run(ctx context.Context, out io.Writer, client *operator.Client, output string) error {
+	answers := report.query(client, ctx)
 	if err := report.show(out, answers, output); err != nil {
 		return err
 	}
-	return silent(answers)
+	return unansweredError(answers)
 }
 
-func (report report[Value]) show(out io.Writer, answers []operator.Answer[Value], output string) error {
+func (report nodeReport[Value]) show(out io.Writer, answers []operator.Answer[Value], output string) error {
 	if output == outputJSON {
 		rows := make([]any, 0, len(answers))
 		for _, answer := range answers {
--- a/commander/routes.go
+++ b/commander/routes.go
@@ -12,7 +12,7 @@
 )
 
 // routesFlags are the flags of the command routes.
-type routesFlags struct {
+type routesOptions struct {
 	file string
 	host string
 	path string
@@ -26,35 +26,35 @@
 		summary: "explain by a configuration of the users' platform where a request goes",
 		example: "limpetcleat routes -file config.json -host shop.example -path /orders/7 -key KEY",
 		prepare: func(flags *flag.FlagSet) action {
-			chosen := &routesFlags{}
-			flags.StringVar(&chosen.file, "file", "", "the configuration `file`, in JSON as the operator writes it")
-			flags.StringVar(&chosen.host, "host", "", "the request's `host`")
-			flags.StringVar(&chosen.path, "path", "/", "the request's `path`")
-			flags.StringVar(&chosen.key, "key", "", "the caller's `key`; it is not printed")
-			return func(context.Context, string) error { return commander.explainRoute(chosen) }
+			options := &routesOptions{}
+			flags.StringVar(&options.file, "file", "", "the configuration `file`, in JSON as the operator writes it")
+			flags.StringVar(&options.host, "host", "", "the request's `host`")
+			flags.StringVar(&options.path, "path", "/", "the request's `path`")
+			flags.StringVar(&options.key, "key", "", "the caller's `key`; it is not printed")
+			return func(context.Context, string) error { return commander.explainRoute(options) }
 		},
 	}
 }
 
-func (commander *Commander) explainRoute(chosen *routesFlags) error {
-	if chosen.file == "" || chosen.host == "" {
-		return fail("routes", WrongUsage, "-file and -host are needed")
+func (commander *Commander) explainRoute(options *routesOptions) error {
+	if options.file == "" || options.host == "" {
+		return fail("routes", InvalidUsage, "-file and -host are needed")
 	}
-	data, err := os.ReadFile(chosen.file)
+	data, err := os.ReadFile(options.file)
 	if err != nil {
-		return fail("routes", Failing, "%w", err)
+		return fail("routes", Failed, "%w", err)
 	}
 	definition, err := platform.DecodeConfiguration(data)
 	if err != nil {
-		return fail("routes", Failing, "%s: %w", chosen.file, err)
+		return fail("routes", Failed, "%s: %w", options.file, err)
 	}
 	table, err := router.New(definition)
 	if err != nil {
-		return fail("routes", Failing, "%s: %w", chosen.file, err)
+		return fail("routes", Failed, "%s: %w", options.file, err)
 	}
-	verdicts := table.Explain(chosen.host, chosen.path)
+	verdicts := table.Explain(options.host, options.path)
 	for _, verdict := range verdicts {
-		commander.showRule(table, verdict, chosen.key)
+		commander.showRule(table, verdict, options.key)
 	}
 	if len(verdicts) == 0 || verdicts[len(verdicts)-1].Reason != "" {
 		_, _ = fmt.Fprintf(commander.out, "no rule of version %d matches: the caller is answered 404\n", table.Version())
--- a/commander/rules.go
+++ b/commander/rules.go
@@ -14,9 +14,9 @@
 )
 
 // ruleFlags are the flags of rules and its verbs.
-type ruleFlags struct {
-	nodes    *access
-	platform *access
+type rulesOptions struct {
+	nodes    *endpoint
+	platform *endpoint
 	output   *string
 	file     *string
 	version  *uint64
@@ -26,11 +26,11 @@
 	editor   *string
 	dryRun   *bool
 	wait     *time.Duration
-	request  *requestFlags
+	request  *requestOptions
 }
 
 // ruleVerb is one verb of rules.
-type ruleVerb func(ctx context.Context, chosen ruleFlags) error
+type ruleVerb func(ctx context.Context, chosen rulesOptions) error
 
 func (commander *Commander) rulesCommand() command {
 	return command{
@@ -39,7 +39,7 @@
 		example: "limpetcleat rules put -platform 10.0.1.1:8000 -file rules.json -base 7 -summary 'more digests' -nodes 10.0.0.1:8081 -tokenFile operators.token",
 		verbs:   []string{"get", "put", "history", "explain"},
 		prepare: func(flags *flag.FlagSet) action {
-			chosen := ruleFlags{
+			options := rulesOptions{
 				nodes:    nodeFlags(flags),
 				platform: platformFlags(flags),
 				output:   outputFlag(flags),
@@ -50,14 +50,14 @@
 				summary:  flags.String("summary", "", "put: why, for the history"),
 				editor:   flags.String("editor", loginName(), "put: who, for the history"),
 				dryRun:   flags.Bool("dryRun", false, "put: check and show what would change, and write nothing"),
-				wait:     flags.Duration("wait", putWait, "put: how long to wait until the change is in force"),
-				request:  explainFlags(flags),
+				wait:     flags.Duration("wait", defaultPutWait, "put: how long to wait until the change is in force"),
+				request:  requestFlags(flags),
 			}
 			return func(ctx context.Context, verb string) error {
-				if err := checkOutput(*chosen.output); err != nil {
+				if err := checkOutput(*options.output); err != nil {
 					return err
 				}
-				return commander.ruleVerbs()[verb](ctx, chosen)
+				return commander.ruleVerbs()[verb](ctx, options)
 			}
 		},
 	}
@@ -81,40 +81,40 @@
 }
 
 // load returns the stored configuration.
-func (chosen ruleFlags) load(ctx context.Context) (*editor.Version, error) {
-	store, err := chosen.platform.store()
+func (options rulesOptions) loadNewest(ctx context.Context) (*editor.Version, error) {
+	store, err := options.platform.storeClient()
 	if err != nil {
 		return nil, err
 	}
 	defer store.Close()
-	return editor.New(store, *chosen.editor).Load(ctx)
+	return editor.New(store, *options.editor).Load(ctx)
 }
 
-func (commander *Commander) rulesGet(ctx context.Context, chosen ruleFlags) error {
-	number, document, err := chosen.get(ctx)
+func (commander *Commander) rulesGet(ctx context.Context, options rulesOptions) error {
+	number, document, err := options.loadVersion(ctx)
 	if err != nil {
 		return err
 	}
-	_, _ = fmt.Fprintf(commander.problems, "version %d\n", number)
+	_, _ = fmt.Fprintf(commander.errOut, "version %d\n", number)
 	return writeJSON(commander.out, document)
 }
 
 // get returns the version asked for.
-func (chosen ruleFlags) get(ctx context.Context) (uint64, definer.Document, error) {
-	if *chosen.version == 0 {
-		newest, err := chosen.load(ctx)
+func (options rulesOptions) loadVersion(ctx context.Context) (uint64, definer.Document, error) {
+	if *options.version == 0 {
+		newest, err := options.loadNewest(ctx)
 		if err != nil {
 			return 0, definer.Document{}, err
 		}
 		return newest.Number(), newest.Document(), nil
 	}
-	store, err := chosen.platform.store()
+	store, err := options.platform.storeClient()
 	if err != nil {
 		return 0, definer.Document{}, err
 	}
 	defer store.Close()
-	document, err := editor.New(store, *chosen.editor).LoadAt(ctx, *chosen.version)
-	return *chosen.version, document, err
+	document, err := editor.New(store, *options.editor).LoadAt(ctx, *options.version)
+	return *options.version, document, err
 }
 
 // editRow is one accepted edit in the JSON form of history.
@@ -125,13 +125,13 @@
 	Summary  string    `json:"summary"`
 }
 
-func (commander *Commander) rulesHistory(ctx context.Context, chosen ruleFlags) error {
-	version, err := chosen.load(ctx)
+func (commander *Commander) rulesHistory(ctx context.Context, options rulesOptions) error {
+	version, err := options.loadNewest(ctx)
 	if err != nil {
 		return err
 	}
 	rows := editRows(version.Head())
-	if *chosen.output == outputJSON {
+	if *options.output == outputJSON {
 		return writeJSON(commander.out, rows)
 	}
 	table := tabwriter.NewWriter(commander.out, 0, 0, 2, ' ', 0)
--- a/commander/secure.go
+++ b/commander/secure.go
@@ -22,9 +22,9 @@
 	}
 	certificate, err := tls.LoadX509KeyPair(inner.TLSCertificate(), inner.TLSKey())
 	if err != nil {
-		return nil, nil, fail("innerTLS", Failing, "%w", err)
+		return nil, nil, fail("innerTLS", Failed, "%w", err)
 	}
-	authority, err := readAuthority(inner.TLSAuthority())
+	authority, err := readCertPool(inner.TLSAuthority())
 	if err != nil {
 		return nil, nil, err
 	}
@@ -54,19 +54,19 @@
 	}
 	certificate, err := tls.LoadX509KeyPair(callers.TLSCertificate(), callers.TLSKey())
 	if err != nil {
-		return nil, fail("callerListener", Failing, "%w", err)
+		return nil, fail("callerListener", Failed, "%w", err)
 	}
 	return tls.NewListener(listener, &tls.Config{Certificates: []tls.Certificate{certificate}, MinVersion: tls.VersionTLS12}), nil
 }
 
-func readAuthority(path string) (*x509.CertPool, error) {
+func readCertPool(path string) (*x509.CertPool, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fail("readAuthority", Failing, "%w", err)
+		return nil, fail("readAuthority", Failed, "%w", err)
 	}
 	authority := x509.NewCertPool()
 	if !authority.AppendCertsFromPEM(data) {
-		return nil, fail("readAuthority", Failing, "%s: %w", path, errors.New("there is no certificate in it"))
+		return nil, fail("readAuthority", Failed, "%s: %w", path, errors.New("there is no certificate in it"))
 	}
 	return authority, nil
 }
--- a/commander/secure_test.go
+++ b/commander/secure_test.go
@@ -20,17 +20,17 @@
 )
 
 // files are those that the settings of a node name.
-type files struct{ certificate, key, authority string }
+type tlsFiles struct{ certificate, key, authority string }
 
-func newAuthority(t *testing.T) *authority.Authority {
+func newTestAuthority(t *testing.T) *authority.Authority {
 	t.Helper()
-	made, err := authority.New()
+	testAuthority, err := authority.New()
 	assert.NilError(t, err)
-	return made
+	return testAuthority
 }
 
 // write puts a certificate of the issuer under the name beside the trusted authority.
-func write(t *testing.T, issuer, trusted *authority.Authority, name string) (files files) {
+func writeTLSFiles(t *testing.T, issuer, trusted *authority.Authority, name string) (files tlsFiles) {
 	t.Helper()
 	directory := t.TempDir()
 	certificate, err := issuer.Issue("node", name)
@@ -62,17 +62,17 @@
 
 // inner returns the TLS of a node whose certificate is the issuer's and that
 // believes the trusted authority.
-func inner(t *testing.T, issuer, trusted *authority.Authority, name string) (serverSide, clientSide *tls.Config) {
+func innerConfigs(t *testing.T, issuer, trusted *authority.Authority, name string) (serverSide, clientSide *tls.Config) {
 	t.Helper()
-	serverSide, clientSide, err := write(t, issuer, trusted, name).load(t)
+	serverSide, clientSide, err := writeTLSFiles(t, issuer, trusted, name).loadInnerTLS(t)
 	assert.NilError(t, err)
 	return serverSide, clientSide
 }
 
 // load returns what a node makes of the files.
-func (files files) load(t *testing.T) (serverSide, clientSide *tls.Config, err error) {
+func (tlsFiles tlsFiles) loadInnerTLS(t *testing.T) (serverSide, clientSide *tls.Config, err error) {
 	t.Helper()
-	settings, err := loader.Parse("entry.ini", fmt.Appendf(nil, secureSettings, files.certificate, files.key, files.authority))
+	settings, err := loader.Parse("entry.ini", fmt.Appendf(nil, secureSettings, tlsFiles.certificate, tlsFiles.key, tlsFiles.authority))
 	assert.NilError(t, err)
 	return innerTLS(settings.Inner())
 }
@@ -80,16 +80,16 @@
 // TestInnerTLSProvesBothSides lets a node dial another in every way that must
 // be refused, and in the one that must not.
 func TestInnerTLSProvesBothSides(t *testing.T) {
-	ours, theirs := newAuthority(t), newAuthority(t)
-	serverSide, bare := inner(t, ours, ours, InnerName)
+	ours, theirs := newTestAuthority(t), newTestAuthority(t)
+	serverSide, bare := innerConfigs(t, ours, ours, InnerName)
 	bare.Certificates = nil
 	old := bare.Clone()
 	old.MinVersion, old.MaxVersion = tls.VersionTLS10, tls.VersionTLS12
-	_, good := inner(t, ours, ours, InnerName)
-	_, foreign := inner(t, theirs, ours, InnerName)
-	_, misnamed := inner(t, ours, ours, "engine-1")
-	foreignServer, _ := inner(t, theirs, ours, InnerName)
-	misnamedServer, _ := inner(t, ours, ours, "engine-1")
+	_, good := innerConfigs(t, ours, ours, InnerName)
+	_, foreign := innerConfigs(t, theirs, ours, InnerName)
+	_, misnamed := innerConfigs(t, ours, ours, "engine-1")
+	foreignServer, _ := innerConfigs(t, theirs, ours, InnerName)
+	misnamedServer, _ := innerConfigs(t, ours, ours, "engine-1")
 	cases := []struct {
 		name           string
 		server, client *tls.Config
@@ -118,43 +118,43 @@
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer listener.Close()
-	near, err := (&net.Dialer{}).DialContext(ctx, "tcp", listener.Addr().String())
+	clientConn, err := (&net.Dialer{}).DialContext(ctx, "tcp", listener.Addr().String())
 	assert.NilError(t, err)
-	defer near.Close()
-	far, err := listener.Accept()
+	defer clientConn.Close()
+	serverConn, err := listener.Accept()
 	assert.NilError(t, err)
-	accepted := make(chan error, 1)
+	serverResult := make(chan error, 1)
 	go func() {
-		err := tls.Server(far, server).HandshakeContext(ctx)
-		far.Close()
-		accepted <- err
+		err := tls.Server(serverConn, server).HandshakeContext(ctx)
+		serverConn.Close()
+		serverResult <- err
 	}()
-	dialled := tls.Client(near, client).HandshakeContext(ctx)
-	if dialled != nil {
-		near.Close()
+	clientErr := tls.Client(clientConn, client).HandshakeContext(ctx)
+	if clientErr != nil {
+		clientConn.Close()
 	}
 	// The server judges the client's certificate after the client is done.
-	return <-accepted == nil && dialled == nil
+	return <-serverResult == nil && clientErr == nil
 }
 
 func TestInnerTLSWantsWholeFiles(t *testing.T) {
-	ours := newAuthority(t)
-	whole := write(t, ours, ours, InnerName)
+	ours := newTestAuthority(t)
+	whole := writeTLSFiles(t, ours, ours, InnerName)
 	empty := filepath.Join(t.TempDir(), "empty.pem")
 	assert.NilError(t, os.WriteFile(empty, pem.EncodeToMemory(&pem.Block{Type: "NOTHING"}), 0o600))
 	cases := []struct {
 		name  string
-		files files
+		files tlsFiles
 	}{
-		{"no certificate", files{"/nonexistent", whole.key, whole.authority}},
-		{"no key", files{whole.certificate, "/nonexistent", whole.authority}},
-		{"no authority", files{whole.certificate, whole.key, "/nonexistent"}},
-		{"empty authority", files{whole.certificate, whole.key, empty}},
-		{"key of another", files{whole.certificate, whole.certificate, whole.authority}},
+		{"no certificate", tlsFiles{"/nonexistent", whole.key, whole.authority}},
+		{"no key", tlsFiles{whole.certificate, "/nonexistent", whole.authority}},
+		{"no authority", tlsFiles{whole.certificate, whole.key, "/nonexistent"}},
+		{"empty authority", tlsFiles{whole.certificate, whole.key, empty}},
+		{"key of another", tlsFiles{whole.certificate, whole.certificate, whole.authority}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			_, _, err := test.files.load(t)
+			_, _, err := test.files.loadInnerTLS(t)
 			assert.Assert(t, err != nil)
 		})
 	}
@@ -168,9 +168,9 @@
 	assert.Equal(t, New(&out, &problems).Run(t.Context(), args), ExitDone, problems.String())
 	assert.Equal(t, strings.Count(out.String(), "\n"), 5, out.String())
 	path := func(name string) string { return filepath.Join(directory, name) }
-	serverSide, _, err := files{path("a.pem"), path("a.key"), path("authority.pem")}.load(t)
+	serverSide, _, err := tlsFiles{path("a.pem"), path("a.key"), path("authority.pem")}.loadInnerTLS(t)
 	assert.NilError(t, err)
-	_, clientSide, err := files{path("b.pem"), path("b.key"), path("authority.pem")}.load(t)
+	_, clientSide, err := tlsFiles{path("b.pem"), path("b.key"), path("authority.pem")}.loadInnerTLS(t)
 	assert.NilError(t, err)
 	assert.Assert(t, handshake(t, serverSide, clientSide))
 	assert.Equal(t, New(&out, &problems).Run(t.Context(), args), ExitFailed, "files are there already")
--- a/commander/serve.go
+++ b/commander/serve.go
@@ -33,14 +33,14 @@
 
 func (commander *Commander) serve(ctx context.Context, path string) error {
 	if path == "" {
-		return fail("serve", WrongUsage, "-settings is missing")
+		return fail("serve", InvalidUsage, "-settings is missing")
 	}
 	settings, err := loader.Load(path)
 	if err != nil {
-		logger.New(commander.problems).Event(logger.EventSettingsRejected, "cause", err)
+		logger.New(commander.errOut).Event(logger.EventSettingsRejected, "cause", err)
 		return err
 	}
-	log := newLogger(commander.problems, settings)
+	log := newLogger(commander.errOut, settings)
 	options, err := nodeOptions(settings, log)
 	if err != nil {
 		return err
@@ -149,7 +149,7 @@
 			for _, open := range listeners {
 				_ = open.Close()
 			}
-			return nil, fail("listen", Failing, "%w", err)
+			return nil, fail("listen", Failed, "%w", err)
 		}
 		listeners = append(listeners, listener)
 	}
--- a/commander/standin.go
+++ b/commander/standin.go
@@ -21,11 +21,11 @@
 		verbs:   []string{"platform", "engine", "service", authorityVerb},
 		prepare: func(flags *flag.FlagSet) action {
 			listen := flags.String("listen", "127.0.0.1:0", "`address` to listen on")
-			builders := standins(flags)
-			chosen := newAuthorityFlags(flags)
+			builders := standinBuilders(flags)
+			options := authorityFlags(flags)
 			return func(ctx context.Context, kind string) error {
 				if kind == authorityVerb {
-					return commander.writeAuthority(chosen)
+					return commander.writeAuthority(options)
 				}
 				return commander.standin(ctx, kind, *listen, builders[kind])
 			}
@@ -34,17 +34,17 @@
 }
 
 func (commander *Commander) standin(ctx context.Context, kind, listen string, build func() runner.Server) error {
-	running, err := runner.Start(ctx, build(), listen)
+	standin, err := runner.Start(ctx, build(), listen)
 	if err != nil {
-		return fail("standin", Failing, "%w", err)
+		return fail("standin", Failed, "%w", err)
 	}
-	_, _ = fmt.Fprintf(commander.out, "%s listens on %s\n", kind, running.Address())
-	defer func() { _ = running.Stop() }()
-	return running.Wait()
+	_, _ = fmt.Fprintf(commander.out, "%s listens on %s\n", kind, standin.Address())
+	defer func() { _ = standin.Stop() }()
+	return standin.Wait()
 }
 
 // standins declares the flags of every stand-in and returns what builds each.
-func standins(flags *flag.FlagSet) map[string]func() runner.Server {
+func standinBuilders(flags *flag.FlagSet) map[string]func() runner.Server {
 	name := flags.String("name", "service", "service: its `name`")
 	token := flags.String("token", "", "platform: the bearer `token` it wants")
 	listLag := flags.Duration("listLag", time.Second, "platform: how far its list of VMs lags")
--- a/commander/status.go
+++ b/commander/status.go
@@ -12,7 +12,7 @@
 )
 
 // nodeStatus is one node's row in the JSON form of status.
-type nodeStatus struct {
+type statusRow struct {
 	Address string          `json:"address"`
 	Status  *decider.Status `json:"status,omitempty"`
 	Failure string          `json:"failure,omitempty"`
@@ -31,11 +31,11 @@
 	}
 }
 
-func (commander *Commander) status(ctx context.Context, nodes *access, output string) error {
+func (commander *Commander) status(ctx context.Context, nodes *endpoint, output string) error {
 	if err := checkOutput(output); err != nil {
 		return err
 	}
-	client, err := nodes.client()
+	client, err := nodes.operatorClient()
 	if err != nil {
 		return err
 	}
@@ -43,7 +43,7 @@
 	if err := commander.showStatus(answers, output); err != nil {
 		return err
 	}
-	return silent(answers)
+	return unansweredError(answers)
 }
 
 func (commander *Commander) showStatus(answers []operator.Answer[decider.Status], output string) error {
@@ -59,12 +59,12 @@
 		}
 		status := answer.Value()
 		_, _ = fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%s\n", status.VM, status.DataCentre, status.Configuration,
-			status.OpenRequests, len(status.Shards), len(status.Members), stateWord(status))
+			status.OpenRequests, len(status.Shards), len(status.Members), stateText(status))
 	}
 	return table.Flush()
 }
 
-func stateWord(status decider.Status) string {
+func stateText(status decider.Status) string {
 	switch {
 	case status.Draining:
 		return "draining"
@@ -75,10 +75,10 @@
 	}
 }
 
-func statusRows(answers []operator.Answer[decider.Status]) []nodeStatus {
-	rows := make([]nodeStatus, 0, len(answers))
+func statusRows(answers []operator.Answer[decider.Status]) []statusRow {
+	rows := make([]statusRow, 0, len(answers))
 	for _, answer := range answers {
-		row := nodeStatus{Address: answer.Address(), Failure: failureText(answer)}
+		row := statusRow{Address: answer.Address(), Failure: errorText(answer)}
 		if answer.Failure() == nil {
 			status := answer.Value()
 			row.Status = &status
@@ -90,27 +90,27 @@
 
 // silent returns an error that names the nodes that gave no answer, or nil. It
 // is of kind NotEverywhere, or Failing when none of them did.
-func silent[Value any](answers []operator.Answer[Value]) error {
-	var missing []string
+func unansweredError[Value any](answers []operator.Answer[Value]) error {
+	var unanswered []string
 	var failures []error
 	for _, answer := range answers {
 		if answer.Failure() != nil {
-			missing = append(missing, answer.Address())
+			unanswered = append(unanswered, answer.Address())
 			failures = append(failures, answer.Failure())
 		}
 	}
-	switch len(missing) {
+	switch len(unanswered) {
 	case 0:
 		return nil
 	case len(answers):
-		return fail("ask", Failing, "no node answers: %w", errors.Join(failures...))
+		return fail("ask", Failed, "no node answers: %w", errors.Join(failures...))
 	default:
-		return fail("ask", NotEverywhere, "no answer from %v: %w", missing, errors.Join(failures...))
+		return fail("ask", Partial, "no answer from %v: %w", unanswered, errors.Join(failures...))
 	}
 }
 
 // failureText returns why a node gave no answer; empty if it gave one.
-func failureText[Value any](answer operator.Answer[Value]) string {
+func errorText[Value any](answer operator.Answer[Value]) string {
 	if answer.Failure() == nil {
 		return ""
 	}
--- a/commander/system_test.go
+++ b/commander/system_test.go
@@ -30,40 +30,40 @@
 
 func TestPutComesIntoForce(t *testing.T) {
 	fixture := startFixture(t)
-	same := fixture.save("same.json", func(*definer.Document) {})
-	first := fixture.save("first.json", func(document *definer.Document) { document.Limits.RetryShare = 0.2 })
-	second := fixture.save("second.json", func(document *definer.Document) {
+	same := fixture.saveChanged("same.json", func(*definer.Document) {})
+	first := fixture.saveChanged("first.json", func(document *definer.Document) { document.Limits.RetryShare = 0.2 })
+	second := fixture.saveChanged("second.json", func(document *definer.Document) {
 		document.Limits.RetryShare = 0.3
 		document.Rules[0].When = `service == "stock" && promptTokens < 9`
 	})
-	wrong := fixture.save("wrong.json", func(document *definer.Document) { document.Rules[0].When = "model ==" })
+	wrong := fixture.saveChanged("wrong.json", func(document *definer.Document) { document.Rules[0].When = "model ==" })
 
-	got := fixture.rules("put", "-file", first, "-dryRun")
+	got := fixture.runRules("put", "-file", first, "-dryRun")
 	assert.Equal(t, got.code, commander.ExitDone, got.problems)
 	containsAll(t, got.out, []string{"~ limits retryShare: 0.1 -> 0.2", "nothing was written"})
-	assert.Equal(t, fixture.version(), uint64(1))
+	assert.Equal(t, fixture.storedVersion(), uint64(1))
 
-	got = fixture.rules("put", "-file", wrong, "-dryRun")
+	got = fixture.runRules("put", "-file", wrong, "-dryRun")
 	assert.Equal(t, got.code, commander.ExitFailed)
 	containsAll(t, got.problems, []string{"model =="})
 
-	got = fixture.rules("put", "-file", same)
+	got = fixture.runRules("put", "-file", same)
 	assert.Equal(t, got.code, commander.ExitDone, got.problems)
 	containsAll(t, got.out, []string{"nothing changes: version 1 holds the same", "version 1 is in force on 2 nodes"})
 
-	got = fixture.rules("put", "-file", first, "-base", "1", "-summary", "more retries", "-editor", "ana")
+	got = fixture.runRules("put", "-file", first, "-base", "1", "-summary", "more retries", "-editor", "ana")
 	assert.Equal(t, got.code, commander.ExitDone, got.problems)
 	containsAll(t, got.out, []string{"~ limits retryShare: 0.1 -> 0.2", "version 2 is accepted", "version 2 is in force on 2 nodes"})
 
-	got = fixture.rules("put", "-file", second, "-dryRun")
+	got = fixture.runRules("put", "-file", second, "-dryRun")
 	containsAll(t, got.out, []string{"&& promptTokens < 9"})
-	got = fixture.rules("put", "-file", second, "-base", "1", "-editor", "boris")
+	got = fixture.runRules("put", "-file", second, "-base", "1", "-editor", "boris")
 	assert.Equal(t, got.code, commander.ExitConflict)
 	containsAll(t, got.problems, []string{`version 2 was written by "ana" at 20`, `"more retries"`})
-	assert.Equal(t, fixture.version(), uint64(2))
+	assert.Equal(t, fixture.storedVersion(), uint64(2))
 
 	var answer putAnswer
-	got = fixture.rules("put", "-file", second, "-base", "2", "-output", "json")
+	got = fixture.runRules("put", "-file", second, "-base", "2", "-output", "json")
 	assert.Equal(t, got.code, commander.ExitDone, got.problems)
 	decode(t, got.out, &answer)
 	assert.DeepEqual(t, answer.InForce, fixture.system.Operators())
@@ -72,7 +72,7 @@
 
 	fixture.checkHistory()
 
-	got = fixture.rules("put", "-file", first, "-floor", "12")
+	got = fixture.runRules("put", "-file", first, "-floor", "12")
 	assert.Equal(t, got.code, commander.ExitDone, got.problems)
 	containsAll(t, got.out, []string{"version 12 is in force on 2 nodes"})
 }
@@ -81,7 +81,7 @@
 func (fixture *fixture) checkHistory() {
 	t := fixture.t
 	t.Helper()
-	got := fixture.rules("history")
+	got := fixture.runRules("history")
 	assert.Equal(t, got.code, commander.ExitDone, got.problems)
 	lines := strings.Split(strings.TrimSpace(got.out), "\n")
 	assert.Equal(t, len(lines), 4)
@@ -90,20 +90,20 @@
 		Version uint64
 		Editor  string
 	}
-	decode(t, fixture.rules("history", "-output", "json").out, &edits)
+	decode(t, fixture.runRules("history", "-output", "json").out, &edits)
 	assert.Assert(t, len(edits) == 3 && edits[0].Version == 3 && edits[1].Editor == "ana")
 	for version, share := range map[int]float64{0: 0.3, 1: 0.1, 2: 0.2, 3: 0.3} {
 		var document definer.Document
-		got := fixture.rules("get", "-version", strconv.Itoa(version))
+		got := fixture.runRules("get", "-version", strconv.Itoa(version))
 		assert.Equal(t, got.code, commander.ExitDone, got.problems)
 		decode(t, got.out, &document)
 		assert.Assert(t, !strings.Contains(got.out, `\u00`), "conditions stay readable")
 		assert.Equal(t, document.Limits.RetryShare, share)
 	}
-	assert.Equal(t, fixture.rules("get", "-version", "9").code, commander.ExitFailed)
+	assert.Equal(t, fixture.runRules("get", "-version", "9").code, commander.ExitFailed)
 }
 
-func (fixture *fixture) version() uint64 {
+func (fixture *fixture) storedVersion() uint64 {
 	fixture.t.Helper()
 	version, err := editor.New(fixture.store, "test").Load(fixture.t.Context())
 	assert.NilError(fixture.t, err)
@@ -112,25 +112,25 @@
 
 func TestPutNamesNodesThatAreBehind(t *testing.T) {
 	fixture := startFixture(t)
-	const away = "127.0.0.1:1"
-	fixture.nodes[1] += "," + away
-	file := fixture.save("rules.json", func(document *definer.Document) { document.Limits.RetryShare = 0.2 })
-	got := fixture.rules("put", "-file", file, "-output", "json")
+	const unreachable = "127.0.0.1:1"
+	fixture.nodes[1] += "," + unreachable
+	file := fixture.saveChanged("rules.json", func(document *definer.Document) { document.Limits.RetryShare = 0.2 })
+	got := fixture.runRules("put", "-file", file, "-output", "json")
 	assert.Equal(t, got.code, commander.ExitPartial)
-	containsAll(t, got.problems, []string{"version 2 is accepted", away})
+	containsAll(t, got.problems, []string{"version 2 is accepted", unreachable})
 	var answer putAnswer
 	decode(t, got.out, &answer)
-	assert.DeepEqual(t, answer.Behind, []string{away})
+	assert.DeepEqual(t, answer.Behind, []string{unreachable})
 	assert.DeepEqual(t, answer.InForce, fixture.system.Operators())
 }
 
 func TestRulesWithThePlatformAway(t *testing.T) {
 	fixture := startFixture(t)
 	fixture.stopPlatform()
-	file := write(t, fixture.directory, "rules.json", "{}")
-	limited, cancel := context.WithTimeout(t.Context(), 2*time.Second)
+	file := writeFile(t, fixture.directory, "rules.json", "{}")
+	timeoutCtx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 	defer cancel()
-	got := runContext(limited, append([]string{"rules", "put", "-file", file}, fixture.platform...)...)
+	got := runContext(timeoutCtx, append([]string{"rules", "put", "-file", file}, fixture.platform...)...)
 	assert.Equal(t, got.code, commander.ExitFailed)
 	assert.Equal(t, run(t, append([]string{"burn"}, fixture.nodes...)...).code, commander.ExitDone, "burn asks the nodes alone")
 	assert.Equal(t, run(t, append([]string{"status"}, fixture.nodes...)...).code, commander.ExitDone)
@@ -163,7 +163,7 @@
 			containsAll(t, got.out, test.out)
 		})
 	}
-	file := write(t, t.TempDir(), "rules.json", `{
+	file := writeFile(t, t.TempDir(), "rules.json", `{
 		"classes":[{"name":"chat","totalMs":1000,"attainment":0.9,"longestWaitMs":1000}],
 		"pools":[{"name":"models","kind":"engine","upstreams":[{"name":"e","dataCentre":"west","address":"127.0.0.1:1","slots":1,"models":["m"]}]}],
 		"rules":[
@@ -182,7 +182,7 @@
 	assert.Assert(t, len(rows) == 2 && rows[1].Rule == "closed" && rows[1].Holds)
 	assert.Equal(t, run(t, "rules", "explain", "-file", file, "-header", "nothing").code, commander.ExitUsage)
 
-	file = write(t, t.TempDir(), "rules.json", "{}")
+	file = writeFile(t, t.TempDir(), "rules.json", "{}")
 	containsAll(t, run(t, "rules", "explain", "-file", file).out, []string{"no rule matches: the caller is refused with noRule"})
 }
 
