--- a/commander/announced.go
+++ b/commander/announced.go
@@ -7,7 +7,7 @@
 	"limpetcleat/operator"
 )
 
-// announcedRow is one node in the JSON form of announced.
+// announcedRow is the JSON output of the announced command for one node.
 type announcedRow struct {
 	Address   string               `json:"address"`
 	Announced []operator.Announced `json:"announced"`
@@ -20,18 +20,18 @@
 		row: func(answer operator.Answer[[]operator.Announced]) any {
 			return announcedRow{Address: answer.Address(), Announced: answer.Value(), Failure: errorText(answer)}
 		},
-		header: "node\tupstream\tlimit\tleaving\tsaid\tby\tpermits",
+		header: "node\tupstream\tlimit\tleaving\tannounced\tsource\tpermits",
 		write:  writeAnnounced,
 	}
 	return command{
 		name:    "announced",
-		summary: "show which upstreams named a limit or leave, who said so, and which node hands out the permits",
+		summary: "show which upstreams announced a rate limit or a departure, the source, and the node that issues permits",
 		example: "limpetcleat announced -nodes 127.0.0.1:9465",
 		prepare: report.prepare(commander),
 	}
 }
 
-// writeAnnounced writes what upstreams announced, as one node knows it.
+// writeAnnounced writes one row for each upstream whose announcements the node has received.
 func writeAnnounced(table io.Writer, address string, rows []operator.Announced) {
 	for _, row := range rows {
 		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%t\t%s ago\t%s\t%s\n", address, row.Upstream, limitText(row), row.Leaving,
@@ -53,10 +53,10 @@
 	return row.Source
 }
 
-// permitsText tells what a node hands out.
+// permitsText describes the permits that a node issues for an upstream.
 func permitsText(row operator.Announced) string {
 	if !row.Issues {
 		return "elsewhere"
 	}
-	return fmt.Sprintf("%.3g/s, %d nodes before, %d wait, asked %s ago", row.PermitsPerSecond, row.Position, row.Waiting, formatSeconds(row.AskedAgoMs))
+	return fmt.Sprintf("%.3g/s, %d nodes ahead, %d waiting, last request %s ago", row.PermitsPerSecond, row.Position, row.Waiting, formatSeconds(row.AskedAgoMs))
 }
--- a/commander/authority.go
+++ b/commander/authority.go
@@ -8,10 +8,10 @@
 	"limpetcleat/standin/authority"
 )
 
-// authorityVerb is the stand-in that writes files in place of serving.
+// authorityVerb is the verb of standin that writes certificates and serves nothing.
 const authorityVerb = "authority"
 
-// authorityFlags are the flags of standin authority.
+// authorityOptions holds the flags of standin authority.
 type authorityOptions struct {
 	directory *string
 	names     *string
@@ -20,11 +20,13 @@
 func authorityFlags(flags *flag.FlagSet) authorityOptions {
 	return authorityOptions{
 		directory: flags.String("dir", "", "authority: `directory` to write to"),
-		names:     flags.String("names", "", "authority: `names` of the nodes, with commas"),
+		names:     flags.String("names", "", "authority: comma-separated `names` of the nodes"),
 	}
 }
 
-// writeAuthority writes the certificates between the nodes of a trial.
+// writeAuthority creates a certificate authority for tests and writes its certificate, and a
+// certificate and key for each node name. It prints the path of each file that it wrote, also
+// after an error.
 func (commander *Commander) writeAuthority(options authorityOptions) error {
 	if *options.directory == "" {
 		return fail("standin", InvalidUsage, "-dir is missing")
--- a/commander/await.go
+++ b/commander/await.go
@@ -11,26 +11,27 @@
 const (
 	defaultPutWait  = 17 * time.Second
 	putPollInterval = 200 * time.Millisecond
-	// silentFor is how long a node may give no answer before it counts as one
-	// that cannot be reached.
+	// unreachableAfter is the time after which polling no longer waits for a node that does not
+	// answer.
 	unreachableAfter = 3 * time.Second
 )
 
-// spread tells on which nodes a version is in force.
+// rollout groups the addresses of nodes by whether they apply a version.
 type rollout struct {
 	inForce []string
-	// late nodes answer and apply an older version.
+	// outdated nodes answer but apply an older version.
 	outdated []string
-	// silent nodes give no answer.
+	// unanswered holds the nodes whose status request failed.
 	unanswered []string
 }
 
-// awaitInForce returns once every node that answers applies the result's
-// version. Its error is of kind NotEverywhere and names the nodes that are late
-// when the time is over, and those that gave no answer.
+// awaitInForce waits until every node that answers applies the result's version, and records the
+// nodes in result. After the timeout, or if a node does not answer, it returns an error of kind
+// Partial that names the outdated nodes and those that did not answer. Without node addresses it
+// prints a notice and returns nil.
 func (commander *Commander) awaitInForce(ctx context.Context, options rulesOptions, result *putResult) error {
 	if !options.nodes.isSet() {
-		_, _ = fmt.Fprintln(commander.errOut, "whether it is in force was not looked at, since -nodes is missing")
+		_, _ = fmt.Fprintln(commander.errOut, "did not check whether the version is in force, since -nodes is missing")
 		return nil
 	}
 	client, err := options.nodes.operatorClient()
@@ -49,7 +50,8 @@
 	return nil
 }
 
-// poll asks the nodes again and again until nothing more is to be waited for.
+// pollVersions queries the nodes repeatedly until all of them apply the version, or until the wait
+// is over. Nodes that do not answer delay the result by unreachableAfter at most.
 func pollVersions(ctx context.Context, client *operator.Client, version uint64, wait time.Duration) rollout {
 	waitCtx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
@@ -68,7 +70,7 @@
 	}
 }
 
-// look asks every node once which version it applies.
+// checkVersions queries each node once for the version that it applies.
 func checkVersions(ctx context.Context, client *operator.Client, version uint64) rollout {
 	var current rollout
 	for _, answer := range client.Status(ctx) {
--- a/commander/burn.go
+++ b/commander/burn.go
@@ -11,7 +11,7 @@
 	"limpetcleat/reporter"
 )
 
-// burnFlags are the flags of burn.
+// burnOptions holds the flags of the burn command.
 type burnOptions struct {
 	nodes    *endpoint
 	output   *string
@@ -27,7 +27,7 @@
 			options := burnOptions{
 				nodes:    nodeFlags(flags),
 				output:   outputFlag(flags),
-				htmlPath: flags.String("html", "", "write a page with plots to the `file` as well"),
+				htmlPath: flags.String("html", "", "also write an HTML page with plots to the `file`"),
 			}
 			return func(ctx context.Context, _ string) error { return commander.burn(ctx, options) }
 		},
@@ -66,8 +66,8 @@
 	return unansweredError(answers)
 }
 
-// newestClasses returns the classes of the newest configuration that any node
-// applies. The platform is not asked, since it may be away.
+// newestClasses returns the classes of the newest configuration that any node applies, or none if
+// no node has a configuration. It does not query the platform, which may be unavailable.
 func newestClasses(ctx context.Context, client *operator.Client) ([]*definer.Class, error) {
 	var newest operator.InForce
 	for _, answer := range client.Configurations(ctx) {
--- a/commander/check.go
+++ b/commander/check.go
@@ -13,7 +13,7 @@
 	"limpetcleat/loader"
 )
 
-// checkFlags are the flags of check.
+// checkOptions holds the flags of the check command.
 type checkOptions struct {
 	settings   *string
 	rules      *string
@@ -21,11 +21,11 @@
 	output     *string
 }
 
-// checkedFile is what check found in one file.
+// checkedFile is the result of checking one file.
 type checkedFile struct {
 	File  string `json:"file"`
 	Valid bool   `json:"good"`
-	// Holds tells what a good file holds.
+	// Contents summarizes the contents of a valid rules file.
 	Contents string   `json:"holds,omitempty"`
 	Faults   []string `json:"faults,omitempty"`
 }
@@ -39,7 +39,7 @@
 			options := checkOptions{
 				settings:   flags.String("settings", "", "the settings `file`, in INI"),
 				rules:      flags.String("rules", "", "the configuration `file`, in JSON"),
-				checkFiles: flags.Bool("files", false, "also check that the files named in the settings can be read here"),
+				checkFiles: flags.Bool("files", false, "also check that the files named in the settings are readable on this machine"),
 				output:     outputFlag(flags),
 			}
 			return func(context.Context, string) error { return commander.check(options) }
@@ -47,7 +47,7 @@
 	}
 }
 
-// check reports on every file before it fails.
+// check checks and reports all files, then returns their joined errors.
 func (commander *Commander) check(options checkOptions) error {
 	if *options.settings == "" && *options.rules == "" {
 		return fail("check", InvalidUsage, "name -settings, -rules or both")
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// lines returns the faults that an error joins, one a line.
+// errorTexts returns the messages of the errors joined in err, one per error.
 func errorTexts(err error) []string {
 	if err == nil {
 		return nil
@@ -102,8 +102,8 @@
 	return faults
 }
 
-// checkSettings checks a settings file and, if asked to, the files it names,
-// which mostly stand on the VM alone.
+// checkSettings checks a settings file and, if files is set, the files that it names, which
+// usually exist only on the VM.
 func checkSettings(path string, files bool) error {
 	settings, err := loader.Load(path)
 	if err != nil || !files {
@@ -112,7 +112,7 @@
 	return settings.CheckFiles()
 }
 
-// checkRules checks a configuration file and tells what it holds.
+// checkRules checks a configuration file and returns a summary of its contents.
 func checkRules(path string) (string, error) {
 	document, err := readDocument(path)
 	if err != nil {
@@ -125,8 +125,8 @@
 		len(document.Pools), len(document.Organisations), len(document.Rules)), nil
 }
 
-// readDocument returns the configuration in a file. A field that is not known
-// is an error, since it is most often a misspelt one.
+// readDocument reads a configuration file. An unknown field is an error, since it is usually a
+// misspelt name.
 func readDocument(path string) (definer.Document, error) {
 	var document definer.Document
 	file, err := os.Open(path)
--- a/commander/client.go
+++ b/commander/client.go
@@ -8,21 +8,20 @@
 	"gopkg.in/ini.v1"
 )
 
-// clientNames returns the flags that a client settings file may give.
+// clientFileFlags returns the names of the flags that a client settings file may set.
 func clientFileFlags() []string {
 	return []string{"nodes", "tokenFile", "platform", "platformTokenFile"}
 }
 
-// clientFlag declares the flag that names a client settings file. It may be
-// declared more than once.
+// clientFlag declares the flag for the client settings file, unless it is declared already.
 func clientFlag(flags *flag.FlagSet) {
 	if flags.Lookup("client") == nil {
-		flags.String("client", "", "a `file`, in INI, that gives "+strings.Join(clientFileFlags(), ", ")+" where they are not flags")
+		flags.String("client", "", "an INI `file` that sets "+strings.Join(clientFileFlags(), ", ")+" unless given as flags")
 	}
 }
 
-// applyClient sets the flags that were not given from the client settings file,
-// if one was named.
+// applyClientFile sets the flags that are absent from the command line to the values in the client
+// settings file, if there is one.
 func applyClientFile(flags *flag.FlagSet) error {
 	named := flags.Lookup("client")
 	if named == nil || named.Value.String() == "" {
@@ -38,7 +37,7 @@
 	for _, section := range file.Sections() {
 		for _, key := range section.Keys() {
 			if section.Name() != ini.DefaultSection || !slices.Contains(clientFileFlags(), key.Name()) {
-				return fail("client", Failed, "%s: found %q; allowed are %s, in no section", path, key.Name(), strings.Join(clientFileFlags(), ", "))
+				return fail("client", Failed, "%s: found %q; allowed are %s, outside any section", path, key.Name(), strings.Join(clientFileFlags(), ", "))
 			}
 			if flags.Lookup(key.Name()) == nil || given[key.Name()] {
 				continue
--- a/commander/commander.go
+++ b/commander/commander.go
@@ -1,5 +1,5 @@
-// Package commander is the command line: it picks a sub-command, reads its
-// flags and returns an exit code.
+// Package commander implements the command-line interface of the limpetcleat binary. It
+// dispatches to a sub-command, parses its flags and maps errors to exit codes.
 package commander
 
 import (
@@ -14,16 +14,16 @@
 
 // The exit codes of every sub-command.
 const (
-	// ExitDone says that the command did what it was asked.
+	// ExitDone is the exit code of success.
 	ExitDone = 0
-	// ExitFailed says that the command failed.
+	// ExitFailed is the exit code of a failure that has no code of its own.
 	ExitFailed = 1
-	// ExitUsage says that the command line was wrong.
+	// ExitUsage is the exit code of an invalid command line.
 	ExitUsage = 2
-	// ExitConflict says that somebody else changed the object meanwhile.
+	// ExitConflict is the exit code of a change that conflicts with a concurrent change.
 	ExitConflict = 3
-	// ExitPartial says that the command did not reach every node, or that a
-	// change is not yet in force on every node.
+	// ExitPartial is the exit code of a command that did not reach every node, or of a change
+	// that is not yet in force on every node.
 	ExitPartial = 4
 )
 
@@ -34,35 +34,34 @@
 type command struct {
 	name    string
 	summary string
-	// example is a whole command line.
+	// example is a complete command line.
 	example string
-	// verbs are the words of which one must stand among the flags; empty for a
-	// command that takes flags alone.
+	// verbs are the allowed values of the required positional argument; empty for a command
+	// that takes only flags.
 	verbs []string
-	// prepare declares the flags and returns what runs once they are read.
+	// prepare declares the flags and returns the action to run after they are parsed.
 	prepare func(flags *flag.FlagSet) action
 }
 
-// action runs a sub-command whose flags have been read; verb is empty for a
-// command without verbs.
+// action runs a sub-command after its flags are parsed; verb is empty for a command without verbs.
 type action func(ctx context.Context, verb string) error
 
-// Commander runs sub-commands.
+// Commander parses command lines and runs their sub-commands.
 type Commander struct {
 	out      io.Writer
 	errOut   io.Writer
 	commands []command
 }
 
-// New returns a commander with every sub-command. Results and help that was
-// asked for go to out, problems to problems.
+// New returns a commander with all sub-commands. It writes results and requested help to out, and
+// errors to errOut.
 func New(out, errOut io.Writer) *Commander {
 	commander := &Commander{out: out, errOut: errOut}
 	commander.commands = commander.defaultCommands()
 	return commander
 }
 
-// Run runs the sub-command that the arguments name and returns its exit code.
+// Run runs the sub-command named by the first argument and returns its exit code.
 func (commander *Commander) Run(ctx context.Context, args []string) int {
 	if len(args) == 0 {
 		commander.printUsage(commander.errOut)
@@ -88,7 +87,7 @@
 	return command{}, false
 }
 
-// help tells of all commands, or of the one named.
+// help prints the overview of all commands, or the help of the named command.
 func (commander *Commander) help(names []string) int {
 	if len(names) == 0 {
 		commander.printUsage(commander.out)
@@ -104,7 +103,7 @@
 	return ExitDone
 }
 
-// flags returns the command's flags, which print nothing by themselves.
+// flagSet returns the command's flag set, whose own output is discarded, and its action.
 func (command command) flagSet() (*flag.FlagSet, action) {
 	flags := flag.NewFlagSet(command.name, flag.ContinueOnError)
 	flags.SetOutput(io.Discard)
@@ -129,13 +128,12 @@
 	}
 	code := exitCode(err)
 	if code == ExitUsage {
-		_, _ = fmt.Fprintf(commander.errOut, "limpetcleat %s -h tells the flags, with an example\n", command.name)
+		_, _ = fmt.Fprintf(commander.errOut, "run limpetcleat %s -h for the flags and an example\n", command.name)
 	}
 	return code
 }
 
-// parse reads the flags, which may stand before and behind the verb, and
-// returns the verb.
+// parse parses the flags, which may precede and follow the verb, and returns the verb.
 func (command command) parse(flags *flag.FlagSet, args []string) (string, error) {
 	if err := flags.Parse(args); err != nil {
 		return "", fail(command.name, InvalidUsage, "%w", err)
@@ -164,7 +162,7 @@
 	return nil
 }
 
-// describe writes the help of one command.
+// printHelp prints the help of one command.
 func (commander *Commander) printHelp(command command, flags *flag.FlagSet) {
 	_, _ = fmt.Fprintf(commander.out, "limpetcleat %s: %s\n\nExample:\n  %s\n\nFlags:\n", command.name, command.summary, command.example)
 	flags.SetOutput(commander.out)
@@ -177,7 +175,7 @@
 	for _, command := range commander.commands {
 		_, _ = fmt.Fprintf(writer, "  %-10s %s\n", command.name, command.summary)
 	}
-	_, _ = fmt.Fprintf(writer, "\nlimpetcleat COMMAND -h tells a command's flags.\n%s\n", exitCodes)
+	_, _ = fmt.Fprintf(writer, "\nRun limpetcleat COMMAND -h for a command's flags.\n%s\n", exitCodes)
 }
 
 func exitCode(err error) int {
--- a/commander/commander_test.go
+++ b/commander/commander_test.go
@@ -18,7 +18,7 @@
 	"limpetcleat/storer"
 )
 
-// result is what one command line came to.
+// result is the exit code and the output of one command line.
 type result struct {
 	code     int
 	out      string
@@ -41,7 +41,7 @@
 		name string
 		args []string
 		code int
-		// out and problems are parts of what is written; "" wants nothing there.
+		// out and problems must be contained in the output; "" requires empty output.
 		out, problems string
 	}{
 		{"nothing", nil, commander.ExitUsage, "", "usage: limpetcleat COMMAND"},
@@ -130,7 +130,7 @@
 	assert.Equal(t, got.code, commander.ExitFailed)
 	decode(t, got.out, &files)
 	assert.Equal(t, len(files), 2)
-	assert.Assert(t, !files[0].Good && len(files[0].Faults) > 2, "each fault has a line of its own")
+	assert.Assert(t, !files[0].Good && len(files[0].Faults) > 2, "each fault must be a separate entry")
 	assert.Assert(t, files[1].Good)
 }
 
@@ -153,13 +153,13 @@
 	return path
 }
 
-// fixture is a running system with what operators have at hand.
+// fixture is a running system with the files and flags that operators use.
 type fixture struct {
 	t         *testing.T
 	system    *demonstrator.System
 	directory string
 	store     *storer.Storer
-	// nodes and platform are the flags that reach them.
+	// nodes and platform are the flags that select the nodes and the platform.
 	nodes    []string
 	platform []string
 }
@@ -180,7 +180,7 @@
 	}
 }
 
-// rules runs a verb of rules with the flags that reach everything.
+// runRules runs a verb of rules with the flags for the nodes and the platform.
 func (fixture *fixture) runRules(verb string, args ...string) result {
 	fixture.t.Helper()
 	all := append([]string{"rules"}, fixture.platform...)
@@ -188,7 +188,7 @@
 	return run(fixture.t, append(all, args...)...)
 }
 
-// save stores a changed copy of the configuration in a file.
+// saveChanged writes a changed copy of the stored configuration to a file and returns its path.
 func (fixture *fixture) saveChanged(name string, change func(document *definer.Document)) string {
 	fixture.t.Helper()
 	version, err := editor.New(fixture.store, "test").Load(fixture.t.Context())
--- a/commander/commands.go
+++ b/commander/commands.go
@@ -1,6 +1,6 @@
 package commander
 
-// defaultCommands returns every sub-command, in the order of the help.
+// defaultCommands returns all sub-commands in the order in which the help lists them.
 func (commander *Commander) defaultCommands() []command {
 	return []command{
 		commander.serveCommand(),
--- a/commander/demo.go
+++ b/commander/demo.go
@@ -13,14 +13,12 @@
 )
 
 const (
-	// demoLoadTime is how long requests arrive where nothing else is chosen.
-	defaultDemoLoadDuration = 8 * time.Second
-	// demoServeTime is how long callers are served where nothing else is chosen.
+	defaultDemoLoadDuration  = 8 * time.Second
 	defaultDemoServeDuration = time.Minute
 	demoRequestTimeout       = 15 * time.Second
 )
 
-// demoFlags are the flags of demo.
+// demoOptions holds the flags of the demo command.
 type demoOptions struct {
 	serve    *bool
 	listen   *string
@@ -32,15 +30,15 @@
 func (commander *Commander) demoCommand() command {
 	return command{
 		name:    "demo",
-		summary: "run a whole small system on loopback under a short mixed load",
+		summary: "run a small, complete system on loopback under a short mixed load",
 		example: "limpetcleat demo -for 8s",
 		prepare: func(flags *flag.FlagSet) action {
 			options := demoOptions{
-				serve:    flags.Bool("serve", false, "serve any client in place of making load"),
+				serve:    flags.Bool("serve", false, "serve clients instead of generating load"),
 				listen:   flags.String("listen", "127.0.0.1:0", "the first node's `address` for callers"),
 				key:      flags.String("apiKey", demonstrator.ButtonsKey, "the callers' `key`"),
-				duration: flags.Duration("for", 0, "how long to make load, 8s if not given, or to serve, 1m if not given"),
-				seed:     flags.Uint64("seed", 1, "the load's seed"),
+				duration: flags.Duration("for", 0, "how long to generate load (8s if not set) or to serve (1m if not set)"),
+				seed:     flags.Uint64("seed", 1, "random seed of the load"),
 			}
 			return func(ctx context.Context, _ string) error { return commander.demo(ctx, options) }
 		},
@@ -90,7 +88,7 @@
 	return err
 }
 
-// checkAnswer tells whether a text is what the stand-in engines must answer.
+// checkAnswer reports whether a text is the answer that the stand-in engines generate for a prompt.
 func checkAnswer(model, prompt, answer string, tokens int) bool {
 	return answer == engine.Answer(model, prompt, 0, tokens)
 }
--- a/commander/drain.go
+++ b/commander/drain.go
@@ -11,11 +11,11 @@
 
 const drainPollInterval = 500 * time.Millisecond
 
-// drainRow is one node in the JSON form of drain.
+// drainRow is the JSON output of the drain command for one node.
 type drainRow struct {
 	Address  string `json:"address"`
 	Draining bool   `json:"drains"`
-	// Stopped is set only when the end of the stop was waited for.
+	// Stopped is set only if the command waits for the node to stop.
 	Stopped bool   `json:"stopped"`
 	Failure string `json:"failure,omitempty"`
 }
@@ -23,7 +23,7 @@
 func (commander *Commander) drainCommand() command {
 	return command{
 		name:    "drain",
-		summary: "ask nodes for a planned stop, which cuts no request",
+		summary: "start a planned stop of nodes, which interrupts no request",
 		example: "limpetcleat drain -nodes 10.0.0.1:8081 -tokenFile operators.token -wait 30m",
 		prepare: func(flags *flag.FlagSet) action {
 			nodes := nodeFlags(flags)
@@ -57,8 +57,8 @@
 	return failure
 }
 
-// awaitStopped returns once no node gives an answer any more. Its error is of
-// kind NotEverywhere and names those that still do when the time is over.
+// awaitStopped waits until no node answers and marks the stopped nodes in rows. After the timeout
+// it returns an error of kind Partial that names the nodes that still answer.
 func awaitStopped(ctx context.Context, client *operator.Client, rows []drainRow, wait time.Duration) error {
 	waitCtx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
--- a/commander/duties.go
+++ b/commander/duties.go
@@ -7,7 +7,7 @@
 	"limpetcleat/operator"
 )
 
-// dutiesRow is one node in the JSON form of duties.
+// dutiesRow is the JSON output of the duties command for one node.
 type dutiesRow struct {
 	Address string          `json:"address"`
 	Duties  operator.Duties `json:"duties"`
@@ -24,15 +24,15 @@
 	}
 	return command{
 		name:    "duties",
-		summary: "show who tells usage and orders engines, and the last reports and orders with what they were made from",
+		summary: "show which nodes report usage and order engines, and the latest reports and orders with their inputs",
 		example: "limpetcleat duties -nodes 127.0.0.1:9465",
 		prepare: report.prepare(commander),
 	}
 }
 
-// writeDuties writes what one node knows.
+// writeDuties writes the duties as one node reports them, with a header for each node.
 func writeDuties(table io.Writer, address string, duties operator.Duties) {
-	_, _ = fmt.Fprintln(table, "node\tduty\tholds\tlast holder\ttoken\ttold until\twhole\tpartial\tskipped")
+	_, _ = fmt.Fprintln(table, "node\tduty\tholds\tlast holder\ttoken\treported until\twhole\tpartial\tskipped")
 	_, _ = fmt.Fprintf(table, "%s\tusage\t%t\t%s\t%d\t%d\t%d\t%d\t%d\n", address, duties.Usage.Holds, duties.Usage.Holder, duties.Usage.Token,
 		duties.ToldUntil, duties.Whole, duties.Partial, duties.Skipped)
 	_, _ = fmt.Fprintf(table, "%s\tscaling\t%t\t%s\t%d\t\t\t\t\n", address, duties.Scaling.Holds, duties.Scaling.Holder, duties.Scaling.Token)
--- a/commander/explain.go
+++ b/commander/explain.go
@@ -11,19 +11,19 @@
 	"limpetcleat/messenger"
 )
 
-// requestFlags are a request's properties as flags.
+// requestOptions holds the request properties that flags set.
 type requestOptions struct {
 	properties matcher.Properties
 	headers    headerFlag
 }
 
-// headerFlag takes name=value pairs, one for each time the flag is given.
+// headerFlag is a repeatable flag of name=value pairs.
 type headerFlag map[string]string
 
-// String returns nothing, as the flag has no default.
+// String returns the empty string, since the flag has no default.
 func (headers headerFlag) String() string { return "" }
 
-// Set takes in one pair.
+// Set adds one pair. The error is of kind InvalidUsage.
 func (headers headerFlag) Set(pair string) error {
 	name, value, ok := strings.Cut(pair, "=")
 	if !ok {
@@ -36,18 +36,18 @@
 func requestFlags(flags *flag.FlagSet) *requestOptions {
 	options := &requestOptions{headers: make(headerFlag)}
 	flags.StringVar(&options.properties.Organisation, "organisation", "", "explain: the request's organisation")
-	flags.StringVar(&options.properties.Model, "model", "", "explain: the model it names")
-	flags.StringVar(&options.properties.Service, "service", "", "explain: the plain service it calls")
-	flags.StringVar(&options.properties.Method, "method", "POST", "explain: its method")
-	flags.StringVar(&options.properties.Path, "path", "", "explain: its path")
-	flags.BoolVar(&options.properties.Streamed, "streamed", false, "explain: whether it wants a stream")
-	flags.IntVar(&options.properties.PromptTokens, "promptTokens", 0, "explain: its prompt's length in tokens")
-	flags.IntVar(&options.properties.MaxTokens, "maxTokens", 0, "explain: the most tokens it wants")
-	flags.Var(options.headers, "header", "explain: a header as `name=value`; may be given again")
+	flags.StringVar(&options.properties.Model, "model", "", "explain: the requested model")
+	flags.StringVar(&options.properties.Service, "service", "", "explain: the requested plain service")
+	flags.StringVar(&options.properties.Method, "method", "POST", "explain: the request's method")
+	flags.StringVar(&options.properties.Path, "path", "", "explain: the request's path")
+	flags.BoolVar(&options.properties.Streamed, "streamed", false, "explain: whether a streamed response is requested")
+	flags.IntVar(&options.properties.PromptTokens, "promptTokens", 0, "explain: the prompt's length in tokens")
+	flags.IntVar(&options.properties.MaxTokens, "maxTokens", 0, "explain: the maximum number of requested tokens")
+	flags.Var(options.headers, "header", "explain: a header as `name=value`; may be repeated")
 	return options
 }
 
-// verdictRow is one rule in the JSON form of explain.
+// verdictRow is the JSON output of rules explain for one rule.
 type verdictRow struct {
 	Rule        string `json:"rule"`
 	When        string `json:"when"`
@@ -74,7 +74,7 @@
 	return commander.showVerdicts(verdicts, properties, *options.output)
 }
 
-// document returns the configuration in the file, or the stored one.
+// document returns the configuration in the file, or the stored one if no file is given.
 func (options rulesOptions) document(ctx context.Context) (definer.Document, error) {
 	if *options.file != "" {
 		return readDocument(*options.file)
--- a/commander/failure.go
+++ b/commander/failure.go
@@ -2,21 +2,22 @@
 
 import "limpetcleat/failer"
 
-// Kind classifies an Error; each has an exit code.
+// Kind classifies an Error and determines the exit code.
 type Kind string
 
 const (
-	// WrongUsage marks a wrong command line.
+	// InvalidUsage marks an invalid command line.
 	InvalidUsage Kind = "wrongUsage"
-	// Conflicting marks a change that another operator's change overtook.
+	// Conflict marks a change that conflicts with a concurrent change by another operator.
 	Conflict Kind = "conflict"
-	// NotEverywhere marks a change that some node does not apply yet.
+	// Partial marks a command that succeeded on some nodes only, such as a change that is not
+	// yet in force on all of them.
 	Partial Kind = "notEverywhere"
-	// Failing marks anything else.
+	// Failed marks any other failure.
 	Failed Kind = "failed"
 )
 
-// Error is the one error type of this package.
+// Error is the error type of this package.
 type Error = failer.Error[Kind]
 
 func fail(operation string, kind Kind, format string, values ...any) *Error {
--- a/commander/flags.go
+++ b/commander/flags.go
@@ -16,9 +16,9 @@
 	outputJSON = "json"
 )
 
-// outputFlag declares the flag that chooses the form of a result.
+// outputFlag declares the flag for the output format.
 func outputFlag(flags *flag.FlagSet) *string {
-	return flags.String("output", outputText, "the result's `form`: text or json")
+	return flags.String("output", outputText, "output `format`: text or json")
 }
 
 func checkOutput(output string) error {
@@ -31,46 +31,46 @@
 func writeJSON(writer io.Writer, value any) error {
 	encoder := json.NewEncoder(writer)
 	encoder.SetIndent("", "  ")
-	// Conditions of rules hold && and >, which are to stay readable.
+	// Keeps && and > in the conditions of rules readable.
 	encoder.SetEscapeHTML(false)
 	return encoder.Encode(value)
 }
 
-// access is how a command reaches a guarded server.
+// endpoint holds the flags for the addresses of servers and their bearer token.
 type endpoint struct {
 	addresses *string
 	token     *string
 	tokenFile *string
-	// what names the server in messages.
+	// flagName is the flag of the addresses, without a dash, for messages.
 	flagName string
 }
 
-// nodeFlags declares the flags that say which nodes to ask.
+// nodeFlags declares the flags for the nodes to query.
 func nodeFlags(flags *flag.FlagSet) *endpoint {
 	clientFlag(flags)
 	return &endpoint{
 		flagName:  "nodes",
-		addresses: flags.String("nodes", "", "operators' `addresses` of the nodes, IP:port, with commas"),
+		addresses: flags.String("nodes", "", "comma-separated operators' `addresses` of the nodes, IP:port"),
 		token:     flags.String("token", "", "the operators' `token`; -tokenFile keeps it out of the process list"),
-		tokenFile: flags.String("tokenFile", "", "the `file` that holds the operators' token"),
+		tokenFile: flags.String("tokenFile", "", "the `file` that contains the operators' token"),
 	}
 }
 
-// platformFlags declares the flags that say how to reach the platform.
+// platformFlags declares the flags for access to the platform.
 func platformFlags(flags *flag.FlagSet) *endpoint {
 	clientFlag(flags)
 	return &endpoint{
 		flagName:  "platform",
-		addresses: flags.String("platform", "", "`addresses` of the platform's object API, IP:port, with commas"),
+		addresses: flags.String("platform", "", "comma-separated `addresses` of the platform's object API, IP:port"),
 		token:     flags.String("platformToken", "", "the platform's `token`"),
-		tokenFile: flags.String("platformTokenFile", "", "the `file` that holds the platform's token"),
+		tokenFile: flags.String("platformTokenFile", "", "the `file` that contains the platform's token"),
 	}
 }
 
-// given tells whether there is any address.
+// isSet reports whether any address is given.
 func (endpoint *endpoint) isSet() bool { return *endpoint.addresses != "" }
 
-// list returns the addresses; the error is of kind WrongUsage when there is none.
+// addressList returns the addresses. The error is of kind InvalidUsage if none is given.
 func (endpoint *endpoint) addressList() ([]string, error) {
 	if !endpoint.isSet() {
 		return nil, fail("flags", InvalidUsage, "-%s is missing", endpoint.flagName)
@@ -93,7 +93,7 @@
 	return strings.TrimSpace(string(data)), nil
 }
 
-// read returns the addresses and the secret.
+// resolve returns the addresses and the token.
 func (endpoint *endpoint) resolve() (addresses []string, token string, err error) {
 	if addresses, err = endpoint.addressList(); err != nil {
 		return nil, "", err
@@ -102,7 +102,7 @@
 	return addresses, token, err
 }
 
-// client returns a client of the nodes.
+// operatorClient returns a client of the nodes' operators' interfaces.
 func (endpoint *endpoint) operatorClient() (*operator.Client, error) {
 	addresses, token, err := endpoint.resolve()
 	if err != nil {
@@ -111,7 +111,7 @@
 	return operator.Dial(addresses, token), nil
 }
 
-// store returns a client of the platform.
+// storeClient returns a client of the platform; the caller closes it.
 func (endpoint *endpoint) storeClient() (*storer.Storer, error) {
 	addresses, token, err := endpoint.resolve()
 	if err != nil {
--- a/commander/heldoff.go
+++ b/commander/heldoff.go
@@ -11,7 +11,7 @@
 	"limpetcleat/operator"
 )
 
-// heldOffRow is one request at one node in the JSON form of heldOff.
+// heldOffRow is the JSON output of the heldOff command for one node.
 type heldOffRow struct {
 	Address string             `json:"address"`
 	HeldOff []operator.HeldOff `json:"heldOff"`
@@ -21,12 +21,12 @@
 func (commander *Commander) heldOffCommand() command {
 	return command{
 		name:    "heldOff",
-		summary: "show which requests are refused since upstreams ended under them, and lift one",
+		summary: "show the requests that are held off because upstreams crashed while serving them, and lift one",
 		example: "limpetcleat heldOff -nodes 127.0.0.1:9465 -lift 0f6c21d4a35e8b7790aa12c44d03be5f",
 		prepare: func(flags *flag.FlagSet) action {
 			nodes := nodeFlags(flags)
 			output := outputFlag(flags)
-			lift := flags.String("lift", "", "the `identity` of a request that may be sent again, at all nodes")
+			lift := flags.String("lift", "", "the `identity` of a request to allow again on all nodes")
 			return func(ctx context.Context, _ string) error {
 				if err := checkOutput(*output); err != nil {
 					return err
@@ -52,19 +52,19 @@
 	return nil
 }
 
-// heldOffReport shows which requests each node refuses or suspects.
+// heldOffReport lists the requests that each node holds off or suspects.
 func heldOffReport() nodeReport[[]operator.HeldOff] {
 	return nodeReport[[]operator.HeldOff]{
 		query: (*operator.Client).HeldOff,
 		row: func(answer operator.Answer[[]operator.HeldOff]) any {
 			return heldOffRow{Address: answer.Address(), HeldOff: answer.Value(), Failure: errorText(answer)}
 		},
-		header: "node\trequest\tstate\tended\tfirst ago\trefused\ttold by\tupstreams",
+		header: "node\trequest\tstate\tended\tfirst ago\trefused\treported by\tupstreams",
 		write:  writeHeldOff,
 	}
 }
 
-// writeHeldOff writes which requests one node refuses or suspects.
+// writeHeldOff writes one row for each request that a node holds off or suspects.
 func writeHeldOff(table io.Writer, address string, rows []operator.HeldOff) {
 	for _, row := range rows {
 		state := "suspected"
@@ -76,7 +76,7 @@
 	}
 }
 
-// seconds returns milliseconds as whole seconds to be read.
+// formatSeconds formats a number of milliseconds as a duration rounded to seconds.
 func formatSeconds(millis int64) string {
 	return (time.Duration(millis) * time.Millisecond).Round(time.Second).String()
 }
--- a/commander/load.go
+++ b/commander/load.go
@@ -13,7 +13,7 @@
 
 const defaultLoadDuration = 30 * time.Second
 
-// loadFlags are the flags of load.
+// loadOptions holds the flags of the load command.
 type loadOptions struct {
 	targets    *string
 	mix        *string
@@ -27,14 +27,14 @@
 	issuedKeys *bool
 }
 
-// loadReport is the JSON form of what load found.
+// loadReport is the JSON output of the load command.
 type loadReport struct {
 	Scale float64 `json:"scale"`
 	Seed  uint64  `json:"seed"`
 	Burst bool    `json:"burst"`
 	generator.Report
-	// Wasted is the share of computed tokens that the engines discarded; it
-	// leaves out the engines named in Unread.
+	// Wasted is the share of computed tokens that the engines discarded. Wasted, Computed and
+	// Discarded exclude the engines listed in Unread, whose counters could not be read.
 	Wasted    float64  `json:"wasted"`
 	Computed  int64    `json:"computedTokens"`
 	Discarded int64    `json:"discardedTokens"`
@@ -44,20 +44,20 @@
 func (commander *Commander) loadCommand() command {
 	return command{
 		name:    "load",
-		summary: "make an open-loop load on entry VMs and show what came of it, by class",
+		summary: "generate an open-loop load on entry VMs and show the results by class",
 		example: "limpetcleat load -targets 10.0.0.1:8080,10.0.0.2:8080 -mix examples/mix-buttons.json -scale 1.0 -for 30s",
 		prepare: func(flags *flag.FlagSet) action {
 			options := loadOptions{
-				targets:    flags.String("targets", "", "callers' `addresses` of the entry VMs, IP:port, with commas"),
-				mix:        flags.String("mix", "", "the `file` with the streams of requests, in JSON"),
-				engines:    flags.String("engines", "", "`addresses` of the stand-in engines whose wasted work is read"),
+				targets:    flags.String("targets", "", "comma-separated callers' `addresses` of the entry VMs, IP:port"),
+				mix:        flags.String("mix", "", "the JSON `file` that defines the request streams"),
+				engines:    flags.String("engines", "", "comma-separated `addresses` of the stand-in engines whose wasted work is reported"),
 				output:     outputFlag(flags),
-				scale:      flags.Float64("scale", 1, "multiplies the rates of all streams that are not fixed"),
-				duration:   flags.Duration("for", defaultLoadDuration, "how long requests arrive"),
-				timeout:    flags.Duration("timeout", 2*time.Minute, "the longest time for one answer"),
-				seed:       flags.Uint64("seed", 1, "the seed of all draws"),
-				issuedKeys: flags.Bool("issuedKeys", false, "take each keyed request's key from its entry VM first"),
-				bursts:     flags.Bool("burst", false, "with the bursts that the mix has"),
+				scale:      flags.Float64("scale", 1, "multiplier for the rates of all streams that are not fixed"),
+				duration:   flags.Duration("for", defaultLoadDuration, "how long to send requests"),
+				timeout:    flags.Duration("timeout", 2*time.Minute, "timeout of one request"),
+				seed:       flags.Uint64("seed", 1, "random seed"),
+				issuedKeys: flags.Bool("issuedKeys", false, "obtain the key of each keyed request from its entry VM first"),
+				bursts:     flags.Bool("burst", false, "include the bursts that the mix defines"),
 			}
 			return func(ctx context.Context, _ string) error { return commander.load(ctx, options) }
 		},
@@ -94,7 +94,7 @@
 	return err
 }
 
-// addWaste adds up what the engines computed and discarded during the load.
+// addWaste adds up the tokens that the engines computed and discarded between the two readings.
 func (report *loadReport) addWaste(engines []string, before, after map[string]generator.Waste) {
 	var sum generator.Waste
 	for _, address := range engines {
@@ -110,7 +110,7 @@
 	report.Wasted, report.Computed, report.Discarded = sum.Share(), sum.Computed, sum.Discarded
 }
 
-// readMix reads a mix, without its bursts unless they are wanted.
+// readMix reads a mix from a file and removes its bursts unless bursts is set.
 func readMix(path string, bursts bool) (generator.Mix, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/commander/platform.go
+++ b/commander/platform.go
@@ -22,24 +22,25 @@
 	"limpetcleat/sifter"
 )
 
-// memoryLimitShare is the part of the process's memory at which the collector
-// works harder; the rest is for stacks, buffers of the kernel and the binary.
+// memoryLimitShare is the fraction of the process's memory that is set as the soft memory limit of
+// the Go runtime. The rest is reserved for stacks, kernel buffers and the binary.
 const memoryLimitShare = 0.6
 
-// asideTimeout bounds the head of a scraper's or an operator's request.
+// auxiliaryHeaderTimeout bounds the time to read the header of a request to the metrics or
+// operators' port.
 const auxiliaryHeaderTimeout = 5 * time.Second
 
 func (commander *Commander) platformCommand() command {
 	return command{
 		name:    "platform",
-		summary: "run one node on the users' platform; SIGTERM begins a planned stop",
+		summary: "run one node on the users' platform; SIGTERM starts a planned stop",
 		example: platform.SettingsVariable + "=/etc/limpetcleat/boot.yaml limpetcleat platform",
 		prepare: func(flags *flag.FlagSet) action {
-			metricsPort := flags.Uint("metricsPort", 0, "the `port` of the metrics, at /metrics; 0 serves none")
-			operatorPort := flags.Uint("operatorsPort", 0, "the `port` on 127.0.0.1 where operators see and lift what is held off; 0 serves none")
-			delegation := flags.Bool("delegation", false, "let few nodes ask the store and tell the others; the same at all nodes")
-			headroom := flags.Float64("engineHeadroom", scaler.DefaultHeadroom, "how many `engines` there are to be for each one that the usual work takes, for bursts that are over before an engine has started")
-			longestBackoff := flags.Duration("longestBackoff", interpreter.MaxRetryAfter, "the longest `time` for which an upstream that turns requests away may ask not to be sent any")
+			metricsPort := flags.Uint("metricsPort", 0, "the `port` that serves metrics at /metrics; 0 disables it")
+			operatorPort := flags.Uint("operatorsPort", 0, "the `port` on 127.0.0.1 of the operators' interface, which shows and lifts held-off requests; 0 disables it")
+			delegation := flags.Bool("delegation", false, "let a few nodes query the store and forward the results to the others; must be the same on all nodes")
+			headroom := flags.Float64("engineHeadroom", scaler.DefaultHeadroom, "number of `engines` to provide for each one that the usual load occupies, to absorb bursts shorter than the start of an engine")
+			longestBackoff := flags.Duration("longestBackoff", interpreter.MaxRetryAfter, "the longest `time` for which an upstream that rejects requests may ask not to receive any")
 			return func(ctx context.Context, _ string) error {
 				return commander.servePlatform(ctx, &platformOptions{longestBackoff: *longestBackoff, metricsPort: uint16(*metricsPort), operatorPort: uint16(*operatorPort), delegation: *delegation, headroom: *headroom})
 			}
@@ -47,14 +48,14 @@
 	}
 }
 
-// entryOptions are what the command line says of a node on the users' platform.
+// platformOptions holds the flags of the platform command.
 type platformOptions struct {
 	metricsPort  uint16
 	operatorPort uint16
 	delegation   bool
-	// headroom is how many engines there are to be for each one that the work takes.
+	// headroom is the number of engines to provide for each one that the usual load occupies.
 	headroom float64
-	// longestBackoff bounds how long an upstream may ask not to be sent anything.
+	// longestBackoff bounds the backoff that an upstream may request.
 	longestBackoff time.Duration
 }
 
@@ -114,20 +115,21 @@
 	return netip.AddrPortFrom(settings.IP, port)
 }
 
-// operatorsAddress is on loopback: what is served there asks for no token.
+// operatorAddress returns a loopback address, since the interface requires no token.
 func operatorAddress(port uint16) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), port)
 }
 
-// serveMetrics serves the metrics in the background.
+// serveMetrics serves the metrics in the background and returns a function that stops it.
 func serveMetrics(address netip.AddrPort, handler http.Handler, log *logger.Logger) func() {
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", handler)
 	return serveAuxiliary(address, mux, log)
 }
 
-// serveAside serves what is not for callers in the background, unless the port is 0; the
-// function that it returns ends that. A node serves callers without it too.
+// serveAuxiliary starts an HTTP server for operators or metrics in the background, unless the port
+// is 0, and returns a function that stops it. It logs a failure of the server and does not stop the
+// node, which serves callers without it.
 func serveAuxiliary(address netip.AddrPort, handler http.Handler, log *logger.Logger) func() {
 	if address.Port() == 0 {
 		return func() {}
@@ -141,7 +143,8 @@
 	return func() { _ = server.Close() }
 }
 
-// runEntry runs the entry until a signal has asked for a planned stop.
+// runEntry runs the entry until a planned stop is complete, which starts when ctx is cancelled. On
+// SIGHUP it validates the settings and logs the result.
 func (commander *Commander) runEntry(ctx context.Context, entry *limpetcleat.Entry, listeners []net.Listener) {
 	stopDrainOnSignal := context.AfterFunc(ctx, func() {
 		entry.Event(logger.EventDrainAsked, "by", "signal")
--- a/commander/put.go
+++ b/commander/put.go
@@ -13,19 +13,19 @@
 	"limpetcleat/sectioner"
 )
 
-// putResult is the JSON form of rules put.
+// putResult is the JSON output of rules put.
 type putResult struct {
 	Version     uint64          `json:"version"`
 	Changed     bool            `json:"changed"`
 	DryRun      bool            `json:"dryRun"`
 	Differences []differenceRow `json:"differences"`
-	// InForce and Behind are operators' addresses of nodes; both are empty when
-	// no node was named.
+	// InForce lists the operators' addresses of the nodes that apply the version, and Behind those
+	// of nodes that do not or that do not answer. Both are empty without -nodes.
 	InForce []string `json:"inForce"`
 	Behind  []string `json:"behind"`
 }
 
-// differenceRow is one difference; field is empty if the whole came or went.
+// differenceRow is one difference. Field is empty if an entire object was added or removed.
 type differenceRow struct {
 	What   string `json:"what"`
 	Field  string `json:"field,omitempty"`
@@ -33,9 +33,9 @@
 	After  string `json:"after,omitempty"`
 }
 
-// rulesPut shows what changes, writes it, and waits until it is in force. Its
-// error is of kind Conflicting when another operator was faster, and of kind
-// NotEverywhere when some node does not apply the change.
+// rulesPut prints the differences, writes the change and waits until it is in force. The error is
+// of kind Conflict if another operator changed the configuration concurrently, and of kind Partial
+// if some node does not apply the change.
 func (commander *Commander) rulesPut(ctx context.Context, options rulesOptions) error {
 	if *options.file == "" {
 		return fail("put", InvalidUsage, "-file is missing")
@@ -75,7 +75,7 @@
 	return commander.reportPut(result, *options.output, err)
 }
 
-// newest returns the stored version, which is 0 when there is none.
+// loadNewestOrEmpty returns the stored version, or version 0 if none is stored.
 func loadNewestOrEmpty(ctx context.Context, configurationEditor *editor.Editor) (*editor.Version, error) {
 	version, err := configurationEditor.Load(ctx)
 	var failure *editor.Error
@@ -85,18 +85,19 @@
 	return version, err
 }
 
-// replace returns the change from the version that was shown to the document.
-// A version 0 cannot be named as the base, so that its emptiness is checked.
+// replacement returns the change that replaces the document of version before. Version 0 cannot
+// serve as the base, so the change compares the documents and fails with kind Conflict if another
+// operator wrote the first version.
 func replacement(before *editor.Version, document definer.Document, summary string) editor.Change {
 	return editor.Change{Base: before.Number(), Summary: summary, Apply: func(found definer.Document) (definer.Document, error) {
 		if before.Number() == 0 && !reflect.DeepEqual(found, before.Document()) {
-			return found, fail("put", Conflict, "somebody else wrote the first version meanwhile; read it and make the change anew")
+			return found, fail("put", Conflict, "another operator wrote the first version meanwhile; read it and make the change anew")
 		}
 		return document, nil
 	}}
 }
 
-// overtaken tells who made the edit that the operator has not seen.
+// conflictError returns an error of kind Conflict that describes another operator's edit.
 func conflictError(edit sectioner.Edit) error {
 	return fail("put", Conflict, "version %d was written by %q at %s: %q; read it and make the change anew",
 		edit.Version, edit.Editor, edit.EditedAt.Format(time.RFC3339), edit.Summary)
@@ -115,7 +116,7 @@
 	}
 }
 
-// concludePut writes the result, also of a put that failed half way.
+// reportPut prints the result, also if waiting for an accepted change failed, and returns failure.
 func (commander *Commander) reportPut(result putResult, output string, failure error) error {
 	if output == outputJSON {
 		return errors.Join(writeJSON(commander.out, result), failure)
@@ -129,7 +130,7 @@
 	return failure
 }
 
-// showDifferences prints, and returns, what a change would change.
+// showDifferences prints and returns the differences between the stored configuration and after.
 func (commander *Commander) showDifferences(before *editor.Version, after definer.Document, output string) ([]differenceRow, error) {
 	differences, err := editor.Differences(before.Document(), after)
 	if err != nil {
--- a/commander/reload.go
+++ b/commander/reload.go
@@ -6,7 +6,7 @@
 	"syscall"
 )
 
-// reload hands out the signals that ask for the settings to be read again.
+// reloadNotifier receives SIGHUP, which requests a reload of the settings.
 type reloadNotifier struct {
 	signals chan os.Signal
 }
@@ -17,7 +17,7 @@
 	return notifier
 }
 
-// each calls act for each signal until stop.
+// forEach calls act for each signal and returns after stop.
 func (notifier *reloadNotifier) forEach(act func()) {
 	for range notifier.signals {
 		act()
--- a/commander/report.go
+++ b/commander/report.go
@@ -10,19 +10,19 @@
 	"limpetcleat/operator"
 )
 
-// report asks all nodes the same and shows what each answers.
+// nodeReport queries all nodes and prints their answers as a table or as JSON.
 type nodeReport[Value any] struct {
-	// ask is the method of Client that asks.
+	// query is the method of Client that queries all nodes.
 	query func(client *operator.Client, ctx context.Context) []operator.Answer[Value]
-	// row returns the JSON form of one node's answer, also of a failure.
+	// row returns the JSON output for one node, whether it answered or failed.
 	row func(answer operator.Answer[Value]) any
-	// header holds the titles of the table's columns; it is empty if write sets its own.
+	// header contains the tab-separated column titles; it is empty if write prints its own.
 	header string
-	// write adds what one node answered to the table.
+	// write appends one node's answer to the table.
 	write func(table io.Writer, address string, value Value)
 }
 
-// prepare declares the flags of a command that shows the report and does nothing else.
+// prepare returns the prepare function of a command that only prints the report.
 func (report nodeReport[Value]) prepare(commander *Commander) func(flags *flag.FlagSet) action {
 	return func(flags *flag.FlagSet) action {
 		nodes := nodeFlags(flags)
@@ -40,7 +40,7 @@
 	}
 }
 
-// run asks, and shows all answers; the error tells which nodes were silent.
+// run queries the nodes and prints all answers. The error names the nodes that did not answer.
 func (report nodeReport[Value]) run(ctx context.Context, out io.Writer, client *operator.Client, output string) error {
 	answers := report.query(client, ctx)
 	if err := report.show(out, answers, output); err != nil {
--- a/commander/routes.go
+++ b/commander/routes.go
@@ -11,7 +11,7 @@
 	"limpetcleat/router"
 )
 
-// routesFlags are the flags of the command routes.
+// routesOptions holds the flags of the routes command.
 type routesOptions struct {
 	file string
 	host string
@@ -19,15 +19,15 @@
 	key  string
 }
 
-// routesCommand explains a request by a configuration of the users' platform.
+// routesCommand explains how a configuration of the users' platform routes a request.
 func (commander *Commander) routesCommand() command {
 	return command{
 		name:    "routes",
-		summary: "explain by a configuration of the users' platform where a request goes",
+		summary: "explain how a configuration of the users' platform routes a request",
 		example: "limpetcleat routes -file config.json -host shop.example -path /orders/7 -key KEY",
 		prepare: func(flags *flag.FlagSet) action {
 			options := &routesOptions{}
-			flags.StringVar(&options.file, "file", "", "the configuration `file`, in JSON as the operator writes it")
+			flags.StringVar(&options.file, "file", "", "the JSON configuration `file`, as the operator writes it")
 			flags.StringVar(&options.host, "host", "", "the request's `host`")
 			flags.StringVar(&options.path, "path", "/", "the request's `path`")
 			flags.StringVar(&options.key, "key", "", "the caller's `key`; it is not printed")
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// showRule prints how one rule judged the request, and for the one that matches
-// what follows from it.
+// showRule prints whether a rule matches the request. For a matching rule it also prints the
+// rule's settings, the organisation that the key authenticates, the tier and the urgency.
 func (commander *Commander) showRule(table *router.Table, verdict router.Verdict, key string) {
 	rule := verdict.Rule
 	if verdict.Reason != "" {
@@ -83,7 +83,7 @@
 	_, _ = fmt.Fprintf(commander.out, "    tier %d, urgency %d at engines\n", table.Tier(rule, organisation), table.Urgency(rule, organisation))
 }
 
-// targets lists the services of a rule with their shares in hundredths.
+// targets lists the services of a rule with their shares in percent.
 func targets(rule *router.Rule) string {
 	total := 0.0
 	for _, target := range rule.Targets {
--- a/commander/rules.go
+++ b/commander/rules.go
@@ -13,7 +13,7 @@
 	"limpetcleat/sectioner"
 )
 
-// ruleFlags are the flags of rules and its verbs.
+// rulesOptions holds the flags of all verbs of the rules command.
 type rulesOptions struct {
 	nodes    *endpoint
 	platform *endpoint
@@ -29,7 +29,7 @@
 	request  *requestOptions
 }
 
-// ruleVerb is one verb of rules.
+// ruleVerb runs one verb of the rules command.
 type ruleVerb func(ctx context.Context, chosen rulesOptions) error
 
 func (commander *Commander) rulesCommand() command {
@@ -45,11 +45,11 @@
 				output:   outputFlag(flags),
 				file:     flags.String("file", "", "put, explain: the configuration `file`, in JSON"),
 				version:  flags.Uint64("version", 0, "get: an earlier `version` within the history; 0 is the newest"),
-				base:     flags.Uint64("base", 0, "put: the `version` that the change was made from; 0 is the newest"),
-				floor:    flags.Uint64("floor", 0, "put: the least `version` that the change gets, for a platform that was set back"),
-				summary:  flags.String("summary", "", "put: why, for the history"),
-				editor:   flags.String("editor", loginName(), "put: who, for the history"),
-				dryRun:   flags.Bool("dryRun", false, "put: check and show what would change, and write nothing"),
+				base:     flags.Uint64("base", 0, "put: the `version` that the change is based on; 0 is the newest"),
+				floor:    flags.Uint64("floor", 0, "put: the minimum `version` of the change, for a platform that was restored to an older state"),
+				summary:  flags.String("summary", "", "put: the reason for the change, for the history"),
+				editor:   flags.String("editor", loginName(), "put: the name of the editor, for the history"),
+				dryRun:   flags.Bool("dryRun", false, "put: check the file and show the differences without writing"),
 				wait:     flags.Duration("wait", defaultPutWait, "put: how long to wait until the change is in force"),
 				request:  requestFlags(flags),
 			}
@@ -80,7 +80,7 @@
 	}
 }
 
-// load returns the stored configuration.
+// loadNewest returns the newest stored version.
 func (options rulesOptions) loadNewest(ctx context.Context) (*editor.Version, error) {
 	store, err := options.platform.storeClient()
 	if err != nil {
@@ -99,7 +99,7 @@
 	return writeJSON(commander.out, document)
 }
 
-// get returns the version asked for.
+// loadVersion returns the version that -version selects, and its number.
 func (options rulesOptions) loadVersion(ctx context.Context) (uint64, definer.Document, error) {
 	if *options.version == 0 {
 		newest, err := options.loadNewest(ctx)
@@ -117,7 +117,7 @@
 	return *options.version, document, err
 }
 
-// editRow is one accepted edit in the JSON form of history.
+// editRow is the JSON output of rules history for one accepted edit.
 type editRow struct {
 	Version  uint64    `json:"version"`
 	Editor   string    `json:"editor"`
@@ -142,7 +142,7 @@
 	return table.Flush()
 }
 
-// editRows returns the newest edit and those before it, the latest first.
+// editRows returns the newest edit and the edits in the history, newest first.
 func editRows(head *sectioner.Head) []editRow {
 	var rows []editRow
 	for _, edit := range append([]sectioner.Edit{head.Edit}, head.History...) {
--- a/commander/secure.go
+++ b/commander/secure.go
@@ -10,12 +10,12 @@
 	"limpetcleat/loader"
 )
 
-// InnerName is the name that the certificate of every node must hold. Nodes
-// are replaced at any time and reached by IP, so that all share one name.
+// InnerName is the DNS name that the certificate of every node must contain. All nodes share one
+// name, since nodes are replaced at any time and connect by IP address.
 const InnerName = "limpetcleat-inner"
 
-// innerTLS returns the two sides of mutual TLS between nodes, or nothing when
-// the settings ask for plain connections.
+// innerTLS returns the server's and the client's configuration for mutual TLS between nodes, or nil
+// for both if the settings select plain connections.
 func innerTLS(inner *loader.Inner) (serverSide, clientSide *tls.Config, err error) {
 	if inner.Plain() {
 		return nil, nil, nil
@@ -33,7 +33,7 @@
 		ClientAuth:   tls.RequireAndVerifyClientCert,
 		ClientCAs:    authority,
 		MinVersion:   tls.VersionTLS13,
-		// An authority may sign for others than nodes.
+		// The authority may also issue certificates to clients that are not nodes.
 		VerifyConnection: func(state tls.ConnectionState) error {
 			return state.PeerCertificates[0].VerifyHostname(InnerName)
 		},
@@ -47,7 +47,7 @@
 	return serverSide, clientSide, nil
 }
 
-// callerListener returns the listener under TLS, if the settings ask for it.
+// callerListener wraps the listener in TLS if the settings name a certificate.
 func callerListener(callers *loader.Callers, listener net.Listener) (net.Listener, error) {
 	if callers.TLSCertificate() == "" {
 		return listener, nil
@@ -66,7 +66,7 @@
 	}
 	authority := x509.NewCertPool()
 	if !authority.AppendCertsFromPEM(data) {
-		return nil, fail("readAuthority", Failed, "%s: %w", path, errors.New("there is no certificate in it"))
+		return nil, fail("readAuthority", Failed, "%s: %w", path, errors.New("the file contains no PEM certificate"))
 	}
 	return authority, nil
 }
--- a/commander/secure_test.go
+++ b/commander/secure_test.go
@@ -19,7 +19,7 @@
 	"limpetcleat/standin/authority"
 )
 
-// files are those that the settings of a node name.
+// tlsFiles holds the paths of the TLS files in the settings of a node.
 type tlsFiles struct{ certificate, key, authority string }
 
 func newTestAuthority(t *testing.T) *authority.Authority {
@@ -29,7 +29,8 @@
 	return testAuthority
 }
 
-// write puts a certificate of the issuer under the name beside the trusted authority.
+// writeTLSFiles writes a certificate for the name, signed by issuer, and the certificate of the
+// trusted authority to a new directory.
 func writeTLSFiles(t *testing.T, issuer, trusted *authority.Authority, name string) (files tlsFiles) {
 	t.Helper()
 	directory := t.TempDir()
@@ -60,8 +61,8 @@
 addresses = http://127.0.0.1:8000
 `
 
-// inner returns the TLS of a node whose certificate is the issuer's and that
-// believes the trusted authority.
+// innerConfigs returns the TLS configurations of a node whose certificate is signed by issuer and
+// that accepts certificates of the trusted authority.
 func innerConfigs(t *testing.T, issuer, trusted *authority.Authority, name string) (serverSide, clientSide *tls.Config) {
 	t.Helper()
 	serverSide, clientSide, err := writeTLSFiles(t, issuer, trusted, name).loadInnerTLS(t)
@@ -69,7 +70,7 @@
 	return serverSide, clientSide
 }
 
-// load returns what a node makes of the files.
+// loadInnerTLS returns the TLS configurations that a node creates from the files.
 func (tlsFiles tlsFiles) loadInnerTLS(t *testing.T) (serverSide, clientSide *tls.Config, err error) {
 	t.Helper()
 	settings, err := loader.Parse("entry.ini", fmt.Appendf(nil, secureSettings, tlsFiles.certificate, tlsFiles.key, tlsFiles.authority))
@@ -77,8 +78,8 @@
 	return innerTLS(settings.Inner())
 }
 
-// TestInnerTLSProvesBothSides lets a node dial another in every way that must
-// be refused, and in the one that must not.
+// TestInnerTLSProvesBothSides guards against connections between nodes without mutual
+// authentication: only certificates of the shared authority with the shared name are accepted.
 func TestInnerTLSProvesBothSides(t *testing.T) {
 	ours, theirs := newTestAuthority(t), newTestAuthority(t)
 	serverSide, bare := innerConfigs(t, ours, ours, InnerName)
@@ -110,7 +111,7 @@
 	}
 }
 
-// handshake tells whether both sides accept each other.
+// handshake reports whether the server and the client accept each other.
 func handshake(t *testing.T, server, client *tls.Config) bool {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
@@ -133,7 +134,7 @@
 	if clientErr != nil {
 		clientConn.Close()
 	}
-	// The server judges the client's certificate after the client is done.
+	// In TLS 1.3 the server verifies the client's certificate after the client's handshake returns.
 	return <-serverResult == nil && clientErr == nil
 }
 
@@ -160,7 +161,8 @@
 	}
 }
 
-// TestAuthorityForTrials lets two nodes prove themselves with what the command writes.
+// TestAuthorityForTrials checks that two nodes accept each other with the certificates that standin
+// authority writes, and that a second run does not overwrite them.
 func TestAuthorityForTrials(t *testing.T) {
 	directory := t.TempDir()
 	var out, problems bytes.Buffer
@@ -173,5 +175,5 @@
 	_, clientSide, err := tlsFiles{path("b.pem"), path("b.key"), path("authority.pem")}.loadInnerTLS(t)
 	assert.NilError(t, err)
 	assert.Assert(t, handshake(t, serverSide, clientSide))
-	assert.Equal(t, New(&out, &problems).Run(t.Context(), args), ExitFailed, "files are there already")
+	assert.Equal(t, New(&out, &problems).Run(t.Context(), args), ExitFailed, "the files exist already")
 }
--- a/commander/serve.go
+++ b/commander/serve.go
@@ -22,7 +22,7 @@
 func (commander *Commander) serveCommand() command {
 	return command{
 		name:    "serve",
-		summary: "run one node; SIGTERM begins a planned stop",
+		summary: "run one node; SIGTERM starts a planned stop",
 		example: "limpetcleat serve -settings entry.ini",
 		prepare: func(flags *flag.FlagSet) action {
 			path := flags.String("settings", "", "the settings `file`, in INI")
@@ -68,8 +68,7 @@
 	return logger.New(writer, logger.WithLevel(logger.Level(settings.Log().Level())), logger.WithFormat(logger.Format(settings.Log().Format())))
 }
 
-// nodeOptions returns the options that the settings ask for, with every
-// listener open.
+// nodeOptions returns the node's options for the settings and opens its listeners.
 func nodeOptions(settings *loader.Settings, log *logger.Logger) ([]limpetcleat.Option, error) {
 	platformToken, err := settings.Platform().Token().Read()
 	if err != nil {
@@ -140,7 +139,7 @@
 	return vms
 }
 
-// listenAll opens a listener for each address, or none.
+// listenAll opens a listener for each address. After an error it closes those already open.
 func listenAll(addresses ...string) ([]net.Listener, error) {
 	var listeners []net.Listener
 	for _, address := range addresses {
--- a/commander/standin.go
+++ b/commander/standin.go
@@ -16,7 +16,7 @@
 func (commander *Commander) standinCommand() command {
 	return command{
 		name:    "standin",
-		summary: "run a stand-in: standin platform|engine|service, or make a trial's certificates: standin authority",
+		summary: "run a stand-in: standin platform|engine|service, or write certificates for tests: standin authority",
 		example: "limpetcleat standin engine -listen 127.0.0.1:9001 -models small,large",
 		verbs:   []string{"platform", "engine", "service", authorityVerb},
 		prepare: func(flags *flag.FlagSet) action {
@@ -43,21 +43,21 @@
 	return standin.Wait()
 }
 
-// standins declares the flags of every stand-in and returns what builds each.
+// standinBuilders declares the flags of all stand-ins and returns the constructor of each by verb.
 func standinBuilders(flags *flag.FlagSet) map[string]func() runner.Server {
 	name := flags.String("name", "service", "service: its `name`")
-	token := flags.String("token", "", "platform: the bearer `token` it wants")
-	listLag := flags.Duration("listLag", time.Second, "platform: how far its list of VMs lags")
-	writes := flags.Int("writes", 0, "platform: writes a second it takes; 0 is no limit")
-	reads := flags.Int("reads", 0, "platform: reads a second it takes; 0 is no limit")
-	models := flags.String("models", "model", "engine: `names` of its models, with commas")
-	running := flags.Int("running", 8, "engine: sequences that run at once")
-	queue := flags.Int("queue", 64, "engine: sequences that wait")
-	tokenTime := flags.Duration("tokenTime", 10*time.Millisecond, "engine: time between tokens of a lone sequence")
-	slope := flags.Duration("slope", time.Millisecond, "engine: more time between tokens for each other sequence")
-	prefill := flags.Duration("prefill", 50*time.Millisecond, "engine: time for 1,000 prompt tokens")
-	latency := flags.Duration("latency", 20*time.Millisecond, "service: time a call takes")
-	capacity := flags.Int("capacity", 0, "service: calls that run at once; 0 is no limit")
+	token := flags.String("token", "", "platform: the bearer `token` that it requires")
+	listLag := flags.Duration("listLag", time.Second, "platform: delay of its list of VMs")
+	writes := flags.Int("writes", 0, "platform: maximum writes per second; 0 is no limit")
+	reads := flags.Int("reads", 0, "platform: maximum reads per second; 0 is no limit")
+	models := flags.String("models", "model", "engine: comma-separated `names` of its models")
+	running := flags.Int("running", 8, "engine: maximum number of running sequences")
+	queue := flags.Int("queue", 64, "engine: maximum number of queued sequences")
+	tokenTime := flags.Duration("tokenTime", 10*time.Millisecond, "engine: time between tokens of a single running sequence")
+	slope := flags.Duration("slope", time.Millisecond, "engine: additional time between tokens for each further running sequence")
+	prefill := flags.Duration("prefill", 50*time.Millisecond, "engine: prefill time for 1,000 prompt tokens")
+	latency := flags.Duration("latency", 20*time.Millisecond, "service: duration of a call")
+	capacity := flags.Int("capacity", 0, "service: maximum number of concurrent calls; 0 is no limit")
 	return map[string]func() runner.Server{
 		"platform": func() runner.Server {
 			options := []platform.Option{platform.WithToken(*token), platform.WithListLag(*listLag)}
--- a/commander/status.go
+++ b/commander/status.go
@@ -11,7 +11,7 @@
 	"limpetcleat/operator"
 )
 
-// nodeStatus is one node's row in the JSON form of status.
+// statusRow is the JSON output of the status command for one node.
 type statusRow struct {
 	Address string          `json:"address"`
 	Status  *decider.Status `json:"status,omitempty"`
@@ -21,7 +21,7 @@
 func (commander *Commander) statusCommand() command {
 	return command{
 		name:    "status",
-		summary: "show what each node knows of itself; exit 4 when some do not answer",
+		summary: "show the status of each node; exit code 4 if some do not answer",
 		example: "limpetcleat status -nodes 10.0.0.1:8081,10.0.0.2:8081 -tokenFile operators.token",
 		prepare: func(flags *flag.FlagSet) action {
 			nodes := nodeFlags(flags)
@@ -88,8 +88,8 @@
 	return rows
 }
 
-// silent returns an error that names the nodes that gave no answer, or nil. It
-// is of kind NotEverywhere, or Failing when none of them did.
+// unansweredError returns an error that names the nodes that did not answer, or nil if all did. It
+// is of kind Partial, or of kind Failed if no node answered.
 func unansweredError[Value any](answers []operator.Answer[Value]) error {
 	var unanswered []string
 	var failures []error
@@ -109,7 +109,7 @@
 	}
 }
 
-// failureText returns why a node gave no answer; empty if it gave one.
+// errorText returns the text of the answer's error, or the empty string if there is none.
 func errorText[Value any](answer operator.Answer[Value]) string {
 	if answer.Failure() == nil {
 		return ""
--- a/commander/system_test.go
+++ b/commander/system_test.go
@@ -20,7 +20,7 @@
 	"limpetcleat/reporter"
 )
 
-// putAnswer is the JSON form of rules put.
+// putAnswer is the JSON output of rules put.
 type putAnswer struct {
 	Version         uint64
 	Changed, DryRun bool
@@ -77,7 +77,7 @@
 	containsAll(t, got.out, []string{"version 12 is in force on 2 nodes"})
 }
 
-// checkHistory looks at three versions, of which ana wrote the second.
+// checkHistory checks the history and the documents of three versions; ana wrote the second.
 func (fixture *fixture) checkHistory() {
 	t := fixture.t
 	t.Helper()
@@ -97,7 +97,7 @@
 		got := fixture.runRules("get", "-version", strconv.Itoa(version))
 		assert.Equal(t, got.code, commander.ExitDone, got.problems)
 		decode(t, got.out, &document)
-		assert.Assert(t, !strings.Contains(got.out, `\u00`), "conditions stay readable")
+		assert.Assert(t, !strings.Contains(got.out, `\u00`), "conditions must not be escaped")
 		assert.Equal(t, document.Limits.RetryShare, share)
 	}
 	assert.Equal(t, fixture.runRules("get", "-version", "9").code, commander.ExitFailed)
@@ -132,11 +132,11 @@
 	defer cancel()
 	got := runContext(timeoutCtx, append([]string{"rules", "put", "-file", file}, fixture.platform...)...)
 	assert.Equal(t, got.code, commander.ExitFailed)
-	assert.Equal(t, run(t, append([]string{"burn"}, fixture.nodes...)...).code, commander.ExitDone, "burn asks the nodes alone")
+	assert.Equal(t, run(t, append([]string{"burn"}, fixture.nodes...)...).code, commander.ExitDone, "burn must work without the platform")
 	assert.Equal(t, run(t, append([]string{"status"}, fixture.nodes...)...).code, commander.ExitDone)
 }
 
-// stopPlatform makes the platform refuse every call.
+// stopPlatform makes the stand-in platform reject every call.
 func (fixture *fixture) stopPlatform() {
 	fixture.t.Helper()
 	response, err := http.Post("http://"+fixture.system.Platform()+"/faults", "application/json", strings.NewReader(`{"outage":true}`))
