--- a/commander/announced.go
+++ b/commander/announced.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// writeAnnounced writes one row for each upstream whose announcements the node has received.
+// writeAnnounced writes one row for each upstream whose announcements the node has recorded.
 func writeAnnounced(table io.Writer, address string, rows []operator.Announced) {
 	for _, row := range rows {
 		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%t\t%s ago\t%s\t%s\n", address, row.Upstream, limitText(row), row.Leaving,
--- a/commander/check.go
+++ b/commander/check.go
@@ -57,16 +57,16 @@
 	}
 	var files []checkedFile
 	var faults []error
-	add := func(path, holds string, err error) {
-		files = append(files, checkedFile{File: path, Valid: err == nil, Contents: holds, Faults: errorTexts(err)})
+	add := func(path, contents string, err error) {
+		files = append(files, checkedFile{File: path, Valid: err == nil, Contents: contents, Faults: errorTexts(err)})
 		faults = append(faults, err)
 	}
 	if *options.settings != "" {
 		add(*options.settings, "", checkSettings(*options.settings, *options.checkFiles))
 	}
 	if *options.rules != "" {
-		holds, err := checkRules(*options.rules)
-		add(*options.rules, holds, err)
+		contents, err := checkRules(*options.rules)
+		add(*options.rules, contents, err)
 	}
 	if err := commander.showChecked(files, *options.output); err != nil {
 		return err
--- a/commander/put.go
+++ b/commander/put.go
@@ -91,7 +91,7 @@
 func replacement(before *editor.Version, document definer.Document, summary string) editor.Change {
 	return editor.Change{Base: before.Number(), Summary: summary, Apply: func(found definer.Document) (definer.Document, error) {
 		if before.Number() == 0 && !reflect.DeepEqual(found, before.Document()) {
-			return found, fail("put", Conflict, "another operator wrote the first version meanwhile; read it and make the change anew")
+			return found, fail("put", Conflict, "another operator wrote the first version concurrently; read it and make the change anew")
 		}
 		return document, nil
 	}}
--- a/commander/secure_test.go
+++ b/commander/secure_test.go
@@ -162,7 +162,7 @@
 }
 
 // TestAuthorityForTrials checks that two nodes accept each other with the certificates that standin
-// authority writes, and that a second run does not overwrite them.
+// authority writes, and that a second run into the same directory fails.
 func TestAuthorityForTrials(t *testing.T) {
 	directory := t.TempDir()
 	var out, problems bytes.Buffer
