--- a/commander/check.go
+++ b/commander/check.go
@@ -25,7 +25,7 @@
 type checkedFile struct {
 	File  string `json:"file"`
 	Valid bool   `json:"good"`
-	// Contents summarizes the contents of a valid rules file.
+	// Contents summarises the contents of a valid rules file.
 	Contents string   `json:"holds,omitempty"`
 	Faults   []string `json:"faults,omitempty"`
 }
