--- a/commander/commander.go
+++ b/commander/commander.go
@@ -1,5 +1,5 @@
-// Package commander is the command line: it picks a sub-command, reads its
-// flags and returns an exit code.
+// Package commander implements the command-line interface of the limpetcleat binary. It
+// dispatches to a sub-command, parses its flags and maps errors to exit codes.
 package commander
 
 import (
@@ -14,16 +14,16 @@
 
 // The exit codes of every sub-command.
 const (
-	// ExitDone says that the command did what it was asked.
+	// ExitDone is the exit code of success.
 	ExitDone = 0
-	// ExitFailed says that the command failed.
+	// ExitFailed is the exit code of a failure that has no code of its own.
 	ExitFailed = 1
-	// ExitUsage says that the command line was wrong.
+	// ExitUsage is the exit code of an invalid command line.
 	ExitUsage = 2
-	// ExitConflict says that somebody else changed the object meanwhile.
+	// ExitConflict is the exit code of a change that conflicts with a concurrent change.
 	ExitConflict = 3
-	// ExitPartial says that the command did not reach every node, or that a
-	// change is not yet in force on every node.
+	// ExitPartial is the exit code of a command that did not reach every node, or of a change
+	// that is not yet in force on every node.
 	ExitPartial = 4
 )
 
@@ -34,52 +34,51 @@
 type command struct {
 	name    string
 	summary string
-	// example is a whole command line.
+	// example is a complete command line.
 	example string
-	// verbs are the words of which one must stand among the flags; empty for a
-	// command that takes flags alone.
+	// verbs are the allowed values of the required positional argument; empty for a command
+	// that takes only flags.
 	verbs []string
-	// prepare declares the flags and returns what runs once they are read.
+	// prepare declares the flags and returns the action to run after they are parsed.
 	prepare func(flags *flag.FlagSet) action
 }
 
-// action runs a sub-command whose flags have been read; verb is empty for a
-// command without verbs.
+// action runs a sub-command after its flags are parsed; verb is empty for a command without verbs.
 type action func(ctx context.Context, verb string) error
 
-// Commander runs sub-commands.
+// Commander parses command lines and runs their sub-commands.
 type Commander struct {
 	out      io.Writer
-	problems io.Writer
+	errOut   io.Writer
 	commands []command
 }
 
-// New returns a commander with every sub-command. Results and help that was
-// asked for go to out, problems to problems.
-func New(out, problems io.Writer) *Commander {
-	commander := &Commander{out: out, problems: problems}
+// New returns a commander with all sub-commands. It writes results and requested help to out, and
+// errors to errOut.
+func New(out, errOut io.Writer) *Commander {
+	commander := &Commander{out: out, errOut: errOut}
 	commander.commands = commander.defaultCommands()
 	return commander
 }
 
-// Run runs the sub-command that the arguments name and returns its exit code.
+// Run runs the sub-command named by the first argument and returns its exit code.
 func (commander *Commander) Run(ctx context.Context, args []string) int {
 	if len(args) == 0 {
-		commander.usage(commander.problems)
+		commander.printUsage(commander.errOut)
 		return ExitUsage
 	}
 	if slices.Contains([]string{"help", "-h", "-help", "--help"}, args[0]) {
 		return commander.help(args[1:])
 	}
-	if command, ok := commander.find(args[0]); ok {
+	if command, ok := commander.findCommand(args[0]); ok {
 		return commander.run(ctx, command, args[1:])
 	}
-	_, _ = fmt.Fprintf(commander.problems, "limpetcleat: there is no command %q\n", args[0])
-	commander.usage(commander.problems)
+	_, _ = fmt.Fprintf(commander.errOut, "limpetcleat: there is no command %q\n", args[0])
+	commander.printUsage(commander.errOut)
 	return ExitUsage
 }
 
-func (commander *Commander) find(name string) (command, bool) {
+func (commander *Commander) findCommand(name string) (command, bool) {
 	for _, command := range commander.commands {
 		if command.name == name {
 			return command, true
@@ -88,96 +87,95 @@
 	return command{}, false
 }
 
-// help tells of all commands, or of the one named.
+// help prints the overview of all commands, or the help of the named command.
 func (commander *Commander) help(names []string) int {
 	if len(names) == 0 {
-		commander.usage(commander.out)
+		commander.printUsage(commander.out)
 		return ExitDone
 	}
-	command, ok := commander.find(names[0])
+	command, ok := commander.findCommand(names[0])
 	if !ok {
-		_, _ = fmt.Fprintf(commander.problems, "limpetcleat: there is no command %q\n", names[0])
+		_, _ = fmt.Fprintf(commander.errOut, "limpetcleat: there is no command %q\n", names[0])
 		return ExitUsage
 	}
-	flags, _ := command.flags()
-	commander.describe(command, flags)
+	flags, _ := command.flagSet()
+	commander.printHelp(command, flags)
 	return ExitDone
 }
 
-// flags returns the command's flags, which print nothing by themselves.
-func (command command) flags() (*flag.FlagSet, action) {
+// flagSet returns the command's flag set, whose own output is discarded, and its action.
+func (command command) flagSet() (*flag.FlagSet, action) {
 	flags := flag.NewFlagSet(command.name, flag.ContinueOnError)
 	flags.SetOutput(io.Discard)
 	return flags, command.prepare(flags)
 }
 
 func (commander *Commander) run(ctx context.Context, command command, args []string) int {
-	flags, act := command.flags()
+	flags, act := command.flagSet()
 	verb, err := command.parse(flags, args)
 	if err == nil {
-		err = applyClient(flags)
+		err = applyClientFile(flags)
 	}
 	if errors.Is(err, flag.ErrHelp) {
-		commander.describe(command, flags)
+		commander.printHelp(command, flags)
 		return ExitDone
 	}
 	if err == nil {
 		err = act(ctx, verb)
 	}
 	if err != nil {
-		_, _ = fmt.Fprintf(commander.problems, "limpetcleat %s: %v\n", command.name, err)
+		_, _ = fmt.Fprintf(commander.errOut, "limpetcleat %s: %v\n", command.name, err)
 	}
 	code := exitCode(err)
 	if code == ExitUsage {
-		_, _ = fmt.Fprintf(commander.problems, "limpetcleat %s -h tells the flags, with an example\n", command.name)
+		_, _ = fmt.Fprintf(commander.errOut, "run limpetcleat %s -h for the flags and an example\n", command.name)
 	}
 	return code
 }
 
-// parse reads the flags, which may stand before and behind the verb, and
-// returns the verb.
+// parse parses the flags, which may precede and follow the verb, and returns the verb.
 func (command command) parse(flags *flag.FlagSet, args []string) (string, error) {
 	if err := flags.Parse(args); err != nil {
-		return "", fail(command.name, WrongUsage, "%w", err)
+		return "", fail(command.name, InvalidUsage, "%w", err)
 	}
 	rest := flags.Args()
 	if len(command.verbs) == 0 {
-		return "", command.checkRest(rest)
+		return "", command.rejectArguments(rest)
 	}
 	allowed := strings.Join(command.verbs, ", ")
 	if len(rest) == 0 {
-		return "", fail(command.name, WrongUsage, "name one of %s", allowed)
+		return "", fail(command.name, InvalidUsage, "name one of %s", allowed)
 	}
 	if !slices.Contains(command.verbs, rest[0]) {
-		return "", fail(command.name, WrongUsage, "there is no verb %q; name one of %s", rest[0], allowed)
+		return "", fail(command.name, InvalidUsage, "there is no verb %q; name one of %s", rest[0], allowed)
 	}
 	if err := flags.Parse(rest[1:]); err != nil {
-		return "", fail(command.name, WrongUsage, "%w", err)
+		return "", fail(command.name, InvalidUsage, "%w", err)
 	}
-	return rest[0], command.checkRest(flags.Args())
+	return rest[0], command.rejectArguments(flags.Args())
 }
 
-func (command command) checkRest(rest []string) error {
+func (command command) rejectArguments(rest []string) error {
 	if len(rest) > 0 {
-		return fail(command.name, WrongUsage, "%q is neither a flag nor expected", rest[0])
+		return fail(command.name, InvalidUsage, "%q is neither a flag nor expected", rest[0])
 	}
 	return nil
 }
 
-// describe writes the help of one command.
-func (commander *Commander) describe(command command, flags *flag.FlagSet) {
+// printHelp prints the help of one command.
+func (commander *Commander) printHelp(command command, flags *flag.FlagSet) {
 	_, _ = fmt.Fprintf(commander.out, "limpetcleat %s: %s\n\nExample:\n  %s\n\nFlags:\n", command.name, command.summary, command.example)
 	flags.SetOutput(commander.out)
 	flags.PrintDefaults()
 	_, _ = fmt.Fprintf(commander.out, "\n%s\n", exitCodes)
 }
 
-func (commander *Commander) usage(writer io.Writer) {
+func (commander *Commander) printUsage(writer io.Writer) {
 	_, _ = fmt.Fprintln(writer, "usage: limpetcleat COMMAND [flags]\n\nCommands:")
 	for _, command := range commander.commands {
 		_, _ = fmt.Fprintf(writer, "  %-10s %s\n", command.name, command.summary)
 	}
-	_, _ = fmt.Fprintf(writer, "\nlimpetcleat COMMAND -h tells a command's flags.\n%s\n", exitCodes)
+	_, _ = fmt.Fprintf(writer, "\nRun limpetcleat COMMAND -h for a command's flags.\n%s\n", exitCodes)
 }
 
 func exitCode(err error) int {
@@ -187,11 +185,11 @@
 		return ExitDone
 	case !errors.As(err, &failure):
 		return ExitFailed
-	case failure.Kind() == WrongUsage:
+	case failure.Kind() == InvalidUsage:
 		return ExitUsage
-	case failure.Kind() == Conflicting:
+	case failure.Kind() == Conflict:
 		return ExitConflict
-	case failure.Kind() == NotEverywhere:
+	case failure.Kind() == Partial:
 		return ExitPartial
 	default:
 		return ExitFailed
--- a/commander/commander_test.go
+++ b/commander/commander_test.go
@@ -18,7 +18,7 @@
 	"limpetcleat/storer"
 )
 
-// result is what one command line came to.
+// result is the exit code and the output of one command line.
 type result struct {
 	code     int
 	out      string
@@ -41,7 +41,7 @@
 		name string
 		args []string
 		code int
-		// out and problems are parts of what is written; "" wants nothing there.
+		// out and problems must be contained in the output; "" requires empty output.
 		out, problems string
 	}{
 		{"nothing", nil, commander.ExitUsage, "", "usage: limpetcleat COMMAND"},
@@ -98,9 +98,9 @@
 
 func TestCheck(t *testing.T) {
 	directory := t.TempDir()
-	wrongRules := write(t, directory, "wrong.json", `{"rules":[{"name":"a","when":"model ==","then":{"class":"none","pool":"none"}}]}`)
-	misspelt := write(t, directory, "misspelt.json", `{"rulez":[]}`)
-	wrongSettings := write(t, directory, "wrong.ini", "[node]\nname = a b\ncolour = green\n")
+	wrongRules := writeFile(t, directory, "wrong.json", `{"rules":[{"name":"a","when":"model ==","then":{"class":"none","pool":"none"}}]}`)
+	misspelt := writeFile(t, directory, "misspelt.json", `{"rulez":[]}`)
+	wrongSettings := writeFile(t, directory, "wrong.ini", "[node]\nname = a b\ncolour = green\n")
 	const settings, rules = "../examples/buttons.ini", "../examples/buttons.json"
 	cases := []struct {
 		name          string
@@ -130,7 +130,7 @@
 	assert.Equal(t, got.code, commander.ExitFailed)
 	decode(t, got.out, &files)
 	assert.Equal(t, len(files), 2)
-	assert.Assert(t, !files[0].Good && len(files[0].Faults) > 2, "each fault has a line of its own")
+	assert.Assert(t, !files[0].Good && len(files[0].Faults) > 2, "each fault must be a separate entry")
 	assert.Assert(t, files[1].Good)
 }
 
@@ -146,20 +146,20 @@
 	assert.NilError(t, json.Unmarshal([]byte(text), value), text)
 }
 
-func write(t *testing.T, directory, name, content string) string {
+func writeFile(t *testing.T, directory, name, content string) string {
 	t.Helper()
 	path := filepath.Join(directory, name)
 	assert.NilError(t, os.WriteFile(path, []byte(content), 0o600))
 	return path
 }
 
-// fixture is a running system with what operators have at hand.
+// fixture is a running system with the files and flags that operators use.
 type fixture struct {
 	t         *testing.T
 	system    *demonstrator.System
 	directory string
 	store     *storer.Storer
-	// nodes and platform are the flags that reach them.
+	// nodes and platform are the flags that select the nodes and the platform.
 	nodes    []string
 	platform []string
 }
@@ -172,7 +172,7 @@
 	store := storer.New([]string{system.Platform()}, "")
 	t.Cleanup(store.Close)
 	directory := t.TempDir()
-	token := write(t, directory, "token", demonstrator.OperatorToken+"\n")
+	token := writeFile(t, directory, "token", demonstrator.OperatorToken+"\n")
 	return &fixture{
 		t: t, system: system, directory: directory, store: store,
 		nodes:    []string{"-nodes", strings.Join(system.Operators(), ","), "-tokenFile", token},
@@ -180,16 +180,16 @@
 	}
 }
 
-// rules runs a verb of rules with the flags that reach everything.
-func (fixture *fixture) rules(verb string, args ...string) result {
+// runRules runs a verb of rules with the flags for the nodes and the platform.
+func (fixture *fixture) runRules(verb string, args ...string) result {
 	fixture.t.Helper()
 	all := append([]string{"rules"}, fixture.platform...)
 	all = append(append(all, verb), fixture.nodes...)
 	return run(fixture.t, append(all, args...)...)
 }
 
-// save stores a changed copy of the configuration in a file.
-func (fixture *fixture) save(name string, change func(document *definer.Document)) string {
+// saveChanged writes a changed copy of the stored configuration to a file and returns its path.
+func (fixture *fixture) saveChanged(name string, change func(document *definer.Document)) string {
 	fixture.t.Helper()
 	version, err := editor.New(fixture.store, "test").Load(fixture.t.Context())
 	assert.NilError(fixture.t, err)
@@ -197,5 +197,5 @@
 	change(&document)
 	data, err := json.Marshal(document)
 	assert.NilError(fixture.t, err)
-	return write(fixture.t, fixture.directory, name, string(data))
+	return writeFile(fixture.t, fixture.directory, name, string(data))
 }
--- a/commander/flags.go
+++ b/commander/flags.go
@@ -16,14 +16,14 @@
 	outputJSON = "json"
 )
 
-// outputFlag declares the flag that chooses the form of a result.
+// outputFlag declares the flag for the output format.
 func outputFlag(flags *flag.FlagSet) *string {
-	return flags.String("output", outputText, "the result's `form`: text or json")
+	return flags.String("output", outputText, "output `format`: text or json")
 }
 
 func checkOutput(output string) error {
 	if output != outputText && output != outputJSON {
-		return fail("output", WrongUsage, "-output is %q; allowed is text or json", output)
+		return fail("output", InvalidUsage, "-output is %q; allowed is text or json", output)
 	}
 	return nil
 }
@@ -31,89 +31,89 @@
 func writeJSON(writer io.Writer, value any) error {
 	encoder := json.NewEncoder(writer)
 	encoder.SetIndent("", "  ")
-	// Conditions of rules hold && and >, which are to stay readable.
+	// Keeps && and > in the conditions of rules readable.
 	encoder.SetEscapeHTML(false)
 	return encoder.Encode(value)
 }
 
-// access is how a command reaches a guarded server.
-type access struct {
+// endpoint holds the flags for the addresses of servers and their bearer token.
+type endpoint struct {
 	addresses *string
 	token     *string
 	tokenFile *string
-	// what names the server in messages.
-	what string
+	// flagName is the flag of the addresses, without a dash, for messages.
+	flagName string
 }
 
-// nodeFlags declares the flags that say which nodes to ask.
-func nodeFlags(flags *flag.FlagSet) *access {
+// nodeFlags declares the flags for the nodes to query.
+func nodeFlags(flags *flag.FlagSet) *endpoint {
 	clientFlag(flags)
-	return &access{
-		what:      "nodes",
-		addresses: flags.String("nodes", "", "operators' `addresses` of the nodes, IP:port, with commas"),
+	return &endpoint{
+		flagName:  "nodes",
+		addresses: flags.String("nodes", "", "comma-separated operators' `addresses` of the nodes, IP:port"),
 		token:     flags.String("token", "", "the operators' `token`; -tokenFile keeps it out of the process list"),
-		tokenFile: flags.String("tokenFile", "", "the `file` that holds the operators' token"),
+		tokenFile: flags.String("tokenFile", "", "the `file` that contains the operators' token"),
 	}
 }
 
-// platformFlags declares the flags that say how to reach the platform.
-func platformFlags(flags *flag.FlagSet) *access {
+// platformFlags declares the flags for access to the platform.
+func platformFlags(flags *flag.FlagSet) *endpoint {
 	clientFlag(flags)
-	return &access{
-		what:      "platform",
-		addresses: flags.String("platform", "", "`addresses` of the platform's object API, IP:port, with commas"),
+	return &endpoint{
+		flagName:  "platform",
+		addresses: flags.String("platform", "", "comma-separated `addresses` of the platform's object API, IP:port"),
 		token:     flags.String("platformToken", "", "the platform's `token`"),
-		tokenFile: flags.String("platformTokenFile", "", "the `file` that holds the platform's token"),
+		tokenFile: flags.String("platformTokenFile", "", "the `file` that contains the platform's token"),
 	}
 }
 
-// given tells whether there is any address.
-func (access *access) given() bool { return *access.addresses != "" }
+// isSet reports whether any address is given.
+func (endpoint *endpoint) isSet() bool { return *endpoint.addresses != "" }
 
-// list returns the addresses; the error is of kind WrongUsage when there is none.
-func (access *access) list() ([]string, error) {
-	if !access.given() {
-		return nil, fail("flags", WrongUsage, "-%s is missing", access.what)
+// addressList returns the addresses. The error is of kind InvalidUsage if none is given.
+func (endpoint *endpoint) addressList() ([]string, error) {
+	if !endpoint.isSet() {
+		return nil, fail("flags", InvalidUsage, "-%s is missing", endpoint.flagName)
 	}
 	var addresses []string
-	for _, address := range strings.Split(*access.addresses, ",") {
+	for _, address := range strings.Split(*endpoint.addresses, ",") {
 		addresses = append(addresses, strings.TrimSpace(address))
 	}
 	return addresses, nil
 }
 
-func (access *access) secret() (string, error) {
-	if *access.tokenFile == "" {
-		return *access.token, nil
+func (endpoint *endpoint) readToken() (string, error) {
+	if *endpoint.tokenFile == "" {
+		return *endpoint.token, nil
 	}
-	data, err := os.ReadFile(*access.tokenFile)
+	data, err := os.ReadFile(*endpoint.tokenFile)
 	if err != nil {
-		return "", fail("flags", Failing, "%w", err)
+		return "", fail("flags", Failed, "%w", err)
 	}
 	return strings.TrimSpace(string(data)), nil
 }
 
-// read returns the addresses and the secret.
-func (access *access) read() (addresses []string, token string, err error) {
-	if addresses, err = access.list(); err != nil {
+// resolve returns the addresses and the token.
+func (endpoint *endpoint) resolve() (addresses []string, token string, err error) {
+	if addresses, err = endpoint.addressList(); err != nil {
 		return nil, "", err
 	}
-	token, err = access.secret()
+	token, err = endpoint.readToken()
 	return addresses, token, err
 }
 
-// client returns a client of the nodes.
-func (access *access) client() (*operator.Client, error) {
-	addresses, token, err := access.read()
+// operatorClient returns a client of the nodes' operators' interfaces.
+func (endpoint *endpoint) operatorClient() (*operator.Client, error) {
+	addresses, token, err := endpoint.resolve()
 	if err != nil {
 		return nil, err
 	}
 	return operator.Dial(addresses, token), nil
 }
 
-// store returns a client of the platform.
-func (access *access) store() (*storer.Storer, error) {
-	addresses, token, err := access.read()
+// storeClient returns a client of the platform; the caller closes it.
+func (endpoint *endpoint) storeClient() (*storer.Storer, error) {
+	addresses, token, err := endpoint.resolve()
 	if err != nil {
 		return nil, err
 	}
--- a/commander/put.go
+++ b/commander/put.go
@@ -13,19 +13,19 @@
 	"limpetcleat/sectioner"
 )
 
-// putResult is the JSON form of rules put.
+// putResult is the JSON output of rules put.
 type putResult struct {
 	Version     uint64          `json:"version"`
 	Changed     bool            `json:"changed"`
 	DryRun      bool            `json:"dryRun"`
 	Differences []differenceRow `json:"differences"`
-	// InForce and Behind are operators' addresses of nodes; both are empty when
-	// no node was named.
+	// InForce lists the operators' addresses of the nodes that apply the version, and Behind those
+	// of nodes that do not or that do not answer. Both are empty without -nodes.
 	InForce []string `json:"inForce"`
 	Behind  []string `json:"behind"`
 }
 
-// differenceRow is one difference; field is empty if the whole came or went.
+// differenceRow is one difference. Field is empty if an entire object was added or removed.
 type differenceRow struct {
 	What   string `json:"what"`
 	Field  string `json:"field,omitempty"`
@@ -33,51 +33,51 @@
 	After  string `json:"after,omitempty"`
 }
 
-// rulesPut shows what changes, writes it, and waits until it is in force. Its
-// error is of kind Conflicting when another operator was faster, and of kind
-// NotEverywhere when some node does not apply the change.
-func (commander *Commander) rulesPut(ctx context.Context, chosen ruleFlags) error {
-	if *chosen.file == "" {
-		return fail("put", WrongUsage, "-file is missing")
-	}
-	document, err := readDocument(*chosen.file)
+// rulesPut prints the differences, writes the change and waits until it is in force. The error is
+// of kind Conflict if another operator changed the configuration concurrently, and of kind Partial
+// if some node does not apply the change.
+func (commander *Commander) rulesPut(ctx context.Context, options rulesOptions) error {
+	if *options.file == "" {
+		return fail("put", InvalidUsage, "-file is missing")
+	}
+	document, err := readDocument(*options.file)
 	if err != nil {
 		return err
 	}
-	store, err := chosen.platform.store()
+	store, err := options.platform.storeClient()
 	if err != nil {
 		return err
 	}
 	defer store.Close()
-	editing := editor.New(store, *chosen.editor, editor.WithFloor(*chosen.floor))
-	before, err := newest(ctx, editing)
+	configurationEditor := editor.New(store, *options.editor, editor.WithFloor(*options.floor))
+	before, err := loadNewestOrEmpty(ctx, configurationEditor)
 	if err != nil {
 		return err
 	}
-	if base := *chosen.base; base != 0 && base != before.Number() {
-		return overtaken(before.Head().Edit)
+	if base := *options.base; base != 0 && base != before.Number() {
+		return conflictError(before.Head().Edit)
 	}
-	differences, err := commander.showDifferences(before, document, *chosen.output)
+	differences, err := commander.showDifferences(before, document, *options.output)
 	if err != nil {
 		return err
 	}
-	result := putResult{Version: before.Number(), DryRun: *chosen.dryRun, Differences: differences, InForce: []string{}, Behind: []string{}}
-	if *chosen.dryRun {
-		return commander.concludePut(result, *chosen.output, editor.Check(before.Number()+1, document))
+	result := putResult{Version: before.Number(), DryRun: *options.dryRun, Differences: differences, InForce: []string{}, Behind: []string{}}
+	if *options.dryRun {
+		return commander.reportPut(result, *options.output, editor.Check(before.Number()+1, document))
 	}
-	after, err := editing.Edit(ctx, replace(before, document, *chosen.summary))
+	after, err := configurationEditor.Edit(ctx, replacement(before, document, *options.summary))
 	if err != nil {
-		return putFailure(err)
+		return putError(err)
 	}
 	result.Version, result.Changed = after.Number(), after.Number() != before.Number()
-	commander.tellAccepted(result, *chosen.output)
-	err = commander.awaitInForce(ctx, chosen, &result)
-	return commander.concludePut(result, *chosen.output, err)
+	commander.reportAccepted(result, *options.output)
+	err = commander.awaitInForce(ctx, options, &result)
+	return commander.reportPut(result, *options.output, err)
 }
 
-// newest returns the stored version, which is 0 when there is none.
-func newest(ctx context.Context, editing *editor.Editor) (*editor.Version, error) {
-	version, err := editing.Load(ctx)
+// loadNewestOrEmpty returns the stored version, or version 0 if none is stored.
+func loadNewestOrEmpty(ctx context.Context, configurationEditor *editor.Editor) (*editor.Version, error) {
+	version, err := configurationEditor.Load(ctx)
 	var failure *editor.Error
 	if errors.As(err, &failure) && failure.Kind() == editor.Empty {
 		return version, nil
@@ -85,38 +85,39 @@
 	return version, err
 }
 
-// replace returns the change from the version that was shown to the document.
-// A version 0 cannot be named as the base, so that its emptiness is checked.
-func replace(before *editor.Version, document definer.Document, summary string) editor.Change {
+// replacement returns the change that replaces the document of version before. Version 0 cannot
+// serve as the base, so the change compares the documents and fails with kind Conflict if another
+// operator wrote the first version.
+func replacement(before *editor.Version, document definer.Document, summary string) editor.Change {
 	return editor.Change{Base: before.Number(), Summary: summary, Apply: func(found definer.Document) (definer.Document, error) {
 		if before.Number() == 0 && !reflect.DeepEqual(found, before.Document()) {
-			return found, fail("put", Conflicting, "somebody else wrote the first version meanwhile; read it and make the change anew")
+			return found, fail("put", Conflict, "another operator wrote the first version concurrently; read it and make the change anew")
 		}
 		return document, nil
 	}}
 }
 
-// overtaken tells who made the edit that the operator has not seen.
-func overtaken(edit sectioner.Edit) error {
-	return fail("put", Conflicting, "version %d was written by %q at %s: %q; read it and make the change anew",
+// conflictError returns an error of kind Conflict that describes another operator's edit.
+func conflictError(edit sectioner.Edit) error {
+	return fail("put", Conflict, "version %d was written by %q at %s: %q; read it and make the change anew",
 		edit.Version, edit.Editor, edit.EditedAt.Format(time.RFC3339), edit.Summary)
 }
 
-func putFailure(err error) error {
+func putError(err error) error {
 	if rival, ok := editor.RivalOf(err); ok {
-		return overtaken(rival.Edit())
+		return conflictError(rival.Edit())
 	}
 	return err
 }
 
-func (commander *Commander) tellAccepted(result putResult, output string) {
+func (commander *Commander) reportAccepted(result putResult, output string) {
 	if output == outputText && result.Changed {
 		_, _ = fmt.Fprintf(commander.out, "version %d is accepted\n", result.Version)
 	}
 }
 
-// concludePut writes the result, also of a put that failed half way.
-func (commander *Commander) concludePut(result putResult, output string, failure error) error {
+// reportPut prints the result, also if waiting for an accepted change failed, and returns failure.
+func (commander *Commander) reportPut(result putResult, output string, failure error) error {
 	if output == outputJSON {
 		return errors.Join(writeJSON(commander.out, result), failure)
 	}
@@ -129,7 +130,7 @@
 	return failure
 }
 
-// showDifferences prints, and returns, what a change would change.
+// showDifferences prints and returns the differences between the stored configuration and after.
 func (commander *Commander) showDifferences(before *editor.Version, after definer.Document, output string) ([]differenceRow, error) {
 	differences, err := editor.Differences(before.Document(), after)
 	if err != nil {
--- a/commander/reload.go
+++ b/commander/reload.go
@@ -6,25 +6,25 @@
 	"syscall"
 )
 
-// reload hands out the signals that ask for the settings to be read again.
-type reload struct {
+// reloadNotifier receives SIGHUP, which requests a reload of the settings.
+type reloadNotifier struct {
 	signals chan os.Signal
 }
 
-func reloadSignals() *reload {
-	reload := &reload{signals: make(chan os.Signal, 1)}
-	signal.Notify(reload.signals, syscall.SIGHUP)
-	return reload
+func newReloadNotifier() *reloadNotifier {
+	notifier := &reloadNotifier{signals: make(chan os.Signal, 1)}
+	signal.Notify(notifier.signals, syscall.SIGHUP)
+	return notifier
 }
 
-// each calls act for each signal until stop.
-func (reload *reload) each(act func()) {
-	for range reload.signals {
+// forEach calls act for each signal and returns after stop.
+func (notifier *reloadNotifier) forEach(act func()) {
+	for range notifier.signals {
 		act()
 	}
 }
 
-func (reload *reload) stop() {
-	signal.Stop(reload.signals)
-	close(reload.signals)
+func (notifier *reloadNotifier) stop() {
+	signal.Stop(notifier.signals)
+	close(notifier.signals)
 }
--- a/commander/report.go
+++ b/commander/report.go
@@ -10,20 +10,20 @@
 	"limpetcleat/operator"
 )
 
-// report asks all nodes the same and shows what each answers.
-type report[Value any] struct {
-	// ask is the method of Client that asks.
-	ask func(client *operator.Client, ctx context.Context) []operator.Answer[Value]
-	// row returns the JSON form of one node's answer, also of a failure.
+// nodeReport queries all nodes and prints their answers as a table or as JSON.
+type nodeReport[Value any] struct {
+	// query is the method of Client that queries all nodes.
+	query func(client *operator.Client, ctx context.Context) []operator.Answer[Value]
+	// row returns the JSON output for one node, whether it answered or failed.
 	row func(answer operator.Answer[Value]) any
-	// header holds the titles of the table's columns; it is empty if write sets its own.
+	// header contains the tab-separated column titles; it is empty if write prints its own.
 	header string
-	// write adds what one node answered to the table.
+	// write appends one node's answer to the table.
 	write func(table io.Writer, address string, value Value)
 }
 
-// prepare declares the flags of a command that shows the report and does nothing else.
-func (report report[Value]) prepare(commander *Commander) func(flags *flag.FlagSet) action {
+// prepare returns the prepare function of a command that only prints the report.
+func (report nodeReport[Value]) prepare(commander *Commander) func(flags *flag.FlagSet) action {
 	return func(flags *flag.FlagSet) action {
 		nodes := nodeFlags(flags)
 		output := outputFlag(flags)
@@ -31,7 +31,7 @@
 			if err := checkOutput(*output); err != nil {
 				return err
 			}
-			client, err := nodes.client()
+			client, err := nodes.operatorClient()
 			if err != nil {
 				return err
 			}
@@ -40,16 +40,16 @@
 	}
 }
 
-// run asks, and shows all answers; the error tells which nodes were silent.
-func (report report[Value]) run(ctx context.Context, out io.Writer, client *operator.Client, output string) error {
-	answers := report.ask(client, ctx)
+// run queries the nodes and prints all answers. The error names the nodes that did not answer.
+func (report nodeReport[Value]) run(ctx context.Context, out io.Writer, client *operator.Client, output string) error {
+	answers := report.query(client, ctx)
 	if err := report.show(out, answers, output); err != nil {
 		return err
 	}
-	return silent(answers)
+	return unansweredError(answers)
 }
 
-func (report report[Value]) show(out io.Writer, answers []operator.Answer[Value], output string) error {
+func (report nodeReport[Value]) show(out io.Writer, answers []operator.Answer[Value], output string) error {
 	if output == outputJSON {
 		rows := make([]any, 0, len(answers))
 		for _, answer := range answers {
--- a/commander/secure_test.go
+++ b/commander/secure_test.go
@@ -19,18 +19,19 @@
 	"limpetcleat/standin/authority"
 )
 
-// files are those that the settings of a node name.
-type files struct{ certificate, key, authority string }
+// tlsFiles holds the paths of the TLS files in the settings of a node.
+type tlsFiles struct{ certificate, key, authority string }
 
-func newAuthority(t *testing.T) *authority.Authority {
+func newTestAuthority(t *testing.T) *authority.Authority {
 	t.Helper()
-	made, err := authority.New()
+	testAuthority, err := authority.New()
 	assert.NilError(t, err)
-	return made
+	return testAuthority
 }
 
-// write puts a certificate of the issuer under the name beside the trusted authority.
-func write(t *testing.T, issuer, trusted *authority.Authority, name string) (files files) {
+// writeTLSFiles writes a certificate for the name, signed by issuer, and the certificate of the
+// trusted authority to a new directory.
+func writeTLSFiles(t *testing.T, issuer, trusted *authority.Authority, name string) (files tlsFiles) {
 	t.Helper()
 	directory := t.TempDir()
 	certificate, err := issuer.Issue("node", name)
@@ -60,36 +61,36 @@
 addresses = http://127.0.0.1:8000
 `
 
-// inner returns the TLS of a node whose certificate is the issuer's and that
-// believes the trusted authority.
-func inner(t *testing.T, issuer, trusted *authority.Authority, name string) (serverSide, clientSide *tls.Config) {
+// innerConfigs returns the TLS configurations of a node whose certificate is signed by issuer and
+// that accepts certificates of the trusted authority.
+func innerConfigs(t *testing.T, issuer, trusted *authority.Authority, name string) (serverSide, clientSide *tls.Config) {
 	t.Helper()
-	serverSide, clientSide, err := write(t, issuer, trusted, name).load(t)
+	serverSide, clientSide, err := writeTLSFiles(t, issuer, trusted, name).loadInnerTLS(t)
 	assert.NilError(t, err)
 	return serverSide, clientSide
 }
 
-// load returns what a node makes of the files.
-func (files files) load(t *testing.T) (serverSide, clientSide *tls.Config, err error) {
+// loadInnerTLS returns the TLS configurations that a node creates from the files.
+func (tlsFiles tlsFiles) loadInnerTLS(t *testing.T) (serverSide, clientSide *tls.Config, err error) {
 	t.Helper()
-	settings, err := loader.Parse("entry.ini", fmt.Appendf(nil, secureSettings, files.certificate, files.key, files.authority))
+	settings, err := loader.Parse("entry.ini", fmt.Appendf(nil, secureSettings, tlsFiles.certificate, tlsFiles.key, tlsFiles.authority))
 	assert.NilError(t, err)
 	return innerTLS(settings.Inner())
 }
 
-// TestInnerTLSProvesBothSides lets a node dial another in every way that must
-// be refused, and in the one that must not.
+// TestInnerTLSProvesBothSides guards against connections between nodes without mutual
+// authentication: only certificates of the shared authority with the shared name are accepted.
 func TestInnerTLSProvesBothSides(t *testing.T) {
-	ours, theirs := newAuthority(t), newAuthority(t)
-	serverSide, bare := inner(t, ours, ours, InnerName)
+	ours, theirs := newTestAuthority(t), newTestAuthority(t)
+	serverSide, bare := innerConfigs(t, ours, ours, InnerName)
 	bare.Certificates = nil
 	old := bare.Clone()
 	old.MinVersion, old.MaxVersion = tls.VersionTLS10, tls.VersionTLS12
-	_, good := inner(t, ours, ours, InnerName)
-	_, foreign := inner(t, theirs, ours, InnerName)
-	_, misnamed := inner(t, ours, ours, "engine-1")
-	foreignServer, _ := inner(t, theirs, ours, InnerName)
-	misnamedServer, _ := inner(t, ours, ours, "engine-1")
+	_, good := innerConfigs(t, ours, ours, InnerName)
+	_, foreign := innerConfigs(t, theirs, ours, InnerName)
+	_, misnamed := innerConfigs(t, ours, ours, "engine-1")
+	foreignServer, _ := innerConfigs(t, theirs, ours, InnerName)
+	misnamedServer, _ := innerConfigs(t, ours, ours, "engine-1")
 	cases := []struct {
 		name           string
 		server, client *tls.Config
@@ -110,7 +111,7 @@
 	}
 }
 
-// handshake tells whether both sides accept each other.
+// handshake reports whether the server and the client accept each other.
 func handshake(t *testing.T, server, client *tls.Config) bool {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
@@ -118,49 +119,50 @@
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer listener.Close()
-	near, err := (&net.Dialer{}).DialContext(ctx, "tcp", listener.Addr().String())
+	clientConn, err := (&net.Dialer{}).DialContext(ctx, "tcp", listener.Addr().String())
 	assert.NilError(t, err)
-	defer near.Close()
-	far, err := listener.Accept()
+	defer clientConn.Close()
+	serverConn, err := listener.Accept()
 	assert.NilError(t, err)
-	accepted := make(chan error, 1)
+	serverResult := make(chan error, 1)
 	go func() {
-		err := tls.Server(far, server).HandshakeContext(ctx)
-		far.Close()
-		accepted <- err
+		err := tls.Server(serverConn, server).HandshakeContext(ctx)
+		serverConn.Close()
+		serverResult <- err
 	}()
-	dialled := tls.Client(near, client).HandshakeContext(ctx)
-	if dialled != nil {
-		near.Close()
+	clientErr := tls.Client(clientConn, client).HandshakeContext(ctx)
+	if clientErr != nil {
+		clientConn.Close()
 	}
-	// The server judges the client's certificate after the client is done.
-	return <-accepted == nil && dialled == nil
+	// In TLS 1.3 the server verifies the client's certificate after the client's handshake returns.
+	return <-serverResult == nil && clientErr == nil
 }
 
 func TestInnerTLSWantsWholeFiles(t *testing.T) {
-	ours := newAuthority(t)
-	whole := write(t, ours, ours, InnerName)
+	ours := newTestAuthority(t)
+	whole := writeTLSFiles(t, ours, ours, InnerName)
 	empty := filepath.Join(t.TempDir(), "empty.pem")
 	assert.NilError(t, os.WriteFile(empty, pem.EncodeToMemory(&pem.Block{Type: "NOTHING"}), 0o600))
 	cases := []struct {
 		name  string
-		files files
+		files tlsFiles
 	}{
-		{"no certificate", files{"/nonexistent", whole.key, whole.authority}},
-		{"no key", files{whole.certificate, "/nonexistent", whole.authority}},
-		{"no authority", files{whole.certificate, whole.key, "/nonexistent"}},
-		{"empty authority", files{whole.certificate, whole.key, empty}},
-		{"key of another", files{whole.certificate, whole.certificate, whole.authority}},
+		{"no certificate", tlsFiles{"/nonexistent", whole.key, whole.authority}},
+		{"no key", tlsFiles{whole.certificate, "/nonexistent", whole.authority}},
+		{"no authority", tlsFiles{whole.certificate, whole.key, "/nonexistent"}},
+		{"empty authority", tlsFiles{whole.certificate, whole.key, empty}},
+		{"key of another", tlsFiles{whole.certificate, whole.certificate, whole.authority}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			_, _, err := test.files.load(t)
+			_, _, err := test.files.loadInnerTLS(t)
 			assert.Assert(t, err != nil)
 		})
 	}
 }
 
-// TestAuthorityForTrials lets two nodes prove themselves with what the command writes.
+// TestAuthorityForTrials checks that two nodes accept each other with the certificates that standin
+// authority writes, and that a second run into the same directory fails.
 func TestAuthorityForTrials(t *testing.T) {
 	directory := t.TempDir()
 	var out, problems bytes.Buffer
@@ -168,10 +170,10 @@
 	assert.Equal(t, New(&out, &problems).Run(t.Context(), args), ExitDone, problems.String())
 	assert.Equal(t, strings.Count(out.String(), "\n"), 5, out.String())
 	path := func(name string) string { return filepath.Join(directory, name) }
-	serverSide, _, err := files{path("a.pem"), path("a.key"), path("authority.pem")}.load(t)
+	serverSide, _, err := tlsFiles{path("a.pem"), path("a.key"), path("authority.pem")}.loadInnerTLS(t)
 	assert.NilError(t, err)
-	_, clientSide, err := files{path("b.pem"), path("b.key"), path("authority.pem")}.load(t)
+	_, clientSide, err := tlsFiles{path("b.pem"), path("b.key"), path("authority.pem")}.loadInnerTLS(t)
 	assert.NilError(t, err)
 	assert.Assert(t, handshake(t, serverSide, clientSide))
-	assert.Equal(t, New(&out, &problems).Run(t.Context(), args), ExitFailed, "files are there already")
+	assert.Equal(t, New(&out, &problems).Run(t.Context(), args), ExitFailed, "the files exist already")
 }
--- a/commander/serve.go
+++ b/commander/serve.go
@@ -22,7 +22,7 @@
 func (commander *Commander) serveCommand() command {
 	return command{
 		name:    "serve",
-		summary: "run one node; SIGTERM begins a planned stop",
+		summary: "run one node; SIGTERM starts a planned stop",
 		example: "limpetcleat serve -settings entry.ini",
 		prepare: func(flags *flag.FlagSet) action {
 			path := flags.String("settings", "", "the settings `file`, in INI")
@@ -33,14 +33,14 @@
 
 func (commander *Commander) serve(ctx context.Context, path string) error {
 	if path == "" {
-		return fail("serve", WrongUsage, "-settings is missing")
+		return fail("serve", InvalidUsage, "-settings is missing")
 	}
 	settings, err := loader.Load(path)
 	if err != nil {
-		logger.New(commander.problems).Event(logger.EventSettingsRejected, "cause", err)
+		logger.New(commander.errOut).Event(logger.EventSettingsRejected, "cause", err)
 		return err
 	}
-	log := newLogger(commander.problems, settings)
+	log := newLogger(commander.errOut, settings)
 	options, err := nodeOptions(settings, log)
 	if err != nil {
 		return err
@@ -68,8 +68,7 @@
 	return logger.New(writer, logger.WithLevel(logger.Level(settings.Log().Level())), logger.WithFormat(logger.Format(settings.Log().Format())))
 }
 
-// nodeOptions returns the options that the settings ask for, with every
-// listener open.
+// nodeOptions returns the node's options for the settings and opens its listeners.
 func nodeOptions(settings *loader.Settings, log *logger.Logger) ([]limpetcleat.Option, error) {
 	platformToken, err := settings.Platform().Token().Read()
 	if err != nil {
@@ -140,7 +139,7 @@
 	return vms
 }
 
-// listenAll opens a listener for each address, or none.
+// listenAll opens a listener for each address. After an error it closes those already open.
 func listenAll(addresses ...string) ([]net.Listener, error) {
 	var listeners []net.Listener
 	for _, address := range addresses {
@@ -149,7 +148,7 @@
 			for _, open := range listeners {
 				_ = open.Close()
 			}
-			return nil, fail("listen", Failing, "%w", err)
+			return nil, fail("listen", Failed, "%w", err)
 		}
 		listeners = append(listeners, listener)
 	}
