--- a/commander/system_test.go
+++ b/commander/system_test.go
@@ -6,12 +6,14 @@
 	"net/http"
 	"os"
 	"path/filepath"
+	"slices"
 	"strconv"
 	"strings"
 	"testing"
 	"time"
 
 	"gotest.tools/v3/assert"
+	"gotest.tools/v3/poll"
 
 	"limpetcleat/commander"
 	"limpetcleat/decider"
@@ -20,6 +22,11 @@
 	"limpetcleat/reporter"
 )
 
+const (
+	membershipTimeout      = 5 * time.Second
+	membershipPollInterval = 20 * time.Millisecond
+)
+
 // putAnswer is the JSON output of rules put.
 type putAnswer struct {
 	Version         uint64
@@ -186,15 +193,30 @@
 	containsAll(t, run(t, "rules", "explain", "-file", file).out, []string{"no rule matches: the caller is refused with noRule"})
 }
 
+// awaitMembers returns how many members each node lists, once each lists another one. A node is
+// ready for callers before it has received the address of every peer.
+func (fixture *fixture) awaitMembers() []int {
+	fixture.t.Helper()
+	var members []int
+	poll.WaitOn(fixture.t, func(poll.LogT) poll.Result {
+		var statuses []struct{ Status decider.Status }
+		decode(fixture.t, run(fixture.t, append([]string{"status", "-output", "json"}, fixture.nodes...)...).out, &statuses)
+		assert.Assert(fixture.t, len(statuses) == 2 && statuses[1].Status.VM == "entry-2")
+		members = []int{len(statuses[0].Status.Members), len(statuses[1].Status.Members)}
+		if slices.Min(members) < 2 {
+			return poll.Continue("the nodes list %v members", members)
+		}
+		return poll.Success()
+	}, poll.WithTimeout(membershipTimeout), poll.WithDelay(membershipPollInterval))
+	return members
+}
+
 func TestStatusBurnAndDrain(t *testing.T) {
 	fixture := startFixture(t)
 	got := run(t, append([]string{"status"}, fixture.nodes...)...)
 	assert.Equal(t, got.code, commander.ExitDone, got.problems)
 	containsAll(t, got.out, []string{"entry-1", "entry-2", "serving"})
-	var statuses []struct{ Status decider.Status }
-	decode(t, run(t, append([]string{"status", "-output", "json"}, fixture.nodes...)...).out, &statuses)
-	assert.Assert(t, len(statuses) == 2 && statuses[1].Status.VM == "entry-2")
-	assert.Equal(t, len(statuses[0].Status.Members), 2)
+	assert.DeepEqual(t, fixture.awaitMembers(), []int{2, 2})
 
 	page := filepath.Join(fixture.directory, "burn.html")
 	got = run(t, append([]string{"burn", "-html", page}, fixture.nodes...)...)
