--- a/logger/catalogue.go
+++ b/logger/catalogue.go
@@ -6,7 +6,7 @@
 	"limpetcleat/decider"
 )
 
-// Entry is what the catalogue says of one event.
+// Entry describes one event of the catalogue.
 type Entry struct {
 	// number is unique in the catalogue.
 	number  int
@@ -19,131 +19,134 @@
 // Number returns the number of the event.
 func (entry Entry) Number() int { return entry.number }
 
-// Level returns the severity.
+// Level returns the severity of the event.
 func (entry Entry) Level() Level { return entry.level }
 
-// Name returns the name in camel case that stands beside the number.
+// Name returns the name of the event in camel case, which is logged with the number.
 func (entry Entry) Name() string { return entry.name }
 
-// Meaning returns what the event tells.
+// Meaning returns a description of what has happened.
 func (entry Entry) Meaning() string { return entry.meaning }
 
-// Action returns what an operator does about it.
+// Action returns what an operator does about the event.
 func (entry Entry) Action() string { return entry.action }
 
-const nothing = "Nothing."
+const noAction = "Nothing."
 
-// Catalogue returns the entries of all events, by number.
+// Catalogue returns the entries of all events, ordered by number.
 func Catalogue() []Entry {
 	return slices.Concat(coreEntries(), processEntries(), trafficEntries(), operatorEntries(), forwardingEntries(), dutyEntries())
 }
 
-// coreEntries are those of the events that the core reports.
+// coreEntries returns the entries of the events that the core logs.
 func coreEntries() []Entry {
 	return []Entry{
-		{decider.EventConfigurationApplied, Info, "configurationApplied", "A configuration came into force on this node.", nothing},
-		{decider.EventConfigurationRejected, Failure, "configurationRejected", "A configuration failed its checks; the one before stays in force.", "Read the cause and put a corrected configuration. One that was written with `rules put` cannot fail here unless the versions of the nodes differ."},
-		{decider.EventConfigurationDiverged, Failure, "configurationDiverged", "The version in force has another content elsewhere; this node keeps its own until a newer version comes.", "Put the wanted configuration again, which makes a newer version; look into who wrote it past the tool."},
-		{decider.EventPlatformSetBack, Failure, "platformSetBack", "The platform holds an older version than the one in force, which stays in force.", "Find out what set the platform back, then put the wanted configuration with `rules put -floor`, above the version in force."},
-		{decider.EventMemberAlive, Info, "memberAlive", "A node was seen to be up.", nothing},
-		{decider.EventMemberGone, Warning, "memberGone", "A node failed, left or was replaced by a later run.", "Nothing after a planned stop. Otherwise look for the VM, and for a partition when several go at once."},
-		{decider.EventNodePaused, Warning, "nodePaused", "This process did not run for a while; what it believed of its leases is taken as lapsed.", "Look at the VM's host when it repeats: it is overcommitted or was frozen."},
-		{decider.EventShardOwned, Info, "shardOwned", "This node now schedules a shard of a pool.", nothing},
-		{decider.EventShardLost, Info, "shardLost", "This node no longer schedules a shard of a pool.", "Nothing; many in a short time mean that nodes come and go."},
-		{decider.EventShardOpened, Info, "shardOpened", "This node begins to grant slots of a shard, after it has heard what is still in use.", nothing},
-		{decider.EventGrantReclaimed, Warning, "grantReclaimed", "A slot was taken back whose node is gone or no longer claims it.", "Nothing after the loss of a node; otherwise look for a partition."},
-		{decider.EventEmergencyGrant, Warning, "emergencyGrant", "This node granted a slot of its small allowance, since the shard's owner is silent.", "Look for the owner; many for longer than a few seconds mean that no other takes its place."},
-		{decider.EventUpstreamLeaving, Info, "upstreamLeaving", "An upstream is leaving and gets no new work.", nothing},
-		{decider.EventUpstreamLimited, Info, "upstreamLimited", "An upstream says, in an answer to this node or through the node named as source, how many requests a second it takes from all nodes together; none is no limit.", "Nothing for single ones. Look at the upstream's load when a limit lasts."},
-		{decider.EventRequestRefused, Info, "requestRefused", "A caller got a refusal; the reason and the outcome stand beside it.", "Nothing for single ones. See the reason in the operations page when a class misses its target."},
-		{decider.EventAttemptFailed, Warning, "attemptFailed", "An attempt to run a request gave no whole answer; the request may be tried again.", "Nothing for single ones. Look at the upstream when many name the same one."},
-		{decider.EventHeldOff, Warning, "heldOff", "Upstreams ended one after the other with a request of this identity on them; attempts of it are refused from now on. The upstreams, who told of them and how long the refusal lasts at the most stand beside it.", "Mend what ends the upstreams, then lift it: see the operations page."},
-		{decider.EventReleased, Info, "released", "A request of this identity may be sent again: it was served or lifted (cleared), another one is known to have ended the upstreams (explained), or the time is over (over).", nothing},
-		{decider.EventDrainBegan, Info, "drainBegan", "A planned stop began; no new request is taken.", nothing},
-		{decider.EventDrainEnded, Info, "drainEnded", "A planned stop has nothing left to wait for.", nothing},
-		{decider.EventClaimGivenUp, Warning, "claimGivenUp", "A claim on a key could not be settled with the platform in time; the call did not run.", "Look for an outage of the platform; the caller may ask again with the same key."},
-		{decider.EventClaimNotStored, Warning, "claimNotStored", "What became of a claimed call could not be stored in time; a repeat of the key is told unknown.", "Look for an outage of the platform."},
+		{decider.EventConfigurationApplied, Info, "configurationApplied", "A configuration came into force on this node.", noAction},
+		{decider.EventConfigurationRejected, Failure, "configurationRejected", "A configuration failed its checks; the previous one stays in force.", "Read the cause and write a corrected configuration. A configuration written with `rules put` fails here only if the nodes run different versions of the program."},
+		{decider.EventConfigurationDiverged, Failure, "configurationDiverged", "Another node has different content under the version in force; this node keeps its own until a newer version arrives.", "Write the wanted configuration again, which creates a newer version; find out who changed it without the tool."},
+		{decider.EventPlatformSetBack, Failure, "platformSetBack", "The platform holds an older version than the one in force; the version in force stays.", "Find out what reset the platform to the older version, then write the wanted configuration with `rules put -floor`, above the version in force."},
+		{decider.EventMemberAlive, Info, "memberAlive", "A node was detected as up.", noAction},
+		{decider.EventMemberGone, Warning, "memberGone", "A node failed, left or was replaced by a later run.", "Nothing after a planned stop. Otherwise check the VM, and check for a network partition if several nodes go at once."},
+		{decider.EventNodePaused, Warning, "nodePaused", "This process did not run for a while; it treats its leases as expired.", "If it repeats, check the VM's host: the host is overcommitted or was frozen."},
+		{decider.EventShardOwned, Info, "shardOwned", "This node now schedules a shard of a pool.", noAction},
+		{decider.EventShardLost, Info, "shardLost", "This node no longer schedules a shard of a pool.", "Nothing for single events; many in a short time mean that nodes join and leave frequently."},
+		{decider.EventShardOpened, Info, "shardOpened", "This node starts to grant slots of a shard after it has received the reports of the slots still in use.", noAction},
+		{decider.EventGrantReclaimed, Warning, "grantReclaimed", "A slot was reclaimed because its node is gone or no longer reports the slot as in use.", "Nothing after the loss of a node; otherwise check for a network partition."},
+		{decider.EventEmergencyGrant, Warning, "emergencyGrant", "This node granted a slot from its small emergency allowance because the shard's owner does not respond.", "Check the owner. Many of these events over more than a few seconds mean that no other node takes over the shard."},
+		{decider.EventUpstreamLeaving, Info, "upstreamLeaving", "An upstream is leaving and receives no new work.", noAction},
+		{decider.EventUpstreamLimited, Info, "upstreamLimited", "An upstream announced, in a response to this node or through the node given as source, how many requests per second it accepts from all nodes together; none means no limit.", "Nothing for single events. Check the upstream's load if a limit persists."},
+		{decider.EventRequestRefused, Info, "requestRefused", "A caller's request was refused; the event gives the reason and the outcome.", "Nothing for single events. If a class misses its target, look up the reason in the operations page."},
+		{decider.EventAttemptFailed, Warning, "attemptFailed", "An attempt to run a request ended without a complete response; the request may be retried.", "Nothing for single events. Check the upstream if many events name the same one."},
+		{decider.EventHeldOff, Warning, "heldOff", "Upstreams crashed one after the other while they ran a request with this identity; its attempts are refused from now on. The event gives the upstreams, the nodes that reported the crashes and the longest time that the refusal lasts.", "Fix the cause of the crashes, then lift the refusal: see the operations page."},
+		{decider.EventReleased, Info, "released", "A request with this identity may be sent again: it was served or an operator lifted the refusal (cleared), the crashes are attributed to another request (explained), or the refusal has expired (over).", noAction},
+		{decider.EventDrainBegan, Info, "drainBegan", "A planned stop began; the node accepts no new requests.", noAction},
+		{decider.EventDrainEnded, Info, "drainEnded", "A planned stop has no requests or other work left to wait for.", noAction},
+		{decider.EventClaimGivenUp, Warning, "claimGivenUp", "A claim on an idempotency key was not settled with the platform in time; the call was not run.", "Check for an outage of the platform; the caller may retry with the same key."},
+		{decider.EventClaimNotStored, Warning, "claimNotStored", "The outcome of a claimed call could not be stored in time; a repeat with the same key receives the outcome unknown.", "Check for an outage of the platform."},
 	}
 }
 
-// processEntries are those of the process's own life.
+// processEntries returns the entries of the events of starting and stopping the process.
 func processEntries() []Entry {
 	return []Entry{
-		{EventNodeStarted, Info, "nodeStarted", "The process serves on its addresses.", nothing},
+		{EventNodeStarted, Info, "nodeStarted", "The process accepts requests on its addresses.", noAction},
 		{EventNodeStopped, Info, "nodeStopped", "The process is about to exit.", "Nothing after a planned stop; otherwise read the cause."},
-		{EventListenerFailed, Failure, "listenerFailed", "An address could not be served.", "Check that the address is this VM's and that no other process has it."},
-		{EventSettingsRejected, Failure, "settingsRejected", "The settings have faults; the process does not start.", "Correct each line that the fault names; `limpetcleat check` tells them without starting."},
-		{EventServerComplaint, Warning, "serverComplaint", "The HTTP library reports a connection that went wrong.", "Nothing for single ones."},
+		{EventListenerFailed, Failure, "listenerFailed", "The process could not serve on an address.", "Check that the address belongs to this VM and that no other process uses it."},
+		{EventSettingsRejected, Failure, "settingsRejected", "The settings have faults; the process does not start.", "Correct each line named in the cause; `limpetcleat check` reports the faults without starting the process."},
+		{EventServerComplaint, Warning, "serverComplaint", "The HTTP library reported a failed connection.", "Nothing for single events."},
 	}
 }
 
-// trafficEntries are those of callers, peers, the platform and upstreams.
+// trafficEntries returns the entries of the events of connections and calls to and from callers,
+// peers, the platform and upstreams.
 func trafficEntries() []Entry {
 	return []Entry{
-		{EventRequestEnded, Info, "requestEnded", "A caller's request ended; its class, outcome, reason and durations stand beside it.", nothing},
-		{EventRequestRejected, Info, "requestRejected", "A request was turned away before it reached the core: no valid key, too large, too slow or malformed.", "Tell the organisation if it keeps coming."},
-		{EventPeerUnreachable, Warning, "peerUnreachable", "Messages to a node are lost.", "Look for the VM, and for a partition when several nodes say so of one data centre."},
-		{EventPeerReachable, Info, "peerReachable", "Messages to a node get through again.", nothing},
-		{EventPeerRejected, Warning, "peerRejected", "A connection to the inner address was turned away: no valid certificate, or no message of this protocol.", "Check the certificates of the VM it came from; if it is none of the system's, find out who it is."},
-		{EventPlatformAway, Warning, "platformAway", "The platform stopped answering; the node goes on with what it has.", "Restore the platform. Until then changes of the configuration wait and keys that need a claim are refused."},
-		{EventPlatformBack, Info, "platformBack", "The platform answers again.", nothing},
-		{EventWatchBroken, Info, "watchBroken", "The platform no longer keeps the changes since the version that a watch had seen; the watch begins anew with a listing.", "Nothing, unless it repeats every few seconds."},
-		{EventHeadUnusable, Failure, "headUnusable", "The configuration that the platform stores cannot be read or lacks a section; the node keeps the one in force.", "Write the configuration again with rules put; look into who wrote it past the tool."},
-		{EventInnerPlain, Warning, "innerPlain", "The nodes talk without TLS beyond loopback, since plainAnywhere is set: anyone who reaches the inner address is believed.", "Set the TLS files of [inner] and remove plain and plainAnywhere, unless the network itself is closed."},
-		{EventUpstreamMismatch, Failure, "upstreamMismatch", "An upstream answered for another attempt than the one it was asked for; no byte of the other answer was passed on.", "Take the upstream out of its pool and look into it or into what stands before it."},
-		{EventCancelFailed, Warning, "cancelFailed", "An upstream could not be told to stop an attempt, since it could not be reached or too many orders to cancel wait; it may go on computing for nobody.", "Nothing for single ones."},
+		{EventRequestEnded, Info, "requestEnded", "A caller's request ended; the event gives its class, outcome, reason and durations.", noAction},
+		{EventRequestRejected, Info, "requestRejected", "A request was rejected before it reached the core: it had no valid key, was too large, arrived too slowly or was malformed.", "Inform the organisation if it persists."},
+		{EventPeerUnreachable, Warning, "peerUnreachable", "Messages to a node are lost.", "Check the VM, and check for a network partition if several nodes report it for one data centre."},
+		{EventPeerReachable, Info, "peerReachable", "Messages to a node are delivered again.", noAction},
+		{EventPeerRejected, Warning, "peerRejected", "A connection to the inner address was rejected: it had no valid certificate, or sent no message of the nodes' protocol.", "Check the certificates of the VM that opened the connection; if the VM is not part of the system, find out who runs it."},
+		{EventPlatformAway, Warning, "platformAway", "The platform stopped answering; the node continues with the data it has.", "Restore the platform. Until then, configuration changes are delayed and requests whose key needs a claim are refused."},
+		{EventPlatformBack, Info, "platformBack", "The platform answers again.", noAction},
+		{EventWatchBroken, Info, "watchBroken", "The platform no longer keeps the changes since the last version that a watch received; the watch restarts with a listing.", "Nothing, unless it repeats every few seconds."},
+		{EventHeadUnusable, Failure, "headUnusable", "The configuration stored on the platform cannot be read or lacks a section; the node keeps the configuration in force.", "Write the configuration again with `rules put`; find out who changed it without the tool."},
+		{EventInnerPlain, Warning, "innerPlain", "The nodes communicate without TLS beyond loopback because plainAnywhere is set: anyone who reaches the inner address is trusted.", "Set the TLS files of [inner] and remove plain and plainAnywhere, unless the network itself is closed."},
+		{EventUpstreamMismatch, Failure, "upstreamMismatch", "An upstream returned the response to a different attempt; no byte of that response was passed on.", "Remove the upstream from its pool, then examine it and any proxy in front of it."},
+		{EventCancelFailed, Warning, "cancelFailed", "An attempt could not be cancelled on an upstream because the upstream was unreachable or too many cancellations were waiting; the upstream may continue to compute a response that is discarded.", "Nothing for single events."},
 	}
 }
 
-// forwardingEntries are those of a node that forwards by its own decisions.
+// forwardingEntries returns the entries of the events of a node that forwards requests by its own
+// decisions.
 func forwardingEntries() []Entry {
 	return []Entry{
-		{EventRequestSent, Info, "requestSent", "A request is sent to an upstream; the identity that all attempts of the same request share, the rule, what the choice was made from and the time that is left stand beside it.", nothing},
-		{EventSendFailed, Warning, "sendFailed", "One send of a request gave no answer to pass on; it may be sent again. Where the connection broke, presence tells whether the upstream still listens: refused means that it has ended.", "Nothing for single ones. Look at the upstream when many name the same one, and at the request when lines of one identity name one refused upstream after the other."},
-		{EventRequestFinished, Info, "requestFinished", "A request ended; its status (0 for a connection that was closed), reason, durations and the version and age of the configuration stand beside it.", "Nothing for single ones. The operations page tells what each reason means."},
-		{EventAnswerUndelivered, Info, "answerUndelivered", "A caller left before its answer was written.", nothing},
-		{EventRequestHeldOff, Warning, "requestHeldOff", "Upstreams ended one after the other with a request of this identity on them; attempts of it are refused from now on. The upstreams, who told of them and how long the refusal lasts at the most stand beside it.", "Find the request by its identity in the lines before, mend what ends the upstreams, then lift it: see the operations page."},
-		{EventRequestReleased, Info, "requestReleased", "A request of this identity may be sent again: it was served or lifted (cleared), another one is known to have ended the upstreams (explained), or the time is over (over).", nothing},
-		{EventRequestLifted, Info, "requestLifted", "An operator lets a request be sent again that upstreams ended under; all nodes are told.", nothing},
-		{EventTableApplied, Info, "tableApplied", "A configuration from the platform came into force.", nothing},
-		{EventTableRejected, Failure, "tableRejected", "A configuration from the platform cannot be used; the one before stays in force.", "Read the cause and write a corrected configuration."},
-		{EventUpstreamChanged, Info, "upstreamChanged", "An upstream's entry came, changed or went.", nothing},
-		{EventEntryUnreadable, Warning, "entryUnreadable", "An entry of the platform's store cannot be read; it names no upstream or node, and a configuration leaves the one before in force. Told once for each content.", "Look who wrote the entry of that name. Metric limpetcleat_unreadable_entries counts those that there are."},
-		{EventUpstreamRestarted, Info, "upstreamRestarted", "An upstream started again under its name; what was believed of it is forgotten and its requests are ended.", nothing},
-		{EventUpstreamStated, Info, "upstreamStated", "An upstream says, in its answers or through a peer (source), how it wants to be asked, and that has changed: limit is the requests a second that it takes from all nodes together (none for no limit), leaving whether it is about to end, retryAfterMs how long it wants nothing from this node. The answer's request stands beside it.", "Nothing for single ones. Look at the upstream's load when a limit lasts."},
-		{EventStatementUnreadable, Warning, "statementUnreadable", "A header in which an upstream says how it wants to be asked cannot be read and is passed over; what was known before holds. Told when it changes.", "Tell the upstream's operators."},
-		{EventPermitsIssued, Info, "permitsIssued", "This node hands out the permits of an upstream with a limit, or its place among those that may has changed: position is how many nodes go before it; each lowers its rate by half. With listKnown=false it has not read the list of nodes and hands out an eighth.", "Nothing, unless a position above 0 lasts: look for the nodes before it, which are listed and do not answer."},
-		{EventIssuerSilent, Warning, "issuerSilent", "A node that hands out permits, or should, did not answer an ask; it is passed over for a while. Told once until it answers.", "Look for the VM, and for a partition when several nodes say so of one data centre."},
-		{EventStoreAway, Warning, "storeAway", "The platform's store stopped answering, no longer has the changes that the node asked for (failures 0), or has more of them than a list would tell (failures 0). Told again whenever the number of failures in a row has doubled.", "Look at the store and at the way to it. The cause names the call and how much of its answer had arrived: with much of it there, look at the node's link and the size of the configuration. Requests with a key are refused once the configuration was not confirmed for too long."},
-		{EventStoreBack, Info, "storeBack", "The platform's store answers again.", nothing},
-		{EventReadinessChanged, Info, "readinessChanged", "The node became ready or ceased to be.", "Look at what the lines before tell of the store when a node is not ready for long."},
-		{EventStopStep, Info, "stopStep", "A planned stop has reached its next step.", nothing},
-		{EventSettingsReloaded, Info, "settingsReloaded", "The settings were read again; a fault leaves those before in force.", "Correct the settings when a cause stands beside it."},
-		{EventMetricsFailed, Warning, "metricsFailed", "Metrics cannot be kept or served; requests are served all the same.", "Check the port of the metrics; report a metric that cannot be registered."},
-		{EventAggregatorChanged, Info, "aggregatorChanged", "The node reports its load to another node of its group, or became the one that others report to.", "Look at the node that it left when many leave it."},
-		{EventConfigurationBehind, Info, "configurationBehind", "A peer has a newer configuration than this node, which asks the store for it.", "Nothing, unless no event 3201 with that version follows within seconds; event 3301 then tells what became of the calls."},
-		{EventStoreCalls, Info, "storeCalls", "The calls to the platform's store since the node's start, by feed, reason and outcome; told each 10 s and at a planned stop.", "See the operations page when calls cost more than they should: `retrying` tells of a store that fails, `hurried` of peers that are ahead."},
-		{EventStoreAsker, Info, "storeAsker", "This node begins to ask the platform's store by itself (asks=true), as the leader of its data centre or since nobody else's word is fresh, or leaves that to others.", "Nothing for single ones. Many nodes that begin and lead nothing mean that they hear from nobody or that the store fails: see events 3301 and 3307."},
+		{EventRequestSent, Info, "requestSent", "A request is sent to an upstream; the event gives the identity that all attempts of the same request share, the rule, the basis of the choice and the time left.", noAction},
+		{EventSendFailed, Warning, "sendFailed", "One send of a request returned no response to pass on; the request may be sent again. After a broken connection, presence reports whether the upstream still listens: refused means that it has ended.", "Nothing for single events. Check the upstream if many events name the same one, and the request if events with one identity name several upstreams in turn as refused."},
+		{EventRequestFinished, Info, "requestFinished", "A request ended; the event gives its status (0 for a connection that was closed), reason, durations and the version and age of the configuration.", "Nothing for single events. The operations page explains each reason."},
+		{EventAnswerUndelivered, Info, "answerUndelivered", "A caller disconnected before its response was written.", noAction},
+		{EventRequestHeldOff, Warning, "requestHeldOff", "Upstreams crashed one after the other while they ran a request with this identity; its attempts are refused from now on. The event gives the upstreams, the nodes that reported the crashes and the longest time that the refusal lasts.", "Find the request by its identity in the preceding events, fix the cause of the crashes, then lift the refusal: see the operations page."},
+		{EventRequestReleased, Info, "requestReleased", "A request with this identity may be sent again: it was served or an operator lifted the refusal (cleared), the crashes are attributed to another request (explained), or the refusal has expired (over).", noAction},
+		{EventRequestLifted, Info, "requestLifted", "An operator allowed a request that was refused because upstreams crashed to be sent again; all nodes are notified.", noAction},
+		{EventTableApplied, Info, "tableApplied", "A configuration from the platform came into force.", noAction},
+		{EventTableRejected, Failure, "tableRejected", "A configuration from the platform cannot be used; the previous one stays in force.", "Read the cause and write a corrected configuration."},
+		{EventUpstreamChanged, Info, "upstreamChanged", "An upstream's entry was added, changed or removed.", noAction},
+		{EventEntryUnreadable, Warning, "entryUnreadable", "An entry in the platform's store cannot be read. An unreadable upstream or node entry is ignored; with an unreadable configuration the previous one stays in force. Logged once for each content.", "Find out who wrote the entry with that name. The metric limpetcleat_unreadable_entries counts the entries that cannot be read at present."},
+		{EventUpstreamRestarted, Info, "upstreamRestarted", "An upstream restarted under the same name; the state kept for it is discarded and its requests are ended.", noAction},
+		{EventUpstreamStated, Info, "upstreamStated", "An upstream announced a change in how it is to be called, in its responses or through a peer (source): limit is the number of requests per second that it accepts from all nodes together (none for no limit), leaving whether it is about to end, retryAfterMs the time for which this node must send it nothing. The event gives the request of that response.", "Nothing for single events. Check the upstream's load if a limit persists."},
+		{EventStatementUnreadable, Warning, "statementUnreadable", "A header in which an upstream announces how it is to be called cannot be read and is ignored; the previous values stay in effect. Logged when the unreadable headers change.", "Inform the upstream's operators."},
+		{EventPermitsIssued, Info, "permitsIssued", "This node issues the permits of an upstream with a limit, or its position among the nodes that may issue them changed: position is the number of nodes that precede it, each of which halves the rate at which this node issues permits. With listKnown=false this node has not read the list of nodes and issues permits at an eighth of the rate.", "Nothing, unless a position above 0 persists: check the preceding nodes, which are listed but do not answer."},
+		{EventIssuerSilent, Warning, "issuerSilent", "A node that issues permits, or should issue them, did not answer a request; it is skipped for a while. Logged once until it answers.", "Check the VM, and check for a network partition if several nodes report it for one data centre."},
+		{EventStoreAway, Warning, "storeAway", "The platform's store stopped answering, no longer keeps the changes that the node requested (failures 0), or has more of them than a full list would contain (failures 0). Logged again each time the number of consecutive failures has doubled.", "Check the store and the network path to it. The cause names the call and how much of its response had arrived: if much had arrived, check the node's link and the size of the configuration. Requests with a key are refused once the configuration has been unconfirmed for too long."},
+		{EventStoreBack, Info, "storeBack", "The platform's store answers again.", noAction},
+		{EventReadinessChanged, Info, "readinessChanged", "The node became ready or is no longer ready.", "If a node is not ready for long, check the preceding events about the store."},
+		{EventStopStep, Info, "stopStep", "A planned stop reached its next step.", noAction},
+		{EventSettingsReloaded, Info, "settingsReloaded", "The settings were read again; if they have a fault, the previous settings stay in force.", "Correct the settings if the event has a cause."},
+		{EventMetricsFailed, Warning, "metricsFailed", "Metrics cannot be recorded or served; requests are still served.", "Check the port of the metrics; report a metric that cannot be registered."},
+		{EventAggregatorChanged, Info, "aggregatorChanged", "The node now reports its load to a different node of its group, or became the node that the others report to.", "If many nodes stop reporting to the same node, check that node."},
+		{EventConfigurationBehind, Info, "configurationBehind", "A peer has a newer configuration than this node, which requests it from the store.", "Nothing if event 3201 with that version follows within seconds; otherwise event 3301 gives the result of the calls."},
+		{EventStoreCalls, Info, "storeCalls", "The number of calls to the platform's store since the node started, by feed, reason and outcome; logged every 10 s and at a planned stop.", "If the calls cost more than expected, see the operations page: `retrying` indicates a failing store, `hurried` peers with a newer configuration."},
+		{EventStoreAsker, Info, "storeAsker", "This node starts to read the platform's store itself (asks=true), as the leader of its data centre or because no confirmation from another node is recent, or leaves reading the store to others.", "Nothing for single events. If many nodes that are not leaders start to read the store, they receive no reports from other nodes or the store fails: see events 3301 and 3307."},
 	}
 }
 
-// dutyEntries are those of the duties that are one node's at a time.
+// dutyEntries returns the entries of the events of duties, each performed by one node at a time.
 func dutyEntries() []Entry {
 	return []Entry{
-		{EventUsageSettled, Info, "usageSettled", "This node has settled what is told of a window of usage, and from what: how many processes run, how many of them told all that they counted (toldAll), how many were lost before they had (lost), how many nodes are listed.", "Nothing when whole=true. Else requests may be missing from the bill: lost processes end with events of theirs, and nodes that are not heard show by event 3307."},
-		{EventUsageTold, Info, "usageTold", "The platform has taken the usage of a window, so long after its end.", nothing},
-		{EventUsageSkipped, Failure, "usageSkipped", "No node could tell usage for so long that the windows named are left out.", "Find why: event 3404 of the nodes that aggregate, and the store and the platform's address of duties."},
-		{EventDutyFailed, Warning, "dutyFailed", "A step of a duty failed and is tried again: claim is the write to the store, tell and order the calls to the platform. Kinds: conflict and resting are another node's claim, outdated a newer one that the platform has seen, unanswered a call that may still be carried out, unreadable a claim that another program or version wrote.", "Nothing for single ones. For unreadable, look who wrote the store's object of the duty and remove it."},
-		{EventEnginesOrdered, Info, "enginesOrdered", "This node has ordered so many engines of a service in a data centre; need is how many the most work of late wants in all, with headroom, busy how many the work takes now. A cause tells why the platform did not take the order: it is placed again.", "Nothing. When orders of spot engines are refused for long, none are to be had: see the operations page on orders of engines."},
+		{EventUsageSettled, Info, "usageSettled", "This node has settled the usage that is reported for a window. The event gives the basis: the number of running processes, the number that reported all that they counted (toldAll), the number lost before they did so (lost) and the number of nodes listed.", "Nothing if whole=true. Otherwise requests may be missing from the bill: look for the last events of the lost processes, and for event 3307 if the reports of a node do not arrive."},
+		{EventUsageTold, Info, "usageTold", "The platform accepted the usage of a window; the event gives the time since the window's end.", noAction},
+		{EventUsageSkipped, Failure, "usageSkipped", "No node was able to report usage for so long that the given windows are omitted.", "Find the cause: check event 3404 of the aggregating nodes, the store and the platform's address for duties."},
+		{EventDutyFailed, Warning, "dutyFailed", "A step of a duty failed and is retried: claim is the write to the store, tell and order are the calls to the platform. Kinds: conflict and resting mean another node's claim, outdated a newer claim that the platform has seen, unanswered a call that may still be carried out, unreadable a claim written by another program or version.", "Nothing for single events. For unreadable, find out who wrote the duty's object in the store and remove the object."},
+		{EventEnginesOrdered, Info, "enginesOrdered", "This node ordered engines of a service in a data centre: count is the number ordered, need the total that the recent peak load requires with headroom, busy the number that the load occupies now. A cause gives the reason why the platform did not accept the order; the order is placed again.", "Nothing. If orders of spot engines are refused for long, none are available: see the operations page on orders of engines."},
 	}
 }
 
-// operatorEntries are those of operators' calls and of faults in the program.
+// operatorEntries returns the entries of the events of operators' calls and of faults in the
+// program.
 func operatorEntries() []Entry {
 	return []Entry{
-		{EventOperatorRejected, Warning, "operatorRejected", "A call of the operators' address had no valid token.", "Find out who it is if it is none of the operators."},
-		{EventDrainAsked, Info, "drainAsked", "A planned stop was asked for, by a signal or by an operator.", nothing},
-		{EventHandlerCrashed, Failure, "handlerCrashed", "The handler of one request panicked; the caller got an error and the process goes on.", "Report it with the stack that stands beside it."},
-		{EventQueueFull, Warning, "queueFull", "Work was dropped since a queue between two parts was full.", "Add VMs, or take load off this one."},
+		{EventOperatorRejected, Warning, "operatorRejected", "A call to the operators' address had no valid token.", "Find out who made the call if it was none of the operators."},
+		{EventDrainAsked, Info, "drainAsked", "A planned stop was requested by a signal or by an operator.", noAction},
+		{EventHandlerCrashed, Failure, "handlerCrashed", "The handler of a request panicked; the caller received an error and the process continues.", "Report it with the stack trace in the event."},
+		{EventQueueFull, Warning, "queueFull", "Work was dropped because an internal queue was full.", "Add VMs, or reduce the load on this one."},
 	}
 }
--- a/logger/logger.go
+++ b/logger/logger.go
@@ -1,5 +1,5 @@
-// Package logger writes numbered events, one a line, and holds the catalogue
-// that tells what each number means and what an operator does about it.
+// Package logger writes structured log events, one per line, each identified by a number. It
+// contains the catalogue of all events with their levels, meanings and operator actions.
 package logger
 
 import (
@@ -22,21 +22,21 @@
 	Failure Level = "error"
 )
 
-// Format is the form of a line.
+// Format is the encoding of log lines.
 type Format string
 
 const (
 	// Logfmt writes name=value pairs.
 	Logfmt Format = "logfmt"
-	// JSON writes one object a line.
+	// JSON writes one JSON object per line.
 	JSON Format = "json"
 )
 
 // Logger writes numbered events. It is safe for concurrent use.
 type Logger struct {
-	// sink filters by level; the library beneath writes whole lines.
+	// sink filters by level and writes each line in one piece.
 	sink log.Logger
-	// entries holds the catalogue by number and is never written to.
+	// entries is the catalogue by event number; it is read-only after New.
 	entries map[int]Entry
 	now     func() time.Time
 	level   Level
@@ -46,16 +46,16 @@
 // Option changes one setting of a Logger.
 type Option func(*Logger)
 
-// WithLevel sets the least severity that is written; Info without it.
+// WithLevel sets the least severity that is written. The default is Info.
 func WithLevel(level Level) Option { return func(logger *Logger) { logger.level = level } }
 
-// WithFormat sets the form of a line; Logfmt without it.
+// WithFormat sets the encoding of log lines. The default is Logfmt.
 func WithFormat(format Format) Option { return func(logger *Logger) { logger.format = format } }
 
-// WithTime sets the source of the time of an event; time.Now without it.
+// WithTime sets the clock that supplies the time of an event. The default is time.Now.
 func WithTime(now func() time.Time) Option { return func(logger *Logger) { logger.now = now } }
 
-// New returns a Logger that writes to the writer, one call of Write a line.
+// New returns a Logger that writes each line to the writer with one call of Write.
 func New(writer io.Writer, options ...Option) *Logger {
 	logger := &Logger{entries: make(map[int]Entry), now: time.Now, level: Info, format: Logfmt}
 	for _, option := range options {
@@ -73,8 +73,9 @@
 	return logger
 }
 
-// Event writes the event of that number with names and values in turn. Values
-// under names that tell of keys, prompts or answers are withheld.
+// Event writes the event with the number and the pairs, which are alternating names and values.
+// The values of names that denote secrets, prompts or responses are replaced by a placeholder. A
+// number that is not in the catalogue is written with level Failure.
 func (logger *Logger) Event(number int, pairs ...any) {
 	entry, known := logger.entries[number]
 	if !known {
@@ -86,15 +87,15 @@
 		"event", number,
 		"eventName", entry.name,
 	}
-	// A failed write has nowhere to be told.
-	_ = logger.sink.Log(append(line, redact(pairs)...)...)
+	// A failed write of the log cannot be logged.
+	_ = logger.sink.Log(append(line, redactPairs(pairs)...)...)
 }
 
-// Writer returns a writer that turns each line written to it into an event, to
-// be given to libraries that log by themselves.
+// Writer returns a writer that logs each call of Write as an event with the number. It is for
+// libraries that write their own log lines.
 func (logger *Logger) Writer(number int) io.Writer { return lineWriter{logger: logger, number: number} }
 
-// lineWriter writes the lines of a library as events.
+// lineWriter logs the lines of a library as events.
 type lineWriter struct {
 	logger *Logger
 	number int
--- a/logger/logger_test.go
+++ b/logger/logger_test.go
@@ -121,7 +121,7 @@
 	}
 }
 
-// eventConstants returns the names of the module's Event… constants by number.
+// eventConstants returns the names of the module's constants that begin with Event, by number.
 func eventConstants(t *testing.T) map[int]string {
 	numbers := make(map[int]string)
 	walk := func(path string, entry fs.DirEntry, err error) error {
@@ -146,6 +146,8 @@
 	return numbers
 }
 
+// addNumber adds the constant to the numbers if its value is an integer literal, and fails the test
+// if its number is already taken.
 func addNumber(t *testing.T, numbers map[int]string, spec *ast.ValueSpec) {
 	literal, ok := spec.Values[0].(*ast.BasicLit)
 	if !ok || literal.Kind != token.INT {
--- a/logger/number.go
+++ b/logger/number.go
@@ -1,110 +1,110 @@
 package logger
 
-// The numbers of the events of the processes around the core, whose own are
-// in package decider; docs/EVENTS.md tells what each means.
+// The numbers of the events that are logged outside the core. The numbers of the core's events are
+// in package decider; docs/EVENTS.md describes all of them.
 const (
-	// EventNodeStarted says that the process serves.
+	// EventNodeStarted reports that the process accepts requests.
 	EventNodeStarted = 2001
-	// EventNodeStopped says that the process is about to exit.
+	// EventNodeStopped reports that the process is about to exit.
 	EventNodeStopped = 2002
-	// EventListenerFailed says that an address could not be served.
+	// EventListenerFailed reports that the process could not serve on an address.
 	EventListenerFailed = 2003
-	// EventSettingsRejected says that the settings have faults.
+	// EventSettingsRejected reports that the settings have faults.
 	EventSettingsRejected = 2004
-	// EventServerComplaint passes on a line of the HTTP library.
+	// EventServerComplaint reports a line that the HTTP library logs about a connection.
 	EventServerComplaint = 2005
-	// EventRequestEnded says how a caller's request ended.
+	// EventRequestEnded reports how a caller's request ended.
 	EventRequestEnded = 2101
-	// EventRequestRejected says that a request never reached the core.
+	// EventRequestRejected reports that a request was rejected before it reached the core.
 	EventRequestRejected = 2102
-	// EventPeerUnreachable says that messages to a peer are lost.
+	// EventPeerUnreachable reports that messages to a peer are lost.
 	EventPeerUnreachable = 2201
-	// EventPeerReachable says that messages to a peer get through again.
+	// EventPeerReachable reports that messages to a peer are delivered again.
 	EventPeerReachable = 2202
-	// EventPeerRejected says that an inner connection was turned away.
+	// EventPeerRejected reports that a connection to the inner address was rejected.
 	EventPeerRejected = 2203
-	// EventPlatformAway says that the platform stopped answering.
+	// EventPlatformAway reports that the platform stopped answering.
 	EventPlatformAway = 2301
-	// EventPlatformBack says that the platform answers again.
+	// EventPlatformBack reports that the platform answers again.
 	EventPlatformBack = 2302
-	// EventWatchBroken says that a watch has to begin anew with a listing.
+	// EventWatchBroken reports that a watch restarts with a listing.
 	EventWatchBroken = 2303
-	// EventHeadUnusable says that the stored configuration cannot be read.
+	// EventHeadUnusable reports that the stored configuration cannot be read.
 	EventHeadUnusable = 2304
-	// EventInnerPlain says that the inner protocol goes without TLS.
+	// EventInnerPlain reports that the inner protocol runs without TLS.
 	EventInnerPlain = 2401
-	// EventUpstreamMismatch says that an upstream answered another attempt.
+	// EventUpstreamMismatch reports that an upstream returned the response to a different attempt.
 	EventUpstreamMismatch = 2502
-	// EventCancelFailed says that an upstream could not be told to stop.
+	// EventCancelFailed reports that an attempt could not be cancelled on an upstream.
 	EventCancelFailed = 2503
-	// EventOperatorRejected says that an operator's call had no valid token.
+	// EventOperatorRejected reports that an operator's call had no valid token.
 	EventOperatorRejected = 2602
-	// EventDrainAsked says that a planned stop was asked for.
+	// EventDrainAsked reports that a planned stop was requested.
 	EventDrainAsked = 2603
-	// EventRequestSent says which upstream a request is sent to, and why there.
+	// EventRequestSent reports to which upstream a request is sent, and the basis of the choice.
 	EventRequestSent = 3101
-	// EventSendFailed says that one send of a request gave no answer to pass on.
+	// EventSendFailed reports that one send of a request returned no response to pass on.
 	EventSendFailed = 3102
-	// EventRequestFinished says how a request that was forwarded ended.
+	// EventRequestFinished reports how a forwarded request ended.
 	EventRequestFinished = 3103
-	// EventAnswerUndelivered says that a caller left before its answer was written.
+	// EventAnswerUndelivered reports that a caller disconnected before its response was written.
 	EventAnswerUndelivered = 3104
-	// EventRequestHeldOff says that a request makes upstreams end and is sent to none.
+	// EventRequestHeldOff reports that a request is refused because upstreams crashed on it.
 	EventRequestHeldOff = 3105
-	// EventRequestReleased says that such a request may be sent again.
+	// EventRequestReleased reports that a refused request may be sent again.
 	EventRequestReleased = 3106
-	// EventRequestLifted says that an operator lets such a request be sent again.
+	// EventRequestLifted reports that an operator allowed a refused request to be sent again.
 	EventRequestLifted = 3107
-	// EventTableApplied says that a configuration from the platform is in force.
+	// EventTableApplied reports that a configuration from the platform is in force.
 	EventTableApplied = 3201
-	// EventTableRejected says that a configuration from the platform is unusable.
+	// EventTableRejected reports that a configuration from the platform cannot be used.
 	EventTableRejected = 3202
-	// EventUpstreamChanged says that an upstream's entry came, changed or went.
+	// EventUpstreamChanged reports that an upstream's entry was added, changed or removed.
 	EventUpstreamChanged = 3203
-	// EventEntryUnreadable says that an entry of the platform's store cannot be read.
+	// EventEntryUnreadable reports that an entry in the platform's store cannot be read.
 	EventEntryUnreadable = 3204
-	// EventUpstreamRestarted says that an upstream started again under its name.
+	// EventUpstreamRestarted reports that an upstream restarted under the same name.
 	EventUpstreamRestarted = 3205
-	// EventUpstreamStated says what an upstream says of how it wants to be asked.
+	// EventUpstreamStated reports how an upstream announced that it is to be called.
 	EventUpstreamStated = 3206
-	// EventStatementUnreadable says that an upstream says so in a form that cannot be read.
+	// EventStatementUnreadable reports that such an announcement cannot be read.
 	EventStatementUnreadable = 3207
-	// EventPermitsIssued says that this node hands out the permits of an upstream with a limit.
+	// EventPermitsIssued reports that this node issues the permits of an upstream with a limit.
 	EventPermitsIssued = 3208
-	// EventIssuerSilent says that a node which hands out permits does not answer.
+	// EventIssuerSilent reports that a node which issues permits does not answer.
 	EventIssuerSilent = 3209
-	// EventStoreAway says that the platform's store stopped answering.
+	// EventStoreAway reports that the platform's store stopped answering.
 	EventStoreAway = 3301
-	// EventStoreBack says that the platform's store answers again.
+	// EventStoreBack reports that the platform's store answers again.
 	EventStoreBack = 3302
-	// EventReadinessChanged says that the node became ready or ceased to be.
+	// EventReadinessChanged reports that the node became ready or is no longer ready.
 	EventReadinessChanged = 3303
-	// EventStopStep says how far a planned stop is.
+	// EventStopStep reports which step a planned stop has reached.
 	EventStopStep = 3304
-	// EventSettingsReloaded says that the settings were read again.
+	// EventSettingsReloaded reports that the settings were read again.
 	EventSettingsReloaded = 3305
-	// EventMetricsFailed says that metrics cannot be kept or served.
+	// EventMetricsFailed reports that metrics cannot be recorded or served.
 	EventMetricsFailed = 3306
-	// EventAggregatorChanged says whom this node reports its load to.
+	// EventAggregatorChanged reports to which node this node reports its load.
 	EventAggregatorChanged = 3307
-	// EventConfigurationBehind says that a peer has a newer configuration.
+	// EventConfigurationBehind reports that a peer has a newer configuration.
 	EventConfigurationBehind = 3308
-	// EventStoreCalls tells the sums of the calls to the platform's store.
+	// EventStoreCalls reports the numbers of calls to the platform's store.
 	EventStoreCalls = 3309
-	// EventStoreAsker says that this node begins or ceases to ask the store.
+	// EventStoreAsker reports that this node starts or stops reading the store itself.
 	EventStoreAsker = 3310
-	// EventUsageSettled says what is going to be told of a window of usage.
+	// EventUsageSettled reports the usage that is to be reported for a window, and its basis.
 	EventUsageSettled = 3401
-	// EventUsageTold says that the platform has taken the usage of a window.
+	// EventUsageTold reports that the platform accepted the usage of a window.
 	EventUsageTold = 3402
-	// EventUsageSkipped says that windows are too long past to be told.
+	// EventUsageSkipped reports that the usage of windows is too old to be reported.
 	EventUsageSkipped = 3403
-	// EventDutyFailed says that a step of a duty failed, and which.
+	// EventDutyFailed reports that a step of a duty failed, and which.
 	EventDutyFailed = 3404
-	// EventEnginesOrdered says how many engines were ordered, and from what.
+	// EventEnginesOrdered reports how many engines were ordered, and the basis.
 	EventEnginesOrdered = 3405
-	// EventHandlerCrashed says that a handler's panic was recovered.
+	// EventHandlerCrashed reports that a handler's panic was recovered.
 	EventHandlerCrashed = 2901
-	// EventQueueFull says that work was dropped since a queue was full.
+	// EventQueueFull reports that work was dropped because a queue was full.
 	EventQueueFull = 2903
 )
--- a/logger/redactor.go
+++ b/logger/redactor.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// withheld stands for a value that must not be logged.
-	withheld = "(withheld)"
-	// missing stands for the value of a name that has none.
-	missing = "(missing)"
-	// maxValueLength bounds the text of one value.
-	maxValueLength = 2000
+	// withheldText replaces a value that must not be logged.
+	withheldText = "(withheld)"
+	// missingText is logged for the last name if it has no value.
+	missingText = "(missing)"
+	// maxValueBytes bounds the text of a value; longer texts are truncated.
+	maxValueBytes = 2000
 )
 
-// secretParts returns what the name of a secret value contains, in lower case.
-func secretParts() []string {
+// secretSubstrings returns the substrings that mark a name as that of a secret value, in lower case.
+func secretSubstrings() []string {
 	return []string{"authoriz", "password", "secret", "credential", "prompt", "answer", "body", "content", "cookie", "bearer", "keyhash", "tokenfile"}
 }
 
-// secretEndings returns how the name of a secret value may end, in lower case.
-func secretEndings() []string { return []string{"key", "keys", "token"} }
+// secretSuffixes returns the suffixes that mark a name as that of a secret value, in lower case.
+func secretSuffixes() []string { return []string{"key", "keys", "token"} }
 
-// redact returns the pairs with secret values withheld and long ones cut.
-func redact(pairs []any) []any {
+// redactPairs returns the pairs with secret values replaced and long values truncated.
+func redactPairs(pairs []any) []any {
 	if len(pairs)%2 == 1 {
-		pairs = append(pairs[:len(pairs):len(pairs)], missing)
+		pairs = append(pairs[:len(pairs):len(pairs)], missingText)
 	}
 	line := make([]any, 0, len(pairs))
 	for index := 0; index < len(pairs); index += 2 {
@@ -37,28 +37,29 @@
 }
 
 func redactValue(name string, value any) any {
-	if isCount(value) {
+	if isNumberOrBoolean(value) {
 		return value
 	}
 	if isSecret(name) {
-		return withheld
+		return withheldText
 	}
 	text := fmt.Sprint(value)
-	if len(text) > maxValueLength {
-		return text[:maxValueLength] + "..."
+	if len(text) > maxValueBytes {
+		return text[:maxValueBytes] + "..."
 	}
 	return text
 }
 
-// isSecret tells whether a value of that name must not be logged.
+// isSecret reports whether a value with the name must not be logged. Case and the separators "-",
+// "_" and "." are ignored.
 func isSecret(name string) bool {
 	lower := strings.NewReplacer("-", "", "_", "", ".", "").Replace(strings.ToLower(name))
-	for _, part := range secretParts() {
+	for _, part := range secretSubstrings() {
 		if strings.Contains(lower, part) {
 			return true
 		}
 	}
-	for _, ending := range secretEndings() {
+	for _, ending := range secretSuffixes() {
 		if strings.HasSuffix(lower, ending) {
 			return true
 		}
@@ -66,9 +67,9 @@
 	return false
 }
 
-// isCount tells whether a value is a number or a truth value, which carries no
-// secret whatever its name.
-func isCount(value any) bool {
+// isNumberOrBoolean reports whether a value is a number or a boolean. Such a value contains no
+// secret, whatever its name.
+func isNumberOrBoolean(value any) bool {
 	switch reflect.ValueOf(value).Kind() {
 	case reflect.Bool, reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64,
 		reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64,
