--- a/loader/loader.go
+++ b/loader/loader.go
@@ -13,11 +13,11 @@
 	"gopkg.in/ini.v1"
 )
 
-// maxFileBytes bounds a settings file.
+// maxFileBytes is the maximum size of a settings file.
 const maxFileBytes = 1 << 20
 
-// Load reads and checks a settings file. The error is of kind Unreadable, or
-// of kind Invalid and then joins a Fault for everything that is wrong.
+// Load reads and validates a settings file. The error is of kind Unreadable, or of kind Invalid and
+// then joins all faults of the file.
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -26,56 +26,58 @@
 	return Parse(path, data)
 }
 
-// Parse checks the text of a settings file; the name stands in the faults. It
-// reads no other file: those that the settings name are checked by CheckFiles.
+// Parse validates the text of a settings file; the faults report the given name of the file. The
+// error is of kind Invalid and joins all faults. Parse does not open the files that the settings
+// refer to; CheckFiles does.
 func Parse(name string, data []byte) (*Settings, error) {
 	parser := &parser{file: name, settings: &Settings{}, table: table()}
 	if len(data) > maxFileBytes || !utf8.Valid(data) || bytes.IndexByte(data, 0) >= 0 {
-		parser.reject(0, "the file", fmt.Sprintf("%d bytes", len(data)), fmt.Sprintf("UTF-8 text of at most %d bytes", maxFileBytes))
-		return nil, parser.failure()
+		parser.addFault(0, "the file", fmt.Sprintf("%d bytes", len(data)), fmt.Sprintf("UTF-8 text of at most %d bytes", maxFileBytes))
+		return nil, parser.joinedError()
 	}
 	parser.scanner = scan(name, normalise(string(data)))
 	parser.faults = append(parser.faults, parser.scanner.faults...)
-	parser.names()
-	if parser.read() {
-		parser.values()
-		parser.relations()
+	parser.checkNames()
+	if parser.parseLines() {
+		parser.bindValues()
+		parser.checkRelations()
 	}
 	if len(parser.faults) > 0 {
-		return nil, parser.failure()
+		return nil, parser.joinedError()
 	}
 	return parser.settings, nil
 }
 
-// normalise drops a byte order mark and makes every line end alike.
+// normalise removes a byte order mark and converts all line endings to "\n".
 func normalise(text string) string {
 	text = strings.TrimPrefix(text, "\ufeff")
 	text = strings.ReplaceAll(text, "\r\n", "\n")
 	return strings.ReplaceAll(text, "\r", "\n")
 }
 
-// parser gathers settings and the faults met on the way.
+// parser collects the settings and the faults of a file.
 type parser struct {
 	file     string
 	scanner  *scanner
 	settings *Settings
 	table    []setting
-	// found holds the texts of the settings that stand in the file.
-	found  map[string]string
+	// texts maps "section.setting" to the text of each setting that the file contains.
+	texts  map[string]string
 	faults []*Fault
 }
 
-func (parser *parser) reject(line int, name, found, allowed string) {
+// addFault records a fault.
+func (parser *parser) addFault(line int, name, found, allowed string) {
 	parser.faults = append(parser.faults, &Fault{file: parser.file, line: line, name: name, found: found, allowed: allowed})
 }
 
-// rejectValue rejects a setting by its name, at the line where it stands.
-func (parser *parser) rejectValue(section, name, found, allowed string) {
-	parser.reject(parser.scanner.lineOf(section, name), joined(section, name), found, allowed)
+// addSettingFault records a fault of a setting, at the line of the setting.
+func (parser *parser) addSettingFault(section, name, found, allowed string) {
+	parser.addFault(parser.scanner.lineOf(section, name), qualifiedName(section, name), found, allowed)
 }
 
-// failure joins all faults in the order of the file.
-func (parser *parser) failure() error {
+// joinedError returns an error that joins all faults, ordered by line.
+func (parser *parser) joinedError() error {
 	slices.SortStableFunc(parser.faults, func(a, b *Fault) int { return cmp.Compare(a.line, b.line) })
 	faults := make([]error, 0, len(parser.faults))
 	for _, fault := range parser.faults {
@@ -84,38 +86,39 @@
 	return fail("parse", Invalid, "%w", errors.Join(faults...))
 }
 
-// names rejects unknown sections, unknown settings and settings that stand twice.
-func (parser *parser) names() {
+// checkNames rejects unknown sections, unknown settings, repeated settings and settings before any
+// section.
+func (parser *parser) checkNames() {
 	sections := make(map[string][]string)
 	for _, setting := range parser.table {
 		sections[setting.section] = append(sections[setting.section], setting.name)
 	}
 	for section, line := range parser.scanner.sections {
 		if sections[section] == nil {
-			parser.reject(line, section, "an unknown section", "one of "+strings.Join(sectionNames(parser.table), ", "))
+			parser.addFault(line, section, "an unknown section", "one of "+strings.Join(sectionNames(parser.table), ", "))
 		}
 	}
-	first := make(map[string]int)
-	for _, place := range parser.scanner.places {
-		name := joined(place.section, place.name)
-		if line, doubled := first[name]; doubled {
-			parser.reject(place.line, name, fmt.Sprintf("the setting a second time (first on line %d)", line), "one such line")
+	firstLines := make(map[string]int)
+	for _, settingLine := range parser.scanner.settingLines {
+		name := qualifiedName(settingLine.section, settingLine.name)
+		if line, repeated := firstLines[name]; repeated {
+			parser.addFault(settingLine.line, name, fmt.Sprintf("the setting a second time (first on line %d)", line), "the setting only once")
 			continue
 		}
-		first[name] = place.line
-		allowed, known := sections[place.section]
+		firstLines[name] = settingLine.line
+		allowed, known := sections[settingLine.section]
 		switch {
-		case place.section == "":
-			parser.reject(place.line, name, "a setting before any section", "a section line first")
-		case known && !slices.Contains(allowed, place.name):
-			parser.reject(place.line, name, "an unknown setting", "one of "+strings.Join(allowed, ", "))
+		case settingLine.section == "":
+			parser.addFault(settingLine.line, name, "a setting before any section", "a section line before the first setting")
+		case known && !slices.Contains(allowed, settingLine.name):
+			parser.addFault(settingLine.line, name, "an unknown setting", "one of "+strings.Join(allowed, ", "))
 		}
 	}
 }
 
-// read hands the accepted lines to the INI library and tells whether it could
-// read them.
-func (parser *parser) read() bool {
+// parseLines parses the accepted lines with the INI library and reports whether the library accepts
+// them.
+func (parser *parser) parseLines() bool {
 	options := ini.LoadOptions{
 		IgnoreInlineComment:     true,
 		IgnoreContinuation:      true,
@@ -125,31 +128,31 @@
 	}
 	file, err := ini.LoadSources(options, []byte(parser.scanner.text()))
 	if err != nil {
-		parser.reject(0, "the file", err.Error(), "INI text")
+		parser.addFault(0, "the file", err.Error(), "INI text")
 		return false
 	}
-	parser.found = make(map[string]string)
+	parser.texts = make(map[string]string)
 	for _, setting := range parser.table {
 		if section := file.Section(setting.section); section.HasKey(setting.name) {
-			parser.found[joined(setting.section, setting.name)] = section.Key(setting.name).Value()
+			parser.texts[qualifiedName(setting.section, setting.name)] = section.Key(setting.name).Value()
 		}
 	}
 	return true
 }
 
-// values checks each setting against the table.
-func (parser *parser) values() {
+// bindValues validates each setting and stores its value, or the default for a missing setting.
+func (parser *parser) bindValues() {
 	for _, setting := range parser.table {
-		text, ok := parser.found[joined(setting.section, setting.name)]
+		text, ok := parser.texts[qualifiedName(setting.section, setting.name)]
 		switch {
 		case ok && text == "" && !setting.mayBeEmpty:
-			parser.rejectValue(setting.section, setting.name, "nothing", setting.allowed)
+			parser.addSettingFault(setting.section, setting.name, "nothing", setting.allowed)
 			continue
 		case !ok && setting.required:
-			parser.rejectValue(setting.section, setting.name, "no such setting", setting.allowed)
+			parser.addSettingFault(setting.section, setting.name, "no such setting", setting.allowed)
 			continue
 		case !ok || text == "":
-			text = setting.fallback
+			text = setting.defaultValue
 		}
 		if text == "" {
 			continue
@@ -157,6 +160,6 @@
 		if setting.bind(parser.settings, text) {
 			continue
 		}
-		parser.rejectValue(setting.section, setting.name, setting.shown(text), setting.allowed)
+		parser.addSettingFault(setting.section, setting.name, setting.displayed(text), setting.allowed)
 	}
 }
--- a/loader/loader_test.go
+++ b/loader/loader_test.go
@@ -17,8 +17,8 @@
 
 const token = "an-operators-token-for-tests"
 
-// whole is a settings file without a fault.
-const whole = `# a comment
+// validSettings is a settings file without a fault.
+const validSettings = `# a comment
 [node]
 name = entry-1
 dataCentre = skopje
@@ -43,7 +43,8 @@
 seeds = entry-2@bitola@127.0.0.1:9082
 `
 
-// faults returns the faults joined in an error of kind Invalid.
+// faults returns the faults that an error of kind Invalid joins, and fails the test for any other
+// error.
 func faults(t *testing.T, err error) []*loader.Fault {
 	t.Helper()
 	var failure *loader.Error
@@ -64,7 +65,7 @@
 }
 
 func TestParseReadsSettings(t *testing.T) {
-	settings, err := loader.Parse("entry.ini", []byte(whole))
+	settings, err := loader.Parse("entry.ini", []byte(validSettings))
 	assert.NilError(t, err)
 	assert.Equal(t, string(settings.Node().Name()), "entry-1")
 	assert.Equal(t, settings.Callers().BodyTimeout(), 250*time.Millisecond)
@@ -120,8 +121,8 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			text := strings.Replace(whole, test.replace, test.with, 1)
-			assert.Assert(t, text != whole)
+			text := strings.Replace(validSettings, test.replace, test.with, 1)
+			assert.Assert(t, text != validSettings)
 			_, err := loader.Parse("entry.ini", []byte(text))
 			for _, fault := range faults(t, err) {
 				if fault.Name() == test.setting && fault.Line() == test.line && strings.Contains(fault.Found(), test.found) {
@@ -136,19 +137,19 @@
 }
 
 func TestParseTellsAllFaultsInOrder(t *testing.T) {
-	text := strings.NewReplacer("250ms", "1h", "skopje", "a b", "plain = true", "plain = yes\nbroken", "[peers]", "[pears]").Replace(whole)
+	text := strings.NewReplacer("250ms", "1h", "skopje", "a b", "plain = true", "plain = yes\nbroken", "[peers]", "[pears]").Replace(validSettings)
 	_, err := loader.Parse("entry.ini", []byte(text))
 	var lines []int
 	for _, fault := range faults(t, err) {
 		lines = append(lines, fault.Line())
 	}
-	// Three faults without a line tell of the files that TLS would need.
+	// The three faults on line 0 are the missing TLS files of section inner, since plain is not valid.
 	assert.DeepEqual(t, lines, []int{0, 0, 0, 4, 8, 17, 18, 23})
 	assert.ErrorContains(t, err, `entry.ini:8: callers.bodyTimeout: found "1h"; allowed is a duration from 100ms to 10m0s`)
 }
 
 func TestParseNeverShowsTokens(t *testing.T) {
-	_, err := loader.Parse("entry.ini", []byte(strings.Replace(whole, token, "my secret", 1)))
+	_, err := loader.Parse("entry.ini", []byte(strings.Replace(validSettings, token, "my secret", 1)))
 	assert.Assert(t, err != nil && !strings.Contains(err.Error(), "my secret"))
 }
 
@@ -156,7 +157,7 @@
 	directory := t.TempDir()
 	secret := filepath.Join(directory, "token")
 	path := filepath.Join(directory, "entry.ini")
-	assert.NilError(t, os.WriteFile(path, []byte(strings.Replace(whole, "token = "+token, "tokenFile = "+secret, 1)), 0o600))
+	assert.NilError(t, os.WriteFile(path, []byte(strings.Replace(validSettings, "token = "+token, "tokenFile = "+secret, 1)), 0o600))
 	settings, err := loader.Load(path)
 	assert.NilError(t, err)
 	assert.ErrorContains(t, settings.CheckFiles(), "token")
@@ -185,7 +186,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(whole)
+	f.Add(validSettings)
 	f.Add("[node]\nname = %(name)s\n[node\n= \n\"a\" = `")
 	f.Add("\ufeff[callers]\r\nlisten = [::]:0\rmaxBodyBytes = 9999999999MiB")
 	f.Fuzz(func(t *testing.T, text string) {
--- a/loader/markdown.go
+++ b/loader/markdown.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// Markdown returns the page of the settings, docs/SETTINGS.md.
+// Markdown returns the settings as the page docs/SETTINGS.md.
 func Markdown() string {
 	var page strings.Builder
 	page.WriteString("# Settings\n\n")
-	page.WriteString("A node reads its settings from one INI file, `limpetcleat serve -settings FILE`; `limpetcleat check -settings FILE` tells every fault of a file without starting. ")
-	page.WriteString("Names are in camel case and told apart by case. A comment has a line of its own that begins with `#` or `;`. Unknown names and names that stand twice are faults.\n\n")
-	page.WriteString("This page is generated from the table in package `loader`; `go test ./loader -update` writes it anew.\n")
+	page.WriteString("A node reads its settings from one INI file, `limpetcleat serve -settings FILE`; `limpetcleat check -settings FILE` reports all faults of a file without starting the node. ")
+	page.WriteString("Names are in camel case and case-sensitive. A comment is on a line of its own that begins with `#` or `;`. Unknown and repeated names are faults.\n\n")
+	page.WriteString("This page is generated from the table in package `loader`; `go test ./loader -update` regenerates it.\n")
 	section := ""
 	for _, setting := range table() {
 		if setting.section != section {
@@ -23,14 +23,14 @@
 	return page.String()
 }
 
-// defaultText tells what holds when the setting is missing.
+// defaultText describes the default for the page.
 func (setting setting) defaultText() string {
 	switch {
 	case setting.required:
 		return "none, it must be set"
-	case setting.fallback == "":
+	case setting.defaultValue == "":
 		return "none"
 	default:
-		return setting.fallback
+		return setting.defaultValue
 	}
 }
--- a/loader/relation.go
+++ b/loader/relation.go
@@ -11,71 +11,74 @@
 
 func joinFaults(faults []error) error { return errors.Join(faults...) }
 
-func (parser *parser) has(section, name string) bool {
-	return parser.found[joined(section, name)] != ""
+// isSet reports whether the file contains a setting with a non-empty value.
+func (parser *parser) isSet(section, name string) bool {
+	return parser.texts[qualifiedName(section, name)] != ""
 }
 
-// relations checks what settings require of each other.
-func (parser *parser) relations() {
-	parser.oneOf("operators", true)
-	parser.oneOf("platform", false)
-	parser.together("callers", "tlsCertificate", "tlsKey")
-	parser.together("callers", "tlsKey", "tlsCertificate")
-	parser.innerAddress()
-	parser.innerSecurity()
-	parser.listeners()
+// checkRelations checks the constraints between settings.
+func (parser *parser) checkRelations() {
+	parser.checkToken("operators", true)
+	parser.checkToken("platform", false)
+	parser.checkPair("callers", "tlsCertificate", "tlsKey")
+	parser.checkPair("callers", "tlsKey", "tlsCertificate")
+	parser.bindInnerAddress()
+	parser.checkInnerSecurity()
+	parser.checkListeners()
 }
 
-// oneOf checks that a section has its token in one place only.
-func (parser *parser) oneOf(section string, required bool) {
-	both := parser.has(section, "token") && parser.has(section, "tokenFile")
-	none := !parser.has(section, "token") && !parser.has(section, "tokenFile")
+// checkToken checks that a section has at most one of token and tokenFile, and exactly one if
+// required.
+func (parser *parser) checkToken(section string, required bool) {
+	both := parser.isSet(section, "token") && parser.isSet(section, "tokenFile")
+	none := !parser.isSet(section, "token") && !parser.isSet(section, "tokenFile")
 	switch {
 	case both:
-		parser.rejectValue(section, "tokenFile", "both token and tokenFile", "one of the two")
+		parser.addSettingFault(section, "tokenFile", "both token and tokenFile", "either token or tokenFile")
 	case none && required:
-		parser.rejectValue(section, "token", "neither token nor tokenFile", "one of the two")
+		parser.addSettingFault(section, "token", "neither token nor tokenFile", "either token or tokenFile")
 	}
 }
 
-// together checks that a setting does not stand without another.
-func (parser *parser) together(section, name, other string) {
-	if parser.has(section, name) && !parser.has(section, other) {
-		parser.rejectValue(section, name, name+" without "+other, "both or neither")
+// checkPair rejects a setting that is set without the other one.
+func (parser *parser) checkPair(section, name, other string) {
+	if parser.isSet(section, name) && !parser.isSet(section, other) {
+		parser.addSettingFault(section, name, name+" without "+other, "both or neither")
 	}
 }
 
-// innerAddress sets and checks where peers reach the node.
-func (parser *parser) innerAddress() {
+// bindInnerAddress sets inner.address to the listen address by default and rejects an unspecified
+// address.
+func (parser *parser) bindInnerAddress() {
 	inner := &parser.settings.inner
-	if !parser.has("inner", "address") {
+	if !parser.isSet("inner", "address") {
 		inner.address = inner.listen
 	}
 	if inner.address.IsValid() && inner.address.Addr().IsUnspecified() {
-		parser.rejectValue("inner", "address", inner.address.String(), "an IP address that peers can reach; it is that of listen when missing")
+		parser.addSettingFault("inner", "address", inner.address.String(), "an IP address that peers can reach; the default is the value of listen")
 	}
 }
 
-// innerSecurity checks that the inner protocol is protected, or plain where
-// that is allowed.
-func (parser *parser) innerSecurity() {
+// checkInnerSecurity checks that the inner protocol has either all TLS files or plain = true, and
+// that plain is limited to loopback unless plainAnywhere is set.
+func (parser *parser) checkInnerSecurity() {
 	inner := &parser.settings.inner
 	names := []string{"tlsCertificate", "tlsKey", "tlsAuthority"}
 	for _, name := range names {
-		switch has := parser.has("inner", name); {
+		switch has := parser.isSet("inner", name); {
 		case has && inner.plain:
-			parser.rejectValue("inner", name, name+" beside plain = true", "files for TLS, or plain = true, not both")
+			parser.addSettingFault("inner", name, name+" beside plain = true", "either the TLS files or plain = true")
 		case !has && !inner.plain:
-			parser.rejectValue("inner", name, "no such setting", "the path of a file, unless plain = true")
+			parser.addSettingFault("inner", name, "no such setting", "the path of a file, unless plain = true")
 		}
 	}
 	if inner.listen.IsValid() && inner.Exposed() && !inner.plainAnywhere {
-		parser.rejectValue("inner", "plain", "plain = true beyond loopback", "plain = true on a loopback address, or plainAnywhere = true as well")
+		parser.addSettingFault("inner", "plain", "plain = true beyond loopback", "plain = true on a loopback address, or plainAnywhere = true as well")
 	}
 }
 
-// listeners checks that no two listeners have the same address.
-func (parser *parser) listeners() {
+// checkListeners checks that no two listeners have the same address; port 0 is exempt.
+func (parser *parser) checkListeners() {
 	taken := make(map[netip.AddrPort]string)
 	listeners := []struct {
 		section string
@@ -90,16 +93,16 @@
 			continue
 		}
 		if other, ok := taken[listener.address]; ok {
-			parser.rejectValue(listener.section, "listen", listener.address.String()+", the address of "+other+".listen", "an address of its own")
+			parser.addSettingFault(listener.section, "listen", listener.address.String()+", the address of "+other+".listen", "an address that no other listener has")
 		}
 		taken[listener.address] = listener.section
 	}
 }
 
-// parsePeer reads "name@dataCentre@IP:port".
+// parsePeer parses "name@dataCentre@IP:port".
 func parsePeer(text string) (Peer, bool) {
 	parts := strings.Split(text, "@")
-	if len(parts) != 3 || !isName(parts[0]) || !isName(parts[1]) {
+	if len(parts) != 3 || !isValidName(parts[0]) || !isValidName(parts[1]) {
 		return Peer{}, false
 	}
 	address, err := netip.ParseAddrPort(parts[2])
@@ -107,8 +110,8 @@
 	return peer, err == nil && address.Port() != 0 && !address.Addr().IsUnspecified()
 }
 
-// parseBase reads the base URL of a platform address.
-func parseBase(text string) (string, bool) {
+// parseBaseURL parses the base URL of a platform address, whose host is an IP address.
+func parseBaseURL(text string) (string, bool) {
 	base, err := url.Parse(text)
 	if err != nil || base.Scheme != "http" && base.Scheme != "https" {
 		return "", false
--- a/loader/secret.go
+++ b/loader/secret.go
@@ -5,22 +5,22 @@
 	"strings"
 )
 
-// hiddenText stands for a secret wherever it would be printed.
+// hiddenText is printed in place of a secret.
 const hiddenText = "(hidden)"
 
-// Secret is a token that stands in the settings or in a file of its own.
+// Secret is a token given in the settings or in a separate file.
 type Secret struct {
-	// At most one of text and file is set. The text is behind a pointer, so
-	// that printing the settings does not print it.
+	// At most one of text and file is set. The text is a pointer so that printing the settings
+	// does not reveal it.
 	text *string
 	file string
 }
 
-// Empty tells whether there is no secret.
+// Empty reports whether neither a token nor a file is set.
 func (secret Secret) Empty() bool { return secret.text == nil && secret.file == "" }
 
-// Read returns the token, from its file if it has one. The error is of kind
-// Unreadable or Invalid.
+// Read returns the token, which it reads from the file if one is set; without either it returns an
+// empty string. The error is of kind Unreadable or Invalid.
 func (secret Secret) Read() (string, error) {
 	if secret.text != nil {
 		return *secret.text, nil
@@ -33,20 +33,21 @@
 		return "", fail("readSecret", Unreadable, "%w", err)
 	}
 	token := strings.TrimSpace(string(data))
-	if !isToken(token) {
-		return "", fail("readSecret", Invalid, "%w", &Fault{file: secret.file, line: 1, name: "the token", found: setting{secret: true}.shown(token), allowed: tokenAllowed()})
+	if !isValidToken(token) {
+		return "", fail("readSecret", Invalid, "%w", &Fault{file: secret.file, line: 1, name: "the token", found: setting{secret: true}.displayed(token), allowed: describeToken()})
 	}
 	return token, nil
 }
 
-// String returns a mark in place of the token.
+// String returns a placeholder for the token.
 func (secret Secret) String() string { return hiddenText }
 
-// GoString returns a mark in place of the token.
+// GoString returns a placeholder for the token.
 func (secret Secret) GoString() string { return hiddenText }
 
-// CheckFiles tells whether all files that the settings name can be read; the
-// error joins one of kind Unreadable or Invalid for each that cannot.
+// CheckFiles checks that all files that the settings refer to can be read and that the token files
+// contain valid tokens. The error joins an Error of kind Unreadable or Invalid for each file that
+// fails.
 func (settings *Settings) CheckFiles() error {
 	var faults []error
 	for _, secret := range []Secret{settings.operators.secret, settings.platform.secret} {
--- a/loader/setting.go
+++ b/loader/setting.go
@@ -12,63 +12,67 @@
 const (
 	kibibyte = 1 << 10
 	mebibyte = 1 << 20
-	// maxShown bounds how much of a wrong value stands in a fault.
-	maxShown = 100
+	// maxShownBytes is the maximum number of bytes of an invalid value that a fault shows.
+	maxShownBytes = 100
 )
 
-// setting describes one setting: its name, its range and where its value goes.
+// setting describes one setting: its name, its allowed values and the field that stores its value.
 type setting struct {
 	section string
 	name    string
-	// unit is empty for a setting without one.
+	// unit is empty for a setting without a unit.
 	unit string
-	// allowed tells the range in words.
+	// allowed describes the allowed values.
 	allowed string
-	// fallback is the text used when the setting is missing; it is allowed.
-	fallback string
-	// meaning is one sentence.
+	// defaultValue is the text used if the setting is missing; empty means no default.
+	defaultValue string
+	// meaning is one sentence on what the setting is for.
 	meaning  string
 	required bool
-	// secret values are never shown.
+	// secret reports whether the value must not be shown.
 	secret bool
-	// mayBeEmpty settings may stand in the file without a value.
+	// mayBeEmpty reports whether the file may contain the setting with an empty value.
 	mayBeEmpty bool
-	// bind stores the value of a text and tells whether it is allowed.
+	// bind parses a text, stores its value and reports whether the text is allowed.
 	bind func(settings *Settings, text string) bool
 }
 
-// shown returns the text as it may stand in a fault.
-func (setting setting) shown(text string) string {
+// displayed returns the text as a fault shows it: a secret as its length, any other quoted and
+// truncated to maxShownBytes.
+func (setting setting) displayed(text string) string {
 	if setting.secret {
 		return fmt.Sprintf("%d characters", len(text))
 	}
-	if len(text) > maxShown {
-		return strconv.Quote(text[:maxShown]) + "..."
+	if len(text) > maxShownBytes {
+		return strconv.Quote(text[:maxShownBytes]) + "..."
 	}
 	return strconv.Quote(text)
 }
 
-// needed returns the setting with no default.
-func (setting setting) needed() setting {
+// asRequired returns a copy of the setting that is required.
+func (setting setting) asRequired() setting {
 	setting.required = true
 	return setting
 }
 
-// hidden returns the setting with its value kept out of faults.
-func (setting setting) hidden() setting {
+// asSecret returns a copy of the setting whose value is secret.
+func (setting setting) asSecret() setting {
 	setting.secret = true
 	return setting
 }
 
-// field points at the place of a value in the settings.
+// field returns a pointer to the field of the settings that stores a value.
 type field[Value any] func(settings *Settings) *Value
 
-// span is an inclusive range.
-type span[Value int | time.Duration] struct{ low, high Value }
+// interval is a range that includes both bounds.
+type interval[Value int | time.Duration] struct{ low, high Value }
 
-func (span span[Value]) holds(value Value) bool { return value >= span.low && value <= span.high }
+// contains reports whether the value is within the range.
+func (interval interval[Value]) contains(value Value) bool {
+	return value >= interval.low && value <= interval.high
+}
 
-// assign stores what a parser made of a text, if the text is allowed.
+// assign returns a bind function that parses a text and, if it is allowed, stores the value.
 func assign[Value any](field field[Value], parse func(text string) (Value, bool)) func(*Settings, string) bool {
 	return func(settings *Settings, text string) bool {
 		value, ok := parse(text)
@@ -79,33 +83,34 @@
 	}
 }
 
-func durationSetting(section, name string, span span[time.Duration], fallback, meaning string, field field[time.Duration]) setting {
+func durationSetting(section, name string, interval interval[time.Duration], fallback, meaning string, field field[time.Duration]) setting {
 	parse := func(text string) (time.Duration, bool) {
 		value, err := time.ParseDuration(text)
-		return value, err == nil && span.holds(value)
+		return value, err == nil && interval.contains(value)
 	}
-	allowed := fmt.Sprintf("a duration from %v to %v, such as 250ms or 5s", span.low, span.high)
-	return setting{section: section, name: name, unit: "duration", allowed: allowed, fallback: fallback, meaning: meaning, bind: assign(field, parse)}
+	allowed := fmt.Sprintf("a duration from %v to %v, such as 250ms or 5s", interval.low, interval.high)
+	return setting{section: section, name: name, unit: "duration", allowed: allowed, defaultValue: fallback, meaning: meaning, bind: assign(field, parse)}
 }
 
-func countSetting(section, name, unit string, span span[int], fallback, meaning string, field field[int]) setting {
+func countSetting(section, name, unit string, interval interval[int], fallback, meaning string, field field[int]) setting {
 	parse := func(text string) (int, bool) {
 		value, err := strconv.Atoi(text)
-		return value, err == nil && span.holds(value)
+		return value, err == nil && interval.contains(value)
 	}
-	allowed := fmt.Sprintf("a whole number from %d to %d", span.low, span.high)
-	return setting{section: section, name: name, unit: unit, allowed: allowed, fallback: fallback, meaning: meaning, bind: assign(field, parse)}
+	allowed := fmt.Sprintf("a whole number from %d to %d", interval.low, interval.high)
+	return setting{section: section, name: name, unit: unit, allowed: allowed, defaultValue: fallback, meaning: meaning, bind: assign(field, parse)}
 }
 
-func sizeSetting(section, name string, span span[int], fallback, meaning string, field field[int]) setting {
+func sizeSetting(section, name string, interval interval[int], fallback, meaning string, field field[int]) setting {
 	parse := func(text string) (int, bool) {
 		value, ok := parseSize(text)
-		return value, ok && span.holds(value)
+		return value, ok && interval.contains(value)
 	}
-	allowed := fmt.Sprintf("a size from %s to %s, in bytes or with KiB or MiB", sizeText(span.low), sizeText(span.high))
-	return setting{section: section, name: name, unit: "bytes", allowed: allowed, fallback: fallback, meaning: meaning, bind: assign(field, parse)}
+	allowed := fmt.Sprintf("a size from %s to %s, in bytes or with KiB or MiB", formatSize(interval.low), formatSize(interval.high))
+	return setting{section: section, name: name, unit: "bytes", allowed: allowed, defaultValue: fallback, meaning: meaning, bind: assign(field, parse)}
 }
 
+// parseSize parses a number of bytes, optionally with the suffix KiB or MiB.
 func parseSize(text string) (int, bool) {
 	factor := 1
 	for suffix, size := range map[string]int{"KiB": kibibyte, "MiB": mebibyte} {
@@ -117,7 +122,8 @@
 	return int(value) * factor, err == nil
 }
 
-func sizeText(size int) string {
+// formatSize formats a size that is a multiple of 1 KiB.
+func formatSize(size int) string {
 	if size%mebibyte == 0 {
 		return fmt.Sprintf("%dMiB", size/mebibyte)
 	}
@@ -126,17 +132,18 @@
 
 func booleanSetting(section, name, meaning string, field field[bool]) setting {
 	parse := func(text string) (bool, bool) { return text == "true", text == "true" || text == "false" }
-	return setting{section: section, name: name, allowed: "true or false", fallback: "false", meaning: meaning, bind: assign(field, parse)}
+	return setting{section: section, name: name, allowed: "true or false", defaultValue: "false", meaning: meaning, bind: assign(field, parse)}
 }
 
+// choiceSetting returns a setting whose default is the first choice.
 func choiceSetting[Choice ~string](section, name string, choices []Choice, meaning string, field field[Choice]) setting {
 	parse := func(text string) (Choice, bool) { return Choice(text), slices.Contains(choices, Choice(text)) }
-	words := make([]string, 0, len(choices))
+	names := make([]string, 0, len(choices))
 	for _, choice := range choices {
-		words = append(words, string(choice))
+		names = append(names, string(choice))
 	}
-	allowed := "one of " + strings.Join(words, ", ")
-	return setting{section: section, name: name, allowed: allowed, fallback: words[0], meaning: meaning, bind: assign(field, parse)}
+	allowed := "one of " + strings.Join(names, ", ")
+	return setting{section: section, name: name, allowed: allowed, defaultValue: names[0], meaning: meaning, bind: assign(field, parse)}
 }
 
 func addressSetting(section, name, meaning string, field field[netip.AddrPort]) setting {
@@ -148,14 +155,14 @@
 }
 
 func nameSetting[Name ~string](section, name, meaning string, field field[Name]) setting {
-	parse := func(text string) (Name, bool) { return Name(text), isName(text) }
+	parse := func(text string) (Name, bool) { return Name(text), isValidName(text) }
 	allowed := fmt.Sprintf("1 to %d letters, digits, dots, dashes and underscores", maxNameLength)
 	return setting{section: section, name: name, allowed: allowed, meaning: meaning, bind: assign(field, parse)}
 }
 
 const maxNameLength = 100
 
-func isName(text string) bool {
+func isValidName(text string) bool {
 	valid := func(char rune) bool {
 		return char >= 'a' && char <= 'z' || char >= 'A' && char <= 'Z' || char >= '0' && char <= '9' || strings.ContainsRune(".-_", char)
 	}
@@ -168,8 +175,8 @@
 }
 
 func tokenSetting(section, name, meaning string, field field[*string]) setting {
-	parse := func(text string) (*string, bool) { return &text, isToken(text) }
-	return setting{section: section, name: name, allowed: tokenAllowed(), meaning: meaning, bind: assign(field, parse)}.hidden()
+	parse := func(text string) (*string, bool) { return &text, isValidToken(text) }
+	return setting{section: section, name: name, allowed: describeToken(), meaning: meaning, bind: assign(field, parse)}.asSecret()
 }
 
 const (
@@ -177,15 +184,16 @@
 	maxTokenLength = 512
 )
 
-func tokenAllowed() string {
+func describeToken() string {
 	return fmt.Sprintf("%d to %d visible ASCII characters", minTokenLength, maxTokenLength)
 }
 
-func isToken(text string) bool {
+func isValidToken(text string) bool {
 	visible := func(char rune) bool { return char > ' ' && char <= '~' }
 	return len(text) >= minTokenLength && len(text) <= maxTokenLength && strings.IndexFunc(text, func(char rune) bool { return !visible(char) }) < 0
 }
 
+// listSetting returns a setting that is a comma-separated list; allowed describes one kind of item.
 func listSetting[Item any](section, name, allowed, meaning string, parseItem func(string) (Item, bool), field field[[]Item]) setting {
 	parse := func(text string) ([]Item, bool) {
 		var items []Item
--- a/loader/settings.go
+++ b/loader/settings.go
@@ -7,7 +7,7 @@
 	"limpetcleat/definer"
 )
 
-// Settings are the checked settings of one node. They never change once read.
+// Settings are the validated settings of one node. They are immutable.
 type Settings struct {
 	node       Node
 	callers    Callers
@@ -21,34 +21,34 @@
 	log        Log
 }
 
-// Node returns what this process is.
+// Node returns the name and the data centre of this node.
 func (settings *Settings) Node() *Node { return &settings.node }
 
-// Callers returns how callers are served.
+// Callers returns the settings for serving callers.
 func (settings *Settings) Callers() *Callers { return &settings.callers }
 
-// Operators returns how operators are served.
+// Operators returns the settings for serving operators.
 func (settings *Settings) Operators() *Operators { return &settings.operators }
 
-// Inner returns how peers talk to this node.
+// Inner returns the settings of the inner protocol, which the nodes use among each other.
 func (settings *Settings) Inner() *Inner { return &settings.inner }
 
-// Platform returns how the platform is reached.
+// Platform returns the settings for calls to the platform.
 func (settings *Settings) Platform() *Platform { return &settings.platform }
 
-// Peers returns the VMs known before the platform's list can be read.
+// Peers returns the VMs to contact before the platform's list has been read.
 func (settings *Settings) Peers() []Peer { return settings.peers }
 
-// Drain returns how a planned stop goes.
+// Drain returns the settings of a planned stop.
 func (settings *Settings) Drain() *Drain { return &settings.drain }
 
-// Dispatch returns how upstreams are called.
+// Dispatch returns the settings for calls to upstreams.
 func (settings *Settings) Dispatch() *Dispatch { return &settings.dispatch }
 
 // Policy returns the scheduling policy.
 func (settings *Settings) Policy() Policy { return settings.scheduling }
 
-// Log returns what is logged and how.
+// Log returns the settings of the log.
 func (settings *Settings) Log() *Log { return &settings.log }
 
 // Node is the section [node].
@@ -60,7 +60,7 @@
 // Name returns the name of the VM.
 func (node *Node) Name() definer.VM { return node.name }
 
-// DataCentre returns where the VM runs.
+// DataCentre returns the data centre of the VM.
 func (node *Node) DataCentre() definer.DataCentre { return node.dataCentre }
 
 // Callers is the section [callers].
@@ -77,31 +77,31 @@
 	tlsKey         string
 }
 
-// Listen returns the address for callers.
+// Listen returns the address that callers connect to.
 func (callers *Callers) Listen() netip.AddrPort { return callers.listen }
 
-// MaxBodyBytes returns the bound on a request's body.
+// MaxBodyBytes returns the maximum size of a request's body.
 func (callers *Callers) MaxBodyBytes() int { return callers.maxBodyBytes }
 
-// MaxHeaderBytes returns the bound on a request's headers.
+// MaxHeaderBytes returns the maximum size of a request's headers.
 func (callers *Callers) MaxHeaderBytes() int { return callers.maxHeaderBytes }
 
-// ReadHeaderTimeout returns the bound on the time to read the headers.
+// ReadHeaderTimeout returns the maximum time to read the headers.
 func (callers *Callers) ReadHeaderTimeout() time.Duration { return callers.readHeaderTimeout }
 
-// BodyTimeout returns the bound on the time to read the body.
+// BodyTimeout returns the maximum time to read the body.
 func (callers *Callers) BodyTimeout() time.Duration { return callers.bodyTimeout }
 
-// IdleTimeout returns how long an unused connection stays open.
+// IdleTimeout returns the time after which an idle connection is closed.
 func (callers *Callers) IdleTimeout() time.Duration { return callers.idleTimeout }
 
-// MaxConnections returns the bound on open connections.
+// MaxConnections returns the maximum number of open connections.
 func (callers *Callers) MaxConnections() int { return callers.maxConnections }
 
-// TLSCertificate returns the certificate's file; empty means plain HTTP.
+// TLSCertificate returns the path of the certificate's file; empty means plain HTTP.
 func (callers *Callers) TLSCertificate() string { return callers.tlsCertificate }
 
-// TLSKey returns the private key's file; empty means plain HTTP.
+// TLSKey returns the path of the private key's file; empty means plain HTTP.
 func (callers *Callers) TLSKey() string { return callers.tlsKey }
 
 // Operators is the section [operators].
@@ -111,16 +111,16 @@
 	secret Secret
 }
 
-// Listen returns the address for operators.
+// Listen returns the address that operators connect to.
 func (operators *Operators) Listen() netip.AddrPort { return operators.listen }
 
-// Token returns the secret that operators present.
+// Token returns the token that operators present.
 func (operators *Operators) Token() Secret { return operators.secret }
 
 // Inner is the section [inner].
 type Inner struct {
 	listen netip.AddrPort
-	// address names one IP address, never the unspecified one.
+	// address is never the unspecified address.
 	address        netip.AddrPort
 	tlsCertificate string
 	tlsKey         string
@@ -129,26 +129,27 @@
 	plainAnywhere  bool
 }
 
-// Listen returns the address for peers.
+// Listen returns the address on which this node accepts connections of peers.
 func (inner *Inner) Listen() netip.AddrPort { return inner.listen }
 
-// Address returns where peers reach this node.
+// Address returns the address at which peers reach this node.
 func (inner *Inner) Address() netip.AddrPort { return inner.address }
 
-// TLSCertificate returns the file of this node's certificate.
+// TLSCertificate returns the path of the file with this node's certificate; empty means no TLS.
 func (inner *Inner) TLSCertificate() string { return inner.tlsCertificate }
 
-// TLSKey returns the file of this node's private key.
+// TLSKey returns the path of the file with this node's private key; empty means no TLS.
 func (inner *Inner) TLSKey() string { return inner.tlsKey }
 
-// TLSAuthority returns the file of the certificates that peers must be signed by.
+// TLSAuthority returns the path of the file with the certificates of the authority that must have
+// signed the peers' certificates; empty means no TLS.
 func (inner *Inner) TLSAuthority() string { return inner.tlsAuthority }
 
-// Plain tells whether the inner protocol goes without TLS.
+// Plain reports whether the inner protocol runs without TLS.
 func (inner *Inner) Plain() bool { return inner.plain }
 
-// Exposed tells whether the inner protocol goes without TLS beyond loopback,
-// which the node has to log.
+// Exposed reports whether the inner protocol runs without TLS beyond loopback. The node must log
+// this.
 func (inner *Inner) Exposed() bool {
 	loopback := inner.listen.Addr().IsLoopback() && inner.address.Addr().IsLoopback()
 	return inner.plain && !loopback
@@ -156,22 +157,22 @@
 
 // Platform is the section [platform].
 type Platform struct {
-	// addresses holds at least one URL whose host is an IP address.
+	// addresses contains at least one URL; the host of each is an IP address.
 	addresses []string
 	secret    Secret
 	timeout   time.Duration
 }
 
-// Addresses returns the base URLs of the platform, to be tried in turn.
+// Addresses returns the base URLs of the platform, which are tried in turn.
 func (platform *Platform) Addresses() []string { return platform.addresses }
 
-// Token returns the secret presented to the platform; it may be empty.
+// Token returns the token presented to the platform; it may be empty.
 func (platform *Platform) Token() Secret { return platform.secret }
 
-// Timeout returns the bound on one call to the platform.
+// Timeout returns the maximum duration of one call to the platform.
 func (platform *Platform) Timeout() time.Duration { return platform.timeout }
 
-// Peer is one VM known before the platform's list can be read.
+// Peer is a VM to contact before the platform's list has been read.
 type Peer struct {
 	name       definer.VM
 	dataCentre definer.DataCentre
@@ -181,10 +182,10 @@
 // Name returns the name of the VM.
 func (peer Peer) Name() definer.VM { return peer.name }
 
-// DataCentre returns where the VM runs.
+// DataCentre returns the data centre of the VM.
 func (peer Peer) DataCentre() definer.DataCentre { return peer.dataCentre }
 
-// Address returns where the VM's inner protocol is reached.
+// Address returns the address of the VM's inner protocol.
 func (peer Peer) Address() netip.AddrPort { return peer.address }
 
 // Drain is the section [drain].
@@ -193,10 +194,11 @@
 	timeout       time.Duration
 }
 
-// BalancerDelay returns how long readiness fails before the stop begins.
+// BalancerDelay returns how long the node reports that it is not ready before a planned stop
+// refuses new requests.
 func (drain *Drain) BalancerDelay() time.Duration { return drain.balancerDelay }
 
-// Timeout returns the bound on the wait for requests in flight.
+// Timeout returns the maximum time to wait for requests in flight.
 func (drain *Drain) Timeout() time.Duration { return drain.timeout }
 
 // Dispatch is the section [dispatch].
@@ -207,34 +209,34 @@
 	maxPerUpstreamConnections int
 }
 
-// FirstByteTimeout returns the bound on the wait for an upstream's first byte.
+// FirstByteTimeout returns the maximum time until the first byte of an upstream's response.
 func (dispatch *Dispatch) FirstByteTimeout() time.Duration { return dispatch.firstByteTimeout }
 
-// StallTimeout returns the bound on a pause within an upstream's answer.
+// StallTimeout returns the maximum pause within an upstream's response.
 func (dispatch *Dispatch) StallTimeout() time.Duration { return dispatch.stallTimeout }
 
-// LongestBackoff returns the bound on how long an upstream may ask not to be sent anything.
+// LongestBackoff returns the maximum time for which an upstream may request a backoff.
 func (dispatch *Dispatch) LongestBackoff() time.Duration { return dispatch.longestBackoff }
 
-// MaxPerUpstreamConnections returns the bound on connections to one upstream.
+// MaxPerUpstreamConnections returns the maximum number of connections to one upstream.
 func (dispatch *Dispatch) MaxPerUpstreamConnections() int { return dispatch.maxPerUpstreamConnections }
 
 // Policy names a scheduling policy.
 type Policy string
 
 const (
-	// ServiceLevels keeps tiers, floors and targets; it is the default.
+	// ServiceLevels observes tiers, floors and targets; it is the default.
 	ServiceLevels Policy = "serviceLevels"
-	// StrictTiers serves by tier alone, as a base line for measurements.
+	// StrictTiers orders requests by tier alone, as a baseline for measurements.
 	StrictTiers Policy = "strictTiers"
-	// FirstCome serves by arrival alone, as a base line for measurements.
+	// FirstCome orders requests by arrival alone, as a baseline for measurements.
 	FirstCome Policy = "firstCome"
 )
 
-// Level is the least severity that is logged.
+// Level is the minimum severity of the events that are logged.
 type Level string
 
-// The levels of the log, from most to fewest lines.
+// The levels, from least to most severe.
 const (
 	Debug   Level = "debug"
 	Info    Level = "info"
@@ -242,13 +244,13 @@
 	Failure Level = "error"
 )
 
-// Format is the form of a log line.
+// Format is the encoding of log lines.
 type Format string
 
 const (
 	// Logfmt writes name=value pairs.
 	Logfmt Format = "logfmt"
-	// JSON writes one object a line.
+	// JSON writes one JSON object per line.
 	JSON Format = "json"
 )
 
@@ -258,8 +260,8 @@
 	format Format
 }
 
-// Level returns the least severity that is logged.
+// Level returns the minimum severity of the events that are logged.
 func (log *Log) Level() Level { return log.level }
 
-// Format returns the form of a log line.
+// Format returns the encoding of log lines.
 func (log *Log) Format() Format { return log.format }
--- a/logger/redactor.go
+++ b/logger/redactor.go
@@ -15,12 +15,12 @@
 	maxValueBytes = 2000
 )
 
-// secretSubstrings returns the substrings that mark a name as that of a secret value, in lower case.
+// secretSubstrings returns the lower-case substrings that mark the name of a secret value.
 func secretSubstrings() []string {
 	return []string{"authoriz", "password", "secret", "credential", "prompt", "answer", "body", "content", "cookie", "bearer", "keyhash", "tokenfile"}
 }
 
-// secretSuffixes returns the suffixes that mark a name as that of a secret value, in lower case.
+// secretSuffixes returns the lower-case suffixes that mark the name of a secret value.
 func secretSuffixes() []string { return []string{"key", "keys", "token"} }
 
 // redactPairs returns the pairs with secret values replaced and long values truncated.
