--- a/meter/meter.go
+++ b/meter/meter.go
@@ -15,45 +15,46 @@
 	"limpetcleat/throttler"
 )
 
-// The names of the metrics, which all begin with the prefix.
+// The names of the metrics, without the prefix.
 const (
-	forwardedMetric  = "forwarded_total"
-	sendsMetric      = "sends_total"
-	storeMetric      = "store_calls_total"
-	arrivedMetric    = "store_bytes_total"
-	firstMetric      = "first_byte_seconds"
-	totalMetric      = "duration_seconds"
-	gapMetric        = "longest_gap_seconds"
-	unreadableMetric = "unreadable_entries"
-	versionMetric    = "configuration_version"
-	ageMetric        = "configuration_age_seconds"
-	askingMetric     = "asks_store"
-	heldOffMetric    = "held_off_requests"
-	suspectedMetric  = "suspected_requests"
-	limitedMetric    = "limited_upstreams"
-	leavingMetric    = "leaving_upstreams"
-	backoffsMetric   = "backoffs_total"
-	permitsMetric    = "permits_total"
+	forwardedMetric        = "forwarded_total"
+	sendsMetric            = "sends_total"
+	storeCallsMetric       = "store_calls_total"
+	storeBytesMetric       = "store_bytes_total"
+	firstByteMetric        = "first_byte_seconds"
+	durationMetric         = "duration_seconds"
+	longestGapMetric       = "longest_gap_seconds"
+	unreadableMetric       = "unreadable_entries"
+	versionMetric          = "configuration_version"
+	ageMetric              = "configuration_age_seconds"
+	asksStoreMetric        = "asks_store"
+	heldOffMetric          = "held_off_requests"
+	suspectedMetric        = "suspected_requests"
+	limitedUpstreamsMetric = "limited_upstreams"
+	leavingUpstreamsMetric = "leaving_upstreams"
+	backoffsMetric         = "backoffs_total"
+	permitsMetric          = "permits_total"
 )
 
-// The values of the label "met".
+// The values of the label "met", which records whether a request met its objectives.
 const (
-	metLabel  = "met"
-	lateLabel = "late"
+	metValue  = "met"
+	lateValue = "late"
 )
 
-// Meter counts the requests of an entry. Labels are services, tiers, reasons and
-// statuses: never organisations, rules or upstreams, which are too many. It is
-// safe for concurrent use.
+// Meter records the metrics of a node that forwards requests. The labels of requests are services,
+// tiers, reasons, statuses and whether the objectives were met; organisations, rules and upstreams
+// are never labels because they are too many. A Meter is safe for concurrent use.
 type Meter struct {
 	scope *Scope
-	// mutex guards scopes; no other lock is taken under it.
+	// mutex guards scopes. No other lock of this package is taken while it is held.
 	mutex sync.Mutex
-	// scopes holds those made so far by their labels.
-	scopes map[labels]tally.Scope
+	// scopes caches the scopes of requests by their labels.
+	scopes map[requestLabels]tally.Scope
 }
 
-type labels struct {
+// requestLabels are the label values of the counters of requests.
+type requestLabels struct {
 	service definer.PoolName
 	tier    int
 	reason  forwarder.Reason
@@ -61,29 +62,30 @@
 	met     string
 }
 
-// New returns a meter; report is told of metrics that cannot be registered.
+// New returns a meter. It calls report for each metric that cannot be registered. The caller closes
+// the meter.
 func New(report func(error)) *Meter {
 	all := []string{"service", "tier", "reason", "status", "met"}
 	return &Meter{
-		scopes: make(map[labels]tally.Scope),
+		scopes: make(map[requestLabels]tally.Scope),
 		scope: NewScope(report,
 			Counter{forwardedMetric, all, "Ended requests by how they ended."},
 			Counter{sendsMetric, all, "Sends to upstreams of those requests."},
-			Counter{storeMetric, []string{"feed", "reason", "outcome"}, "Calls to the platform's store by what was asked for, why, and how they ended."},
+			Counter{storeCallsMetric, []string{"feed", "reason", "outcome"}, "Calls to the platform's store by what was asked for, why, and how they ended."},
 			Counter{permitsMetric, []string{"outcome"}, "Asks for permits to send a request to an upstream with a limit."},
 			Counter{backoffsMetric, nil, "Refusals of upstreams that asked not to be sent anything for a time."},
-			Counter{arrivedMetric, nil, "Bytes of its answers, also of those that were given up before their end."},
+			Counter{storeBytesMetric, nil, "Bytes of its answers, also of those that were given up before their end."},
 		),
 	}
 }
 
-// Record counts one ended request.
+// Record counts one finished request. Only served requests are added to the latency histograms.
 func (meter *Meter) Record(record forwarder.Record) {
-	met := lateLabel
+	met := lateValue
 	if record.MetObjectives() {
-		met = metLabel
+		met = metValue
 	}
-	scope := meter.of(labels{record.Service, record.Tier, record.Reason, record.Status, met})
+	scope := meter.requestScope(requestLabels{record.Service, record.Tier, record.Reason, record.Status, met})
 	scope.Counter(forwardedMetric).Inc(1)
 	scope.Counter(sendsMetric).Inc(int64(record.Sends))
 	if record.Version > 0 {
@@ -94,14 +96,15 @@
 		return
 	}
 	timings := meter.scope.Tagged(map[string]string{"service": string(record.Service), "tier": strconv.Itoa(record.Tier)})
-	observe(timings, firstMetric, record.First)
-	observe(timings, totalMetric, record.Total)
+	recordDuration(timings, firstByteMetric, record.First)
+	recordDuration(timings, durationMetric, record.Total)
 	if record.Gap > 0 {
-		observe(timings, gapMetric, record.Gap)
+		recordDuration(timings, longestGapMetric, record.Gap)
 	}
 }
 
-func observe(scope tally.Scope, name string, duration time.Duration) {
+// recordDuration adds a duration to the histogram with the name.
+func recordDuration(scope tally.Scope, name string, duration time.Duration) {
 	scope.Histogram(name, DurationBuckets()).RecordDuration(duration)
 }
 
@@ -111,55 +114,56 @@
 		"feed":    call.Feed,
 		"reason":  string(call.Reason),
 		"outcome": string(call.Outcome),
-	}).Counter(storeMetric).Inc(1)
+	}).Counter(storeCallsMetric).Inc(1)
 }
 
-// StoreBytes counts bytes of answers of the platform's store.
-func (meter *Meter) StoreBytes(bytes int64) { meter.scope.Counter(arrivedMetric).Inc(bytes) }
+// StoreBytes counts bytes of responses of the platform's store.
+func (meter *Meter) StoreBytes(bytes int64) { meter.scope.Counter(storeBytesMetric).Inc(bytes) }
 
-// Unreadable tells how many entries of the platform's store cannot be read.
+// Unreadable sets the number of entries in the platform's store that cannot be read.
 func (meter *Meter) Unreadable(entries int) {
 	meter.scope.Gauge(unreadableMetric).Update(float64(entries))
 }
 
-// Asking tells whether this node asks the platform's store or hears from others.
+// Asking sets whether this node reads the platform's store itself instead of relying on the reports
+// of other nodes.
 func (meter *Meter) Asking(asks bool) {
 	value := 0.0
 	if asks {
 		value = 1
 	}
-	meter.scope.Gauge(askingMetric).Update(value)
+	meter.scope.Gauge(asksStoreMetric).Update(value)
 }
 
-// Suspecting tells how many requests are held off, and how many are known under which an
-// upstream ended.
+// Suspecting sets the number of requests that are held off and the number under which an upstream
+// has crashed.
 func (meter *Meter) Suspecting(held, suspected int) {
 	meter.scope.Gauge(heldOffMetric).Update(float64(held))
 	meter.scope.Gauge(suspectedMetric).Update(float64(suspected))
 }
 
-// Announced tells how many upstreams have a limit, and how many said that they leave.
+// Announced sets the number of upstreams with a limit and of those that announced that they leave.
 func (meter *Meter) Announced(counts announcer.Counts) {
-	meter.scope.Gauge(limitedMetric).Update(float64(counts.Limited))
-	meter.scope.Gauge(leavingMetric).Update(float64(counts.Leaving))
+	meter.scope.Gauge(limitedUpstreamsMetric).Update(float64(counts.Limited))
+	meter.scope.Gauge(leavingUpstreamsMetric).Update(float64(counts.Leaving))
 }
 
-// BackedOff counts a refusal of an upstream that asked for a backoff.
+// BackedOff counts one response of an upstream that requests a backoff.
 func (meter *Meter) BackedOff() { meter.scope.Counter(backoffsMetric).Inc(1) }
 
-// Permits counts an ask for a permit.
+// Permits counts one request for a permit by its outcome.
 func (meter *Meter) Permits(outcome throttler.Outcome) {
 	meter.scope.Tagged(map[string]string{"outcome": string(outcome)}).Counter(permitsMetric).Inc(1)
 }
 
-// Handler serves the metrics as text.
+// Handler returns a handler that serves the metrics as text.
 func (meter *Meter) Handler() http.Handler { return meter.scope.Handler() }
 
-// Close ends the meter.
+// Close stops the reporting of the meter.
 func (meter *Meter) Close() error { return meter.scope.Close() }
 
-// of returns the scope for the labels.
-func (meter *Meter) of(labels labels) tally.Scope {
+// requestScope returns the scope for the labels, which it creates on first use.
+func (meter *Meter) requestScope(labels requestLabels) tally.Scope {
 	meter.mutex.Lock()
 	defer meter.mutex.Unlock()
 	scope, ok := meter.scopes[labels]
--- a/meter/scope.go
+++ b/meter/scope.go
@@ -1,4 +1,5 @@
-// Package meter counts, by tally, and serves the counts to a scraper.
+// Package meter collects a node's metrics with tally and serves them in the Prometheus text format.
+// It records requests, calls to the platform's store, upstream announcements and duties.
 package meter
 
 import (
@@ -13,28 +14,28 @@
 )
 
 const (
-	// Prefix is that of all metrics.
+	// Prefix is the prefix of all metric names.
 	Prefix = "limpetcleat"
-	// reportInterval is how far behind a scrape may be.
+	// reportInterval is the interval at which tally passes values on; a scrape may be that old.
 	reportInterval = time.Second
 )
 
-// Counter is the name of a counter with its labels and what it tells.
+// Counter describes a counter: its name without the prefix, its labels and its help text.
 type Counter struct {
 	Name   string
 	Labels []string
 	Help   string
 }
 
-// Scope is the root of a process's metrics.
+// Scope is the root scope of a process's metrics.
 type Scope struct {
 	tally.Scope
 	closer  io.Closer
 	handler http.Handler
 }
 
-// NewScope returns a root scope with help texts for the counters; report is told
-// of metrics that cannot be registered.
+// NewScope returns a root scope in which the counters are registered with their help texts. It
+// calls report for each metric that cannot be registered. The caller closes the scope.
 func NewScope(report func(error), counters ...Counter) *Scope {
 	registry := prom.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
@@ -54,14 +55,14 @@
 	return &Scope{Scope: root, closer: closer, handler: reporter.HTTPHandler()}
 }
 
-// Handler serves the metrics as text.
+// Handler returns a handler that serves the metrics as text.
 func (scope *Scope) Handler() http.Handler { return scope.handler }
 
-// Close ends the scope's reports.
+// Close stops the reporting of the scope.
 func (scope *Scope) Close() error { return scope.closer.Close() }
 
-// DurationBuckets returns the bounds of the buckets of latencies, from 5 ms to
-// some 11 minutes, each twice the one before.
+// DurationBuckets returns the bucket bounds of latency histograms: 18 bounds from 5 ms to about
+// 11 minutes, each twice the previous one.
 func DurationBuckets() tally.Buckets {
 	return tally.MustMakeExponentialDurationBuckets(5*time.Millisecond, 2, 18)
 }
