--- a/loader/table.go
+++ b/loader/table.go
@@ -124,7 +124,7 @@
 			func(settings *Settings) *time.Duration { return &settings.dispatch.firstByteTimeout }),
 		durationSetting("dispatch", "stallTimeout", interval[time.Duration]{100 * time.Millisecond, 10 * time.Minute}, "20s", "The maximum pause within an upstream's response.",
 			func(settings *Settings) *time.Duration { return &settings.dispatch.stallTimeout }),
-		durationSetting("dispatch", "longestBackoff", interval[time.Duration]{time.Second, time.Hour}, "1h", "The maximum time for which an upstream that rejects requests may ask to be sent none.",
+		durationSetting("dispatch", "longestBackoff", interval[time.Duration]{time.Second, time.Hour}, "1h", "The maximum backoff that an upstream may request when it rejects a request.",
 			func(settings *Settings) *time.Duration { return &settings.dispatch.longestBackoff }),
 		countSetting("dispatch", "maxPerUpstreamConnections", "connections", interval[int]{1, 10_000}, "256", "The maximum number of connections to one upstream.",
 			func(settings *Settings) *int { return &settings.dispatch.maxPerUpstreamConnections }),
