--- a/standin/platform/errors.go
+++ b/standin/platform/errors.go
@@ -5,17 +5,17 @@
 	"net/http"
 )
 
-// Kind says why the platform refused.
+// Kind classifies an Error.
 type Kind string
 
-// The kinds of refusals.
+// The kinds of errors: a failed condition, a missing object, and a revision outside the history.
 const (
 	KindConflict Kind = "conflict"
 	KindNotFound Kind = "notFound"
 	KindGone     Kind = "gone"
 )
 
-// Error is a refusal of the store.
+// Error reports why an operation on the object store was rejected.
 type Error struct {
 	Operation string
 	Kind      Kind
@@ -26,6 +26,7 @@
 	return fmt.Sprintf("platform %s: %s", err.Operation, err.Kind)
 }
 
+// status returns the HTTP status of the error.
 func (err *Error) status() int {
 	switch err.Kind {
 	case KindConflict:
--- a/standin/platform/faults.go
+++ b/standin/platform/faults.go
@@ -9,28 +9,29 @@
 	"limpetcleat/standin/internal/host"
 )
 
-// Faults is what POST /faults sets; a field that is not given keeps its value.
+// Faults configures fault injection through POST /faults; an omitted field keeps its value.
 type Faults struct {
-	// Outage answers every call of the API with 503.
+	// Outage makes every API request fail with 503.
 	Outage bool `json:"outage"`
-	// OutageHang leaves the calls of an outage without an answer instead.
+	// OutageHang makes requests during an outage hang without a response instead.
 	OutageHang bool `json:"outageHang"`
-	// SlowMs delays every call, in milliseconds, before it takes effect.
+	// SlowMs is the delay of every API request before it takes effect, in milliseconds.
 	SlowMs int `json:"slowMs"`
-	// LoseAnswers is how many writes still take effect and then lose their answer.
+	// LoseAnswers is the number of subsequent writes that take effect but whose response is lost.
 	LoseAnswers int `json:"loseAnswers"`
-	// LoseAnswersKind limits LoseAnswers to one kind of objects unless it is empty.
+	// LoseAnswersKind restricts LoseAnswers to one kind of object; empty means all kinds.
 	LoseAnswersKind string `json:"loseAnswersKind"`
-	// FailWrites is how many writes still fail with 500 without effect.
+	// FailWrites is the number of subsequent writes that fail with 500 and have no effect.
 	FailWrites int `json:"failWrites"`
 }
 
-// Calls counts the calls of the API that arrived, refused ones too.
+// Calls counts the received API requests, including those rejected by a rate limit or an outage.
+// Requests without a valid token are not counted.
 type Calls struct {
 	Reads   int64 `json:"reads"`
 	Writes  int64 `json:"writes"`
 	Watches int64 `json:"watches"`
-	// Limited counts those of them that met the rate limit.
+	// Limited counts the requests among these that exceeded a rate limit.
 	Limited int64 `json:"limited"`
 }
 
@@ -42,7 +43,7 @@
 		return
 	}
 	platform.faults = faults
-	platform.wakeLocked()
+	platform.notifyWatchersLocked()
 	host.Answer(writer, http.StatusOK, faults)
 }
 
@@ -64,14 +65,15 @@
 	return platform.faults
 }
 
-// wakeLocked lets every waiting watch look again.
-func (platform *Platform) wakeLocked() {
+// notifyWatchersLocked makes every pending watch check the store and the faults again.
+func (platform *Platform) notifyWatchersLocked() {
 	close(platform.changed)
 	platform.changed = make(chan struct{})
 }
 
-// failLocked takes one of the writes that are to fail.
-func (platform *Platform) failLocked() bool {
+// takeFailedWriteLocked reports whether the current write has to fail, and decrements FailWrites if
+// so.
+func (platform *Platform) takeFailedWriteLocked() bool {
 	if platform.faults.FailWrites <= 0 {
 		return false
 	}
@@ -79,8 +81,9 @@
 	return true
 }
 
-// loseLocked takes one of the answers that are to be lost.
-func (platform *Platform) loseLocked(kind string) bool {
+// takeLostResponseLocked reports whether the response to the current write has to be lost, and
+// decrements LoseAnswers if so.
+func (platform *Platform) takeLostResponseLocked(kind string) bool {
 	faults := &platform.faults
 	if faults.LoseAnswers <= 0 {
 		return false
@@ -92,8 +95,8 @@
 	return true
 }
 
-// outage answers as the outage wants it and returns true while there is one.
-func (platform *Platform) outage(writer http.ResponseWriter, request *http.Request) bool {
+// serveOutage reports whether an outage is configured, and handles the request accordingly if so.
+func (platform *Platform) serveOutage(writer http.ResponseWriter, request *http.Request) bool {
 	faults := platform.currentFaults()
 	if !faults.Outage {
 		return false
@@ -107,9 +110,9 @@
 	return true
 }
 
-// slow delays the call. A write takes effect also when its client has left by
-// then.
-func (platform *Platform) slow(request *http.Request) {
+// delayRequest waits for the configured delay, or until the client disconnects or the platform is
+// closed. A write takes effect even if its client has disconnected.
+func (platform *Platform) delayRequest(request *http.Request) {
 	duration := time.Duration(platform.currentFaults().SlowMs) * time.Millisecond
 	platform.host.Wait(request.Context(), duration)
 }
--- a/standin/platform/objects.go
+++ b/standin/platform/objects.go
@@ -14,14 +14,14 @@
 	"limpetcleat/standin/internal/host"
 )
 
-func keyOf(params httprouter.Params) objectKey {
+func objectKeyOf(params httprouter.Params) objectKey {
 	return objectKey{kind: params.ByName("kind"), name: params.ByName("name")}
 }
 
 func (platform *Platform) getObject(writer http.ResponseWriter, request *http.Request, params httprouter.Params) {
-	platform.slow(request)
+	platform.delayRequest(request)
 	platform.mu.Lock()
-	object, found := platform.store.get(keyOf(params))
+	object, found := platform.store.get(objectKeyOf(params))
 	platform.mu.Unlock()
 	if !found {
 		host.Fail(writer, http.StatusNotFound, string(KindNotFound), "no such object")
@@ -31,7 +31,7 @@
 }
 
 func (platform *Platform) listObjects(writer http.ResponseWriter, request *http.Request, params httprouter.Params) {
-	platform.slow(request)
+	platform.delayRequest(request)
 	platform.mu.Lock()
 	items := platform.store.list(params.ByName("kind"))
 	platform.mu.Unlock()
@@ -49,32 +49,31 @@
 		host.Fail(writer, http.StatusBadRequest, "invalidBody", "the value is not JSON")
 		return
 	}
-	key := keyOf(params)
+	key := objectKeyOf(params)
 	platform.write(writer, request, key, func(condition condition) (Object, error) {
 		return platform.store.put(key, value, condition)
 	})
 }
 
 func (platform *Platform) deleteObject(writer http.ResponseWriter, request *http.Request, params httprouter.Params) {
-	key := keyOf(params)
+	key := objectKeyOf(params)
 	platform.write(writer, request, key, func(condition condition) (Object, error) {
 		return platform.store.remove(key, condition)
 	})
 }
 
-// write carries out one change under the lock, with the faults that writes can
-// have.
+// write applies one change while holding the lock, subject to the configured write faults.
 func (platform *Platform) write(
 	writer http.ResponseWriter, request *http.Request, key objectKey, change func(condition) (Object, error),
 ) {
-	condition, err := conditionOf(request.Header)
+	condition, err := parseCondition(request.Header)
 	if err != nil {
 		host.Fail(writer, http.StatusBadRequest, "invalidCondition", err.Error())
 		return
 	}
-	platform.slow(request)
+	platform.delayRequest(request)
 	platform.mu.Lock()
-	if platform.failLocked() {
+	if platform.takeFailedWriteLocked() {
 		platform.mu.Unlock()
 		host.Fail(writer, http.StatusInternalServerError, "failed", "the write had no effect")
 		return
@@ -82,50 +81,56 @@
 	object, err := change(condition)
 	lost := false
 	if err == nil {
-		lost = platform.loseLocked(key.kind)
-		platform.wakeLocked()
+		lost = platform.takeLostResponseLocked(key.kind)
+		platform.notifyWatchersLocked()
 	}
 	platform.mu.Unlock()
 	if lost {
 		host.Cut(writer)
 		return
 	}
-	answerWrite(writer, object, err)
+	respondToWrite(writer, object, err)
 }
 
-// absent is the body of a failed condition where no object stands.
-type absent struct {
+// missingObject is the response body of a rejected write if the object does not exist.
+type missingObject struct {
 	Version int64 `json:"version"`
 }
 
-func answerWrite(writer http.ResponseWriter, object Object, err error) {
-	var refusal *Error
-	if !errors.As(err, &refusal) {
+// respondToWrite sends the written object, or the current object if the write was rejected.
+func respondToWrite(writer http.ResponseWriter, object Object, err error) {
+	var rejection *Error
+	if !errors.As(err, &rejection) {
 		host.Answer(writer, http.StatusOK, object)
 		return
 	}
 	if object.Version == 0 {
-		host.Answer(writer, refusal.status(), absent{})
+		host.Answer(writer, rejection.status(), missingObject{})
 		return
 	}
-	host.Answer(writer, refusal.status(), object)
+	host.Answer(writer, rejection.status(), object)
 }
 
-func conditionOf(header http.Header) (condition, error) {
+// parseCondition returns the condition in If-None-Match or If-Match. It returns an error if the
+// version in If-Match is not a number.
+func parseCondition(header http.Header) (condition, error) {
 	if header.Get("If-None-Match") == "*" {
 		return condition{checked: true}, nil
 	}
-	match := strings.Trim(header.Get("If-Match"), `"`)
-	if match == "" {
+	versionText := strings.Trim(header.Get("If-Match"), `"`)
+	if versionText == "" {
 		return condition{}, nil
 	}
-	version, err := strconv.ParseInt(match, 10, 64)
+	version, err := strconv.ParseInt(versionText, 10, 64)
 	if err != nil {
 		return condition{}, err
 	}
 	return condition{version: version, checked: true}, nil
 }
 
+// watch responds once objects of the kind have changed after the requested revision, or with no
+// items after the requested timeout. It responds with 410 if the history no longer reaches back to
+// that revision, or if the revision is later than the current one.
 func (platform *Platform) watch(writer http.ResponseWriter, request *http.Request, params httprouter.Params) {
 	query := request.URL.Query()
 	since, err := strconv.ParseInt(query.Get("since"), 10, 64)
@@ -133,21 +138,21 @@
 		host.Fail(writer, http.StatusBadRequest, "invalidSince", err.Error())
 		return
 	}
-	platform.slow(request)
+	platform.delayRequest(request)
 	timer := time.NewTimer(watchTimeout(query.Get("timeoutMs")))
 	defer timer.Stop()
 	expired := false
 	for {
-		if platform.outage(writer, request) {
+		if platform.serveOutage(writer, request) {
 			return
 		}
 		platform.mu.Lock()
-		items, err := platform.store.since(params.ByName("kind"), since)
+		items, err := platform.store.changedSince(params.ByName("kind"), since)
 		changed := platform.changed
 		platform.mu.Unlock()
-		var refusal *Error
-		if errors.As(err, &refusal) {
-			host.Fail(writer, refusal.status(), string(refusal.Kind), "the history does not reach back so far")
+		var rejection *Error
+		if errors.As(err, &rejection) {
+			host.Fail(writer, rejection.status(), string(rejection.Kind), "the history does not reach back so far")
 			return
 		}
 		if expired || len(items.Items) > 0 {
@@ -167,10 +172,11 @@
 	}
 }
 
+// watchTimeout parses a timeout in milliseconds; an invalid one gives defaultWatchTimeout.
 func watchTimeout(text string) time.Duration {
 	milliseconds, err := strconv.Atoi(text)
 	if err != nil || milliseconds < 0 {
-		return defaultWatch
+		return defaultWatchTimeout
 	}
 	return time.Duration(milliseconds) * time.Millisecond
 }
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,6 +1,6 @@
-// Package platform stands in for the platform's object API: versions,
-// conditional updates, watches, a lagging list of VMs, rate limits and faults.
-// docs/STANDINS.md has its protocol.
+// Package platform is an in-memory test double for the platform's object API, with versioned
+// objects, conditional writes, watches, a delayed list of VMs, rate limits and fault injection. The
+// protocol is described in docs/STANDINS.md.
 package platform
 
 import (
@@ -17,104 +17,106 @@
 )
 
 const (
-	maxValueBytes   = 1 << 20
-	defaultHistory  = 1000
-	defaultWatch    = 30 * time.Second
-	unlimited       = rate.Inf
-	retryAfterValue = "1"
+	maxValueBytes       = 1 << 20
+	defaultHistoryLimit = 1000
+	defaultWatchTimeout = 30 * time.Second
+	unlimited           = rate.Inf
+	retryAfterSeconds   = "1"
 )
 
-// Platform is one stand-in of the object API. All of its state is in memory.
+// Platform serves the object API from memory. It is safe for concurrent use.
 type Platform struct {
-	host    *host.Host
-	token   string
-	now     func() time.Time
-	lag     time.Duration
-	bound   int
-	reads   *rate.Limiter
-	writes  *rate.Limiter
-	handler http.Handler
-
-	// mu guards everything below; no other lock is taken under it.
+	host         *host.Host
+	token        string
+	now          func() time.Time
+	listLag      time.Duration
+	historyLimit int
+	reads        *rate.Limiter
+	writes       *rate.Limiter
+	handler      http.Handler
+
+	// mu guards the fields below; no other lock is acquired while it is held.
 	mu     sync.Mutex
 	store  *store
 	vms    map[string]VM
-	list   *delayer.Delayer[VMList]
+	vmList *delayer.Delayer[VMList]
 	faults Faults
 	calls  Calls
-	// changed is closed and replaced whenever the store or the faults change.
+	// changed is closed and replaced whenever an object or the faults change.
 	changed chan struct{}
 }
 
-// Option changes one property of a Platform.
+// Option configures a Platform.
 type Option func(*Platform)
 
-// WithToken makes every call carry this bearer token.
+// WithToken sets the bearer token that every request except GET /health must carry.
 func WithToken(token string) Option {
 	return func(platform *Platform) { platform.token = token }
 }
 
-// WithRates limits the calls a second; a burst of one second's calls is taken.
-// Zero is no limit.
+// WithRates sets the rate limits for writes and for reads and watches, in requests per second. The
+// burst equals one second's requests. Zero means no limit.
 func WithRates(writes, reads int) Option {
 	return func(platform *Platform) {
-		platform.writes = limiter(writes)
-		platform.reads = limiter(reads)
+		platform.writes = newLimiter(writes)
+		platform.reads = newLimiter(reads)
 	}
 }
 
-// WithListLag sets how late the list of VMs shows a change.
+// WithListLag sets the delay after which a change appears in the list of VMs.
 func WithListLag(lag time.Duration) Option {
-	return func(platform *Platform) { platform.lag = lag }
+	return func(platform *Platform) { platform.listLag = lag }
 }
 
-// WithHistory sets how many changes a watch can look back.
+// WithHistory sets the number of changes that are retained for watches.
 func WithHistory(changes int) Option {
-	return func(platform *Platform) { platform.bound = changes }
+	return func(platform *Platform) { platform.historyLimit = changes }
 }
 
-// WithClock sets the clock of the rate limits and of the list's lag.
+// WithClock sets the clock for the rate limits and for the delay of the list of VMs.
 func WithClock(now func() time.Time) Option {
 	return func(platform *Platform) { platform.now = now }
 }
 
-// New returns an empty Platform.
+// New returns an empty Platform without rate limits, delay or token unless options set them.
 func New(opts ...Option) *Platform {
 	platform := &Platform{
-		host:    host.New(),
-		now:     time.Now,
-		bound:   defaultHistory,
-		reads:   limiter(0),
-		writes:  limiter(0),
-		vms:     map[string]VM{},
-		changed: make(chan struct{}),
+		host:         host.New(),
+		now:          time.Now,
+		historyLimit: defaultHistoryLimit,
+		reads:        newLimiter(0),
+		writes:       newLimiter(0),
+		vms:          map[string]VM{},
+		changed:      make(chan struct{}),
 	}
 	for _, opt := range opts {
 		opt(platform)
 	}
-	platform.store = newStore(platform.bound)
-	platform.list = delayer.New(platform.lag, VMList{VMs: []VM{}})
-	platform.handler = platform.routes()
+	platform.store = newStore(platform.historyLimit)
+	platform.vmList = delayer.New(platform.listLag, VMList{VMs: []VM{}})
+	platform.handler = platform.newRouter()
 	return platform
 }
 
-// Handler returns the whole API.
+// Handler returns the HTTP API, including the administrative endpoints.
 func (platform *Platform) Handler() http.Handler {
 	return platform.handler
 }
 
-// Serve answers on the listener until the context ends or Close is called.
+// Serve handles requests on the listener until the context ends or Close is called. It returns nil
+// after such an end.
 func (platform *Platform) Serve(ctx context.Context, listener net.Listener) error {
 	return platform.host.Serve(ctx, listener, platform.handler)
 }
 
-// Close ends every call that waits and every Serve.
+// Close ends every pending request and every Serve. It always returns nil.
 func (platform *Platform) Close() error {
 	platform.host.Close()
 	return nil
 }
 
-func limiter(perSecond int) *rate.Limiter {
+// newLimiter returns a limiter whose burst equals one second's requests; zero means no limit.
+func newLimiter(perSecond int) *rate.Limiter {
 	if perSecond <= 0 {
 		return rate.NewLimiter(unlimited, 1)
 	}
--- a/standin/platform/platform_test.go
+++ b/standin/platform/platform_test.go
@@ -19,7 +19,7 @@
 	"limpetcleat/standin/platform"
 )
 
-// client calls one platform over a loopback socket.
+// client sends requests to one platform over a loopback socket.
 type client struct {
 	t   *testing.T
 	url string
@@ -36,7 +36,8 @@
 	return client{t: t, url: server.URL}
 }
 
-// call returns status 0 when the connection ended without an answer.
+// call returns the status and the body of the response. It returns status 0 and the text of the
+// error if the connection was closed without a response. headers holds names and values in turn.
 func (client client) call(method, path, body string, headers ...string) (int, string) {
 	client.t.Helper()
 	request, err := http.NewRequest(method, client.url+path, strings.NewReader(body))
@@ -140,7 +141,7 @@
 			status, _ = client.call("GET", "/objects/rule/a", "")
 			assert.Equal(t, status == 200, test.effect)
 			status, answer = client.call("PUT", "/objects/rule/b", "1")
-			assert.Equal(t, status, 200, "the fault is spent: %s", answer)
+			assert.Equal(t, status, 200, "a write after the fault must succeed: %s", answer)
 		})
 	}
 }
@@ -156,27 +157,27 @@
 	assert.ErrorIs(t, err, context.DeadlineExceeded)
 }
 
-// stepped is a clock that the test moves.
-type stepped struct {
+// manualClock is a clock that advances only by add.
+type manualClock struct {
 	mu  sync.Mutex
 	now time.Time
 }
 
-func (stepped *stepped) read() time.Time {
-	stepped.mu.Lock()
-	defer stepped.mu.Unlock()
-	return stepped.now
+func (clock *manualClock) current() time.Time {
+	clock.mu.Lock()
+	defer clock.mu.Unlock()
+	return clock.now
 }
 
-func (stepped *stepped) add(duration time.Duration) {
-	stepped.mu.Lock()
-	defer stepped.mu.Unlock()
-	stepped.now = stepped.now.Add(duration)
+func (clock *manualClock) add(duration time.Duration) {
+	clock.mu.Lock()
+	defer clock.mu.Unlock()
+	clock.now = clock.now.Add(duration)
 }
 
 func TestVMListLags(t *testing.T) {
-	clock := &stepped{now: time.Unix(1000, 0)}
-	client := start(t, platform.WithListLag(time.Second), platform.WithClock(clock.read))
+	clock := &manualClock{now: time.Unix(1000, 0)}
+	client := start(t, platform.WithListLag(time.Second), platform.WithClock(clock.current))
 	names := func() string {
 		_, answer := client.call("GET", "/vms", "")
 		var list platform.VMList
@@ -203,8 +204,8 @@
 }
 
 func TestRatesAndToken(t *testing.T) {
-	clock := &stepped{now: time.Unix(1000, 0)}
-	client := start(t, platform.WithRates(1, 2), platform.WithToken("key"), platform.WithClock(clock.read))
+	clock := &manualClock{now: time.Unix(1000, 0)}
+	client := start(t, platform.WithRates(1, 2), platform.WithToken("key"), platform.WithClock(clock.current))
 	steps := []struct {
 		method, path, token string
 		pause               time.Duration
--- a/standin/platform/routes.go
+++ b/standin/platform/routes.go
@@ -9,23 +9,23 @@
 	"limpetcleat/standin/internal/host"
 )
 
-// callClass says which rate limit a call falls under.
-type callClass int
+// requestClass determines which counter and which rate limit apply to a request.
+type requestClass int
 
 const (
-	readCall callClass = iota
-	writeCall
-	watchCall
+	readRequest requestClass = iota
+	writeRequest
+	watchRequest
 )
 
-func (platform *Platform) routes() http.Handler {
+func (platform *Platform) newRouter() http.Handler {
 	router := httprouter.New()
-	router.GET("/objects/:kind/:name", platform.call(readCall, platform.getObject))
-	router.GET("/objects/:kind", platform.call(readCall, platform.listObjects))
-	router.PUT("/objects/:kind/:name", platform.call(writeCall, platform.putObject))
-	router.DELETE("/objects/:kind/:name", platform.call(writeCall, platform.deleteObject))
-	router.GET("/watch/:kind", platform.call(watchCall, platform.watch))
-	router.GET("/vms", platform.call(readCall, platform.listVMs))
+	router.GET("/objects/:kind/:name", platform.limited(readRequest, platform.getObject))
+	router.GET("/objects/:kind", platform.limited(readRequest, platform.listObjects))
+	router.PUT("/objects/:kind/:name", platform.limited(writeRequest, platform.putObject))
+	router.DELETE("/objects/:kind/:name", platform.limited(writeRequest, platform.deleteObject))
+	router.GET("/watch/:kind", platform.limited(watchRequest, platform.watch))
+	router.GET("/vms", platform.limited(readRequest, platform.listVMs))
 	router.PUT("/vms/:name", platform.authorised(platform.putVM))
 	router.DELETE("/vms/:name", platform.authorised(platform.deleteVM))
 	router.GET("/calls", platform.authorised(platform.getCalls))
@@ -39,7 +39,7 @@
 	host.Answer(writer, http.StatusOK, struct{}{})
 }
 
-// authorised checks the bearer token. Calls of the tests' own stop here.
+// authorised checks the bearer token. Administrative endpoints for tests have no further checks.
 func (platform *Platform) authorised(next httprouter.Handle) httprouter.Handle {
 	want := []byte("Bearer " + platform.token)
 	return func(writer http.ResponseWriter, request *http.Request, params httprouter.Params) {
@@ -52,16 +52,15 @@
 	}
 }
 
-// call puts the token, the outage, the rate limits and the slowness before a
-// call of the API.
-func (platform *Platform) call(class callClass, next httprouter.Handle) httprouter.Handle {
+// limited applies the token check, the outage and the rate limits to an API handler.
+func (platform *Platform) limited(class requestClass, next httprouter.Handle) httprouter.Handle {
 	return platform.authorised(func(writer http.ResponseWriter, request *http.Request, params httprouter.Params) {
-		allowed := platform.count(class)
-		if platform.outage(writer, request) {
+		allowed := platform.countAndAllow(class)
+		if platform.serveOutage(writer, request) {
 			return
 		}
 		if !allowed {
-			writer.Header().Set("Retry-After", retryAfterValue)
+			writer.Header().Set("Retry-After", retryAfterSeconds)
 			host.Fail(writer, http.StatusTooManyRequests, "rateLimited", "too many calls a second")
 			return
 		}
@@ -69,16 +68,16 @@
 	})
 }
 
-// count records the call and returns whether its rate limit has room.
-func (platform *Platform) count(class callClass) bool {
+// countAndAllow counts the request and reports whether it is within its rate limit.
+func (platform *Platform) countAndAllow(class requestClass) bool {
 	platform.mu.Lock()
 	defer platform.mu.Unlock()
 	limit := platform.reads
 	switch class {
-	case writeCall:
+	case writeRequest:
 		platform.calls.Writes++
 		limit = platform.writes
-	case watchCall:
+	case watchRequest:
 		platform.calls.Watches++
 	default:
 		platform.calls.Reads++
--- a/standin/platform/store.go
+++ b/standin/platform/store.go
@@ -6,32 +6,32 @@
 	"strings"
 )
 
-// Object is one stored object as the API shows it.
+// Object is a stored object as the API represents it.
 type Object struct {
 	Kind string `json:"kind"`
 	Name string `json:"name"`
-	// Version is the revision of the object's last write. It grows and is never
-	// used again.
+	// Version is the store's revision at the object's last write or deletion. Versions increase and
+	// are never reused.
 	Version int64           `json:"version"`
 	Value   json.RawMessage `json:"value"`
 	Deleted bool            `json:"deleted"`
 }
 
-// Items is the answer to a list and to a watch.
+// Items is the response to a list and to a watch.
 type Items struct {
 	Items    []Object `json:"items"`
 	Revision int64    `json:"revision"`
 }
 
-// condition says what a write asks of the object that it replaces.
+// condition is the precondition of a write on the current object.
 type condition struct {
-	// version is the wanted version where checked is set; zero wants that there is
-	// none.
+	// version is the expected version if checked is set; zero requires that the object does not
+	// exist.
 	version int64
 	checked bool
 }
 
-func (condition condition) holds(current int64) bool {
+func (condition condition) matches(current int64) bool {
 	return !condition.checked || condition.version == current
 }
 
@@ -40,19 +40,19 @@
 	name string
 }
 
-// store holds objects and the last changes. Its owner has the lock.
+// store holds objects and the most recent changes. The caller must serialise access.
 type store struct {
 	objects  map[objectKey]Object
 	revision int64
-	// history has the last changes in order of version, deletions too.
-	history []Object
-	bound   int
-	// floor is the version of the last change that history no longer has.
-	floor int64
+	// history holds the most recent changes, including deletions, in order of version.
+	history      []Object
+	historyLimit int
+	// trimmedVersion is the version of the last change that was removed from history.
+	trimmedVersion int64
 }
 
-func newStore(bound int) *store {
-	return &store{objects: map[objectKey]Object{}, bound: bound}
+func newStore(historyLimit int) *store {
+	return &store{objects: map[objectKey]Object{}, historyLimit: historyLimit}
 }
 
 func (store *store) get(key objectKey) (Object, bool) {
@@ -60,23 +60,24 @@
 	return object, found
 }
 
-// put writes the value when the condition holds. It returns the object that
-// then stands.
+// put writes the value if the condition is met. It returns the current object in either case.
 func (store *store) put(key objectKey, value json.RawMessage, condition condition) (Object, error) {
 	current := store.objects[key]
-	if !condition.holds(current.Version) {
+	if !condition.matches(current.Version) {
 		return current, &Error{Operation: "put", Kind: KindConflict}
 	}
 	store.revision++
 	object := Object{Kind: key.kind, Name: key.name, Version: store.revision, Value: value}
 	store.objects[key] = object
-	store.record(object)
+	store.appendHistory(object)
 	return object, nil
 }
 
+// remove deletes the object if the condition is met, and returns it marked as deleted. Otherwise it
+// returns the current object with the error.
 func (store *store) remove(key objectKey, condition condition) (Object, error) {
 	current, found := store.objects[key]
-	if !condition.holds(current.Version) {
+	if !condition.matches(current.Version) {
 		return current, &Error{Operation: "delete", Kind: KindConflict}
 	}
 	if !found {
@@ -86,14 +87,14 @@
 	current.Version = store.revision
 	current.Deleted = true
 	delete(store.objects, key)
-	store.record(current)
+	store.appendHistory(current)
 	return current, nil
 }
 
-func (store *store) record(object Object) {
+func (store *store) appendHistory(object Object) {
 	store.history = append(store.history, object)
-	if len(store.history) > store.bound {
-		store.floor = store.history[0].Version
+	if len(store.history) > store.historyLimit {
+		store.trimmedVersion = store.history[0].Version
 		store.history = store.history[1:]
 	}
 }
@@ -109,10 +110,11 @@
 	return Items{Items: items, Revision: store.revision}
 }
 
-// since returns the last state of each object of the kind that changed after
-// the revision.
-func (store *store) since(kind string, revision int64) (Items, error) {
-	if revision < store.floor || revision > store.revision {
+// changedSince returns the latest state of each object of the kind that changed after the revision.
+// It returns an error of KindGone if the history no longer reaches back to the revision, or if the
+// revision is later than the current one.
+func (store *store) changedSince(kind string, revision int64) (Items, error) {
+	if revision < store.trimmedVersion || revision > store.revision {
 		return Items{}, &Error{Operation: "watch", Kind: KindGone}
 	}
 	items := []Object{}
--- a/standin/platform/vms.go
+++ b/standin/platform/vms.go
@@ -10,7 +10,7 @@
 	"limpetcleat/standin/internal/host"
 )
 
-// VM is one machine of the list.
+// VM is one entry of the list of VMs.
 type VM struct {
 	Name       string `json:"name"`
 	DataCentre string `json:"dataCentre"`
@@ -21,16 +21,16 @@
 	State string `json:"state"`
 }
 
-// VMList is the list as it was some time ago.
+// VMList is a snapshot of the list of VMs, as old as the configured delay.
 type VMList struct {
 	VMs      []VM  `json:"vms"`
 	Revision int64 `json:"revision"`
 }
 
 func (platform *Platform) listVMs(writer http.ResponseWriter, request *http.Request, _ httprouter.Params) {
-	platform.slow(request)
+	platform.delayRequest(request)
 	platform.mu.Lock()
-	list := platform.list.Get(platform.now())
+	list := platform.vmList.Get(platform.now())
 	platform.mu.Unlock()
 	host.Answer(writer, http.StatusOK, list)
 }
@@ -56,7 +56,7 @@
 	host.Answer(writer, http.StatusOK, struct{}{})
 }
 
-// publishLocked makes the present VMs the list that shows after the lag.
+// publishLocked records a snapshot of the current VMs, which becomes visible after the delay.
 func (platform *Platform) publishLocked() {
 	vms := make([]VM, 0, len(platform.vms))
 	for _, vm := range platform.vms {
@@ -64,5 +64,5 @@
 	}
 	slices.SortFunc(vms, func(a, b VM) int { return strings.Compare(a.Name, b.Name) })
 	platform.store.revision++
-	platform.list.Put(platform.now(), VMList{VMs: vms, Revision: platform.store.revision})
+	platform.vmList.Put(platform.now(), VMList{VMs: vms, Revision: platform.store.revision})
 }
