--- a/standin/store/link.go
+++ b/standin/store/link.go
@@ -9,108 +9,112 @@
 	"limpetcleat/timer"
 )
 
-// linkChunk is how many bytes pass a link in one piece.
-const linkChunk = 16 << 10
+// linkChunkBytes is the largest number of bytes that is transmitted and flushed at once.
+const linkChunkBytes = 16 << 10
 
-// Link is a node's way to the store, which answers late and passes so many bytes a
-// second, over all calls together. It is safe for concurrent use.
+// Link simulates the network link between a node and the store: it delays responses and limits the
+// throughput of all responses together. It is safe for concurrent use.
 type Link struct {
-	// mutex guards the rest; no other lock is taken under it.
+	// mutex guards the fields below; no other lock is acquired while it is held.
 	mutex sync.Mutex
-	// rate is in bytes a second, 0 for no bound; delay is that of each answer.
-	rate  int64
-	delay time.Duration
-	// free is when what was sent so far will have passed.
-	free time.Time
-	// passed counts the bytes of answers.
-	passed int64
+	// bytesPerSecond is the throughput limit, 0 for none; delay precedes each response.
+	bytesPerSecond int64
+	delay          time.Duration
+	// idleAt is the time at which the bytes queued so far have been transmitted.
+	idleAt time.Time
+	// sentBytes counts the bytes of response bodies, including those of aborted responses.
+	sentBytes int64
 }
 
-// NewLink returns a link that passes so many bytes a second; 0 is no bound.
-func NewLink(rate int64) *Link { return &Link{rate: rate} }
+// NewLink returns a Link with a throughput limit in bytes per second; 0 means no limit.
+func NewLink(bytesPerSecond int64) *Link { return &Link{bytesPerSecond: bytesPerSecond} }
 
-// Delay makes each answer from now on late by so much.
+// Delay sets the delay before the status line of each subsequent response.
 func (link *Link) Delay(delay time.Duration) {
 	link.mutex.Lock()
 	defer link.mutex.Unlock()
 	link.delay = delay
 }
 
-// Passed returns how many bytes of answers have passed, also of those given up.
-func (link *Link) Passed() int64 {
+// SentBytes returns the number of bytes of response bodies, including those of aborted responses.
+func (link *Link) SentBytes() int64 {
 	link.mutex.Lock()
 	defer link.mutex.Unlock()
-	return link.passed
+	return link.sentBytes
 }
 
-// Over returns the interface as it is met over the link.
+// Over returns the handler with its responses sent over the link.
 func (link *Link) Over(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		handler.ServeHTTP(&linkWriter{ResponseWriter: writer, ctx: request.Context(), link: link}, request)
 	})
 }
 
-// send returns once a piece has passed; the error is the context's.
-func (link *Link) send(ctx context.Context, bytes int) error {
+// transmit blocks until the given number of bytes has been transmitted. It returns the context's
+// error if the context ends first.
+func (link *Link) transmit(ctx context.Context, bytes int) error {
 	return timer.Sleep(ctx, time.Until(link.reserve(bytes)))
 }
 
-// reserve returns when a piece will have passed.
+// reserve queues the given number of bytes and returns the time at which they have been
+// transmitted.
 func (link *Link) reserve(bytes int) time.Time {
 	link.mutex.Lock()
 	defer link.mutex.Unlock()
-	link.passed += int64(bytes)
-	if now := time.Now(); link.free.Before(now) {
-		link.free = now
+	link.sentBytes += int64(bytes)
+	if now := time.Now(); link.idleAt.Before(now) {
+		link.idleAt = now
 	}
-	if link.rate > 0 {
-		link.free = link.free.Add(time.Duration(bytes) * time.Second / time.Duration(link.rate))
+	if link.bytesPerSecond > 0 {
+		link.idleAt = link.idleAt.Add(time.Duration(bytes) * time.Second / time.Duration(link.bytesPerSecond))
 	}
-	return link.free
+	return link.idleAt
 }
 
-// late returns once an answer may begin; the error is the context's.
-func (link *Link) late(ctx context.Context) error {
+// awaitDelay blocks for the delay that precedes a response. It returns the context's error if the
+// context ends first.
+func (link *Link) awaitDelay(ctx context.Context) error {
 	link.mutex.Lock()
 	delay := link.delay
 	link.mutex.Unlock()
 	return timer.Sleep(ctx, delay)
 }
 
-// linkWriter writes one answer over a link.
+// linkWriter writes one response over a link.
 type linkWriter struct {
 	http.ResponseWriter
-	ctx   context.Context
-	link  *Link
-	begun bool
+	ctx         context.Context
+	link        *Link
+	wroteHeader bool
 }
 
-// WriteHeader begins the answer.
+// WriteHeader writes the status line and the headers after the link's delay.
 func (writer *linkWriter) WriteHeader(status int) {
-	if writer.link.late(writer.ctx) != nil {
-		return // The caller has left.
+	if writer.link.awaitDelay(writer.ctx) != nil {
+		return // The client has disconnected.
 	}
-	writer.begun = true
+	writer.wroteHeader = true
 	writer.ResponseWriter.WriteHeader(status)
 }
 
-// Write writes a part of the body. The error is the context's when the caller has left.
+// Write writes a part of the body at the link's throughput. It returns the context's error if the
+// client disconnects.
 func (writer *linkWriter) Write(data []byte) (int, error) {
-	if !writer.begun {
+	if !writer.wroteHeader {
 		writer.WriteHeader(http.StatusOK)
 	}
-	control := http.NewResponseController(writer.ResponseWriter)
+	controller := http.NewResponseController(writer.ResponseWriter)
 	for written := 0; written < len(data); {
-		piece := data[written:min(written+linkChunk, len(data))]
-		if err := writer.link.send(writer.ctx, len(piece)); err != nil {
+		chunk := data[written:min(written+linkChunkBytes, len(data))]
+		if err := writer.link.transmit(writer.ctx, len(chunk)); err != nil {
 			return written, err
 		}
-		count, err := writer.ResponseWriter.Write(piece)
+		count, err := writer.ResponseWriter.Write(chunk)
 		written += count
 		if err != nil {
 			return written, err
 		}
-		if err := control.Flush(); err != nil {
+		if err := controller.Flush(); err != nil {
 			return written, err
 		}
 	}
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -1,6 +1,6 @@
-// Package store is a stand-in for the object store of the users' platform, for
-// tests. It keeps objects by kind and name, counts one revision over all, and
-// answers lists, watches and conditional writes over HTTP and JSON.
+// Package store is an in-memory test double for the platform's object store. It keeps objects by
+// kind and name under one global revision, and serves lists, watches and conditional writes as JSON
+// over HTTP.
 package store
 
 import (
@@ -14,26 +14,27 @@
 	"github.com/julienschmidt/httprouter"
 )
 
-// defaultPage is how many objects an answer to a list holds.
-const defaultPage = 500
+// defaultPageSize is the default maximum number of objects in the response to a list.
+const defaultPageSize = 500
 
-// Metadata is what the store keeps of an object beside its content.
+// Metadata holds an object's name, revisions and deletion state.
 type Metadata struct {
 	Name string `json:"name"`
-	// Revision is that of the last change; in a write, the one that must stand.
+	// Revision is that of the object's last change. In a write it is the expected current revision;
+	// 0 makes the write unconditional.
 	Revision   uint64   `json:"revision,omitempty"`
 	CreateRev  uint64   `json:"create_rev,omitempty"`
 	Finalizers []string `json:"finalizers,omitempty"`
 	Deleting   bool     `json:"deleting,omitempty"`
 }
 
-// Object is one object.
+// Object is a stored object with its content in Spec.
 type Object struct {
 	Metadata Metadata        `json:"metadata"`
 	Spec     json.RawMessage `json:"spec"`
 }
 
-// event is one change in the history of a kind.
+// event is one change in the store's history.
 type event struct {
 	Removed bool   `json:"removed"`
 	Object  Object `json:"object"`
@@ -42,40 +43,42 @@
 	revision uint64
 }
 
-// Store is the stand-in. It is safe for concurrent use.
+// Store holds objects and the history of their changes. It is safe for concurrent use.
 type Store struct {
-	page int
+	pageSize int
 
-	// mutex guards the rest; no other lock is taken under it.
+	// mutex guards the fields below; no other lock is acquired while it is held.
 	mutex    sync.Mutex
 	objects  map[string]map[string]Object
 	history  []event
 	revision uint64
-	// compacted is the revision up to which the history is gone.
-	compacted uint64
-	// changed is closed and replaced at each change and fault.
+	// compactedRevision is the revision up to which the history has been discarded.
+	compactedRevision uint64
+	// changed is closed and replaced at each change of an object or of errorStatus.
 	changed chan struct{}
-	// refusal is what each call is answered, 0 for none; calls counts them.
-	refusal int
-	calls   int
+	// errorStatus is the HTTP status of every response, 0 for normal operation; calls counts
+	// requests.
+	errorStatus int
+	calls       int
 }
 
-// Option changes one setting of a Store.
+// Option configures a Store.
 type Option func(*Store)
 
-// WithPage sets how many objects an answer to a list holds.
-func WithPage(objects int) Option { return func(store *Store) { store.page = objects } }
+// WithPage sets the maximum number of objects in the response to a list.
+func WithPage(objects int) Option { return func(store *Store) { store.pageSize = objects } }
 
 // New returns an empty store.
 func New(options ...Option) *Store {
-	store := &Store{page: defaultPage, objects: make(map[string]map[string]Object), changed: make(chan struct{})}
+	store := &Store{pageSize: defaultPageSize, objects: make(map[string]map[string]Object), changed: make(chan struct{})}
 	for _, option := range options {
 		option(store)
 	}
 	return store
 }
 
-// Put writes an object as the platform's own parts do.
+// Put creates or replaces an object unconditionally, as the platform's own components do. It
+// returns an error if the spec cannot be encoded as JSON.
 func (store *Store) Put(kind, name string, spec any) error {
 	data, err := json.Marshal(spec)
 	if err != nil {
@@ -87,38 +90,38 @@
 	return nil
 }
 
-// Remove removes an object.
+// Remove deletes an object if it exists.
 func (store *Store) Remove(kind, name string) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.remove(kind, name)
 }
 
-// Refuse answers each call with the status until it is called with 0; watches
-// that wait are answered at once.
+// Refuse makes every request fail with the HTTP status, pending watches included. A status of 0
+// ends this.
 func (store *Store) Refuse(status int) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	store.refusal = status
-	store.wake()
+	store.errorStatus = status
+	store.notifyWatchers()
 }
 
-// Compact forgets the history.
+// Compact discards the history, so that watches from an earlier revision fail with 410.
 func (store *Store) Compact() {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.history = nil
-	store.compacted = store.revision
+	store.compactedRevision = store.revision
 }
 
-// Calls returns how many calls were made.
+// Calls returns the number of requests received.
 func (store *Store) Calls() int {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	return store.calls
 }
 
-// Object returns an object, if there is one.
+// Object returns an object and reports whether it exists.
 func (store *Store) Object(kind, name string) (Object, bool) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -126,43 +129,43 @@
 	return object, ok
 }
 
-// Handler returns the store's interface.
+// Handler returns the HTTP API.
 func (store *Store) Handler() http.Handler {
 	routes := httprouter.New()
-	routes.GET("/objects/:kind", store.counted(store.readKind))
-	routes.POST("/objects/:kind", store.counted(store.create))
-	routes.GET("/objects/:kind/:name", store.counted(store.read))
-	routes.PUT("/objects/:kind/:name", store.counted(store.replace))
-	routes.DELETE("/objects/:kind/:name", store.counted(store.destroy))
+	routes.GET("/objects/:kind", store.intercept(store.listOrWatch))
+	routes.POST("/objects/:kind", store.intercept(store.create))
+	routes.GET("/objects/:kind/:name", store.intercept(store.read))
+	routes.PUT("/objects/:kind/:name", store.intercept(store.replace))
+	routes.DELETE("/objects/:kind/:name", store.intercept(store.delete))
 	return routes
 }
 
-// counted counts a call and refuses it when that is wanted.
-func (store *Store) counted(handle httprouter.Handle) httprouter.Handle {
+// intercept counts a request and rejects it while an error status is set.
+func (store *Store) intercept(handle httprouter.Handle) httprouter.Handle {
 	return func(writer http.ResponseWriter, request *http.Request, params httprouter.Params) {
 		store.mutex.Lock()
 		store.calls++
-		refusal := store.refusal
+		errorStatus := store.errorStatus
 		store.mutex.Unlock()
-		if refusal != 0 {
-			writer.WriteHeader(refusal)
+		if errorStatus != 0 {
+			writer.WriteHeader(errorStatus)
 			return
 		}
 		handle(writer, request, params)
 	}
 }
 
-func (store *Store) readKind(writer http.ResponseWriter, request *http.Request, params httprouter.Params) {
+func (store *Store) listOrWatch(writer http.ResponseWriter, request *http.Request, params httprouter.Params) {
 	query := request.URL.Query()
 	if query.Has("watch") {
 		store.watch(writer, request, params.ByName("kind"))
 		return
 	}
-	answer(writer, http.StatusOK, store.list(params.ByName("kind"), query.Get("after")))
+	writeJSON(writer, http.StatusOK, store.list(params.ByName("kind"), query.Get("after")))
 }
 
-// list returns the page of a kind's objects behind a name. The mutex is not held while
-// that is written: a slow link holds up nobody else.
+// list returns the page of a kind's objects whose names sort after the given one. The caller
+// encodes the result without the mutex, so that a slow client does not block other requests.
 func (store *Store) list(kind, after string) map[string]any {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -173,14 +176,17 @@
 		}
 	}
 	slices.Sort(names)
-	truncated := len(names) > store.page
+	truncated := len(names) > store.pageSize
 	items := make([]Object, 0)
-	for _, name := range names[:min(len(names), store.page)] {
+	for _, name := range names[:min(len(names), store.pageSize)] {
 		items = append(items, store.objects[kind][name])
 	}
 	return map[string]any{"items": items, "truncated": truncated, "current_rev": store.revision}
 }
 
+// watch responds once the kind has changed after the requested revision, or with no events after
+// the requested timeout. It responds with 410 if the history no longer reaches back to that
+// revision.
 func (store *Store) watch(writer http.ResponseWriter, request *http.Request, kind string) {
 	query := request.URL.Query()
 	since, err := strconv.ParseUint(query.Get("watch"), 10, 64)
@@ -188,40 +194,40 @@
 		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	wait, err := strconv.Atoi(query.Get("wait_ms"))
+	timeoutMs, err := strconv.Atoi(query.Get("wait_ms"))
 	if err != nil {
-		wait = 0
+		timeoutMs = 0
 	}
-	limit := time.NewTimer(time.Duration(wait) * time.Millisecond)
-	defer limit.Stop()
-	for over := false; ; {
+	timer := time.NewTimer(time.Duration(timeoutMs) * time.Millisecond)
+	defer timer.Stop()
+	for expired := false; ; {
 		store.mutex.Lock()
-		events, gone, refusal := store.since(kind, since), since < store.compacted, store.refusal
+		events, gone, errorStatus := store.eventsSince(kind, since), since < store.compactedRevision, store.errorStatus
 		revision, changed := store.revision, store.changed
 		store.mutex.Unlock()
 		switch {
-		case refusal != 0:
-			writer.WriteHeader(refusal)
+		case errorStatus != 0:
+			writer.WriteHeader(errorStatus)
 			return
 		case gone:
 			writer.WriteHeader(http.StatusGone)
 			return
-		case len(events) > 0 || over:
-			answer(writer, http.StatusOK, map[string]any{"events": events, "current_rev": revision})
+		case len(events) > 0 || expired:
+			writeJSON(writer, http.StatusOK, map[string]any{"events": events, "current_rev": revision})
 			return
 		}
 		select {
 		case <-changed:
-		case <-limit.C:
-			over = true
+		case <-timer.C:
+			expired = true
 		case <-request.Context().Done():
 			return
 		}
 	}
 }
 
-// since returns the changes of a kind after a revision; mutex is held.
-func (store *Store) since(kind string, revision uint64) []event {
+// eventsSince returns the changes of a kind after a revision. The caller holds mutex.
+func (store *Store) eventsSince(kind string, revision uint64) []event {
 	events := make([]event, 0)
 	for _, event := range store.history {
 		if event.kind == kind && event.revision > revision {
@@ -237,12 +243,12 @@
 		writer.WriteHeader(http.StatusNotFound)
 		return
 	}
-	answer(writer, http.StatusOK, object)
+	writeJSON(writer, http.StatusOK, object)
 }
 
 func (store *Store) create(writer http.ResponseWriter, request *http.Request, params httprouter.Params) {
-	store.change(writer, request, params.ByName("kind"), func(standing bool) int {
-		if standing {
+	store.change(writer, request, params.ByName("kind"), func(exists bool) int {
+		if exists {
 			return http.StatusConflict
 		}
 		return http.StatusOK
@@ -250,32 +256,33 @@
 }
 
 func (store *Store) replace(writer http.ResponseWriter, request *http.Request, params httprouter.Params) {
-	store.change(writer, request, params.ByName("kind"), func(standing bool) int {
-		if !standing {
+	store.change(writer, request, params.ByName("kind"), func(exists bool) int {
+		if !exists {
 			return http.StatusNotFound
 		}
 		return http.StatusOK
 	})
 }
 
-// change writes the object of a request unless allow has an error's status.
-func (store *Store) change(writer http.ResponseWriter, request *http.Request, kind string, allow func(standing bool) int) {
+// change writes the object in the request body. check returns the HTTP status of the write, given
+// whether the object exists; only 200 lets the write proceed.
+func (store *Store) change(writer http.ResponseWriter, request *http.Request, kind string, check func(exists bool) int) {
 	var object Object
 	if err := json.NewDecoder(request.Body).Decode(&object); err != nil {
 		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	status, current := store.writeIf(kind, object, allow)
-	answer(writer, status, current)
+	status, current := store.writeIf(kind, object, check)
+	writeJSON(writer, status, current)
 }
 
-// writeIf writes an object unless allow has an error's status or another revision
-// stands; it returns the status and what stands there.
-func (store *Store) writeIf(kind string, object Object, allow func(standing bool) int) (int, Object) {
+// writeIf writes an object unless check returns an error status or the current revision differs
+// from the expected one. It returns the HTTP status and the current object.
+func (store *Store) writeIf(kind string, object Object, check func(exists bool) int) (int, Object) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	current, standing := store.objects[kind][object.Metadata.Name]
-	status := allow(standing)
+	current, exists := store.objects[kind][object.Metadata.Name]
+	status := check(exists)
 	if status == http.StatusOK && object.Metadata.Revision != 0 && object.Metadata.Revision != current.Metadata.Revision {
 		status = http.StatusConflict
 	}
@@ -285,34 +292,34 @@
 	return status, current
 }
 
-func (store *Store) destroy(writer http.ResponseWriter, _ *http.Request, params httprouter.Params) {
+func (store *Store) delete(writer http.ResponseWriter, _ *http.Request, params httprouter.Params) {
 	object, ok := store.Object(params.ByName("kind"), params.ByName("name"))
 	if !ok {
 		writer.WriteHeader(http.StatusNotFound)
 		return
 	}
 	store.Remove(params.ByName("kind"), params.ByName("name"))
-	answer(writer, http.StatusOK, object)
+	writeJSON(writer, http.StatusOK, object)
 }
 
-// write puts an object in place; mutex is held.
+// write stores an object under the next revision. The caller holds mutex.
 func (store *Store) write(kind string, object Object) Object {
 	store.revision++
-	current, standing := store.objects[kind][object.Metadata.Name]
+	current, exists := store.objects[kind][object.Metadata.Name]
 	object.Metadata.Revision = store.revision
 	object.Metadata.CreateRev = store.revision
-	if standing {
+	if exists {
 		object.Metadata.CreateRev = current.Metadata.CreateRev
 	}
 	if store.objects[kind] == nil {
 		store.objects[kind] = make(map[string]Object)
 	}
 	store.objects[kind][object.Metadata.Name] = object
-	store.note(event{kind: kind, revision: store.revision, Object: object})
+	store.appendEvent(event{kind: kind, revision: store.revision, Object: object})
 	return object
 }
 
-// remove takes an object away; mutex is held.
+// remove deletes an object under the next revision. The caller holds mutex.
 func (store *Store) remove(kind, name string) {
 	object, ok := store.objects[kind][name]
 	if !ok {
@@ -321,22 +328,22 @@
 	store.revision++
 	object.Metadata.Revision = store.revision
 	delete(store.objects[kind], name)
-	store.note(event{kind: kind, revision: store.revision, Removed: true, Object: object})
+	store.appendEvent(event{kind: kind, revision: store.revision, Removed: true, Object: object})
 }
 
-func (store *Store) note(event event) {
+func (store *Store) appendEvent(event event) {
 	store.history = append(store.history, event)
-	store.wake()
+	store.notifyWatchers()
 }
 
-// wake lets watches look again; mutex is held.
-func (store *Store) wake() {
+// notifyWatchers makes pending watches check the store again. The caller holds mutex.
+func (store *Store) notifyWatchers() {
 	close(store.changed)
 	store.changed = make(chan struct{})
 }
 
-// answer writes an answer that tells its length, as the platform's store does.
-func answer(writer http.ResponseWriter, status int, body any) {
+// writeJSON writes a JSON response with a Content-Length header, as the platform's store does.
+func writeJSON(writer http.ResponseWriter, status int, body any) {
 	data, err := json.Marshal(body)
 	if err != nil {
 		writer.WriteHeader(http.StatusInternalServerError)
@@ -345,5 +352,5 @@
 	writer.Header().Set("Content-Type", "application/json")
 	writer.Header().Set("Content-Length", strconv.Itoa(len(data)))
 	writer.WriteHeader(status)
-	_, _ = writer.Write(data) // A caller that has left needs no answer.
+	_, _ = writer.Write(data) // The error means that the client has disconnected.
 }
