--- a/standin/office/office.go
+++ b/standin/office/office.go
@@ -1,6 +1,6 @@
-// Package office is a stand-in for the address where the users' platform takes calls that
-// are one node's at a time: reports of usage and orders of engines. It checks fencing
-// tokens when a call is carried out, which may be seconds after it came.
+// Package office is a test double for the platform endpoint that accepts usage reports and scaling
+// orders from one lease holder at a time. It checks the fencing token when a request is executed,
+// which may be seconds after the request was received.
 package office
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/julienschmidt/httprouter"
 )
 
-// Order is an order of engines.
+// Order is a scaling request: the desired number of engines of a service in a zone.
 type Order struct {
 	Service string `json:"service"`
 	Zone    string `json:"zone"`
@@ -23,14 +23,14 @@
 	Spot    bool   `json:"spot"`
 }
 
-// act is a call that was carried out.
-type act struct {
+// operation is an executed request.
+type operation struct {
 	holder string
 	token  uint64
 	at     time.Time
 }
 
-// Report is the usage of one window as it was accepted first.
+// Report is the first accepted usage report of one window.
 type Report struct {
 	Window uint64
 	Counts map[string]uint64
@@ -38,77 +38,81 @@
 	Holder string
 }
 
-// Office is the stand-in. It is safe for concurrent use.
+// Office accepts requests that carry fencing tokens and records violations of mutual exclusion. It
+// is safe for concurrent use.
 type Office struct {
 	lease time.Duration
-	// ordered is told of each order that is carried out, and says whether there are any to
-	// be had.
-	ordered func(order Order) bool
-
-	// mutex guards the rest; no other lock is taken under it.
-	mutex   sync.Mutex
-	highest map[string]uint64
-	acts    map[string][]act
-	reports []Report
-	// breaches tells what no two nodes may do.
-	breaches []string
-	refusal  int
-	// late is how much later the next calls are carried out, without an answer.
-	late  time.Duration
+	// placeOrder is called for each order that passes the token check and reports whether the
+	// engines are available.
+	placeOrder func(order Order) bool
+
+	// mutex guards the fields below; no other lock is acquired while it is held.
+	mutex sync.Mutex
+	// highestTokens and operations are keyed by the subject that a lease protects.
+	highestTokens map[string]uint64
+	operations    map[string][]operation
+	reports       []Report
+	// violations describes each violation of mutual exclusion between nodes.
+	violations  []string
+	errorStatus int
+	// delay postpones the execution of requests; a delayed request gets no response.
+	delay time.Duration
 	calls int
 }
 
-// New returns a stand-in that knows a lease of the length; ordered is told of each order
-// and says whether there are such engines.
-func New(lease time.Duration, ordered func(order Order) bool) *Office {
-	return &Office{lease: lease, ordered: ordered, highest: make(map[string]uint64), acts: make(map[string][]act)}
+// New returns an Office for leases of the given duration. placeOrder is called for each order that
+// passes the token check and reports whether the engines are available.
+func New(lease time.Duration, placeOrder func(order Order) bool) *Office {
+	return &Office{lease: lease, placeOrder: placeOrder, highestTokens: make(map[string]uint64), operations: make(map[string][]operation)}
 }
 
-// Refuse answers each call with the status until it is called with 0.
+// Refuse makes every request fail with the HTTP status. A status of 0 ends this.
 func (office *Office) Refuse(status int) {
 	office.mutex.Lock()
 	defer office.mutex.Unlock()
-	office.refusal = status
+	office.errorStatus = status
 }
 
-// Delay has calls from now on get no answer and be carried out so much later; 0 ends that.
-func (office *Office) Delay(late time.Duration) {
+// Delay makes subsequent requests get no response and be executed after the delay. A delay of 0
+// ends this.
+func (office *Office) Delay(delay time.Duration) {
 	office.mutex.Lock()
 	defer office.mutex.Unlock()
-	office.late = late
+	office.delay = delay
 }
 
-// Reports returns the usage that was accepted, in the order in which it was.
+// Reports returns the accepted usage reports in order of acceptance.
 func (office *Office) Reports() []Report {
 	office.mutex.Lock()
 	defer office.mutex.Unlock()
 	return append([]Report(nil), office.reports...)
 }
 
-// Breaches returns what was done that no two nodes may do.
+// Breaches returns a description of each violation of mutual exclusion between nodes.
 func (office *Office) Breaches() []string {
 	office.mutex.Lock()
 	defer office.mutex.Unlock()
-	return append([]string(nil), office.breaches...)
+	return append([]string(nil), office.violations...)
 }
 
-// Handler returns the interface.
+// Handler returns the HTTP API.
 func (office *Office) Handler() http.Handler {
 	routes := httprouter.New()
-	routes.POST("/usage", office.taken(office.tell))
-	routes.POST("/scale", office.taken(office.order))
+	routes.POST("/usage", office.handle(office.acceptUsage))
+	routes.POST("/scale", office.handle(office.acceptOrder))
 	return routes
 }
 
-// call is one call as it came.
-type call struct {
+// fencedRequest is a received request with the holder and the fencing token from its headers.
+type fencedRequest struct {
 	holder string
 	token  uint64
 	body   []byte
 }
 
-// taken reads a call and has it carried out, now or later.
-func (office *Office) taken(carryOut func(call *call) int) httprouter.Handle {
+// handle reads a request and executes it, immediately or after the configured delay. execute
+// returns the HTTP status.
+func (office *Office) handle(execute func(request *fencedRequest) int) httprouter.Handle {
 	return func(writer http.ResponseWriter, request *http.Request, _ httprouter.Params) {
 		token, err := strconv.ParseUint(request.Header.Get("X-Fencing-Token"), 10, 64)
 		holder := request.Header.Get("X-Duty-Holder")
@@ -117,23 +121,24 @@
 			writer.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		taken := &call{holder, token, body}
+		fenced := &fencedRequest{holder, token, body}
 		office.mutex.Lock()
 		office.calls++
-		refusal, late := office.refusal, office.late
+		errorStatus, delay := office.errorStatus, office.delay
 		office.mutex.Unlock()
 		switch {
-		case refusal != 0:
-			writer.WriteHeader(refusal)
-		case late > 0:
-			time.AfterFunc(late, func() { carryOut(taken) })
+		case errorStatus != 0:
+			writer.WriteHeader(errorStatus)
+		case delay > 0:
+			time.AfterFunc(delay, func() { execute(fenced) })
 			<-request.Context().Done()
 		default:
-			writer.WriteHeader(carryOut(taken))
+			writer.WriteHeader(execute(fenced))
 		}
 	}
 }
 
+// readFull reads the request body until the buffer is full and returns the number of bytes read.
 func readFull(request *http.Request, body []byte) (int, error) {
 	read := 0
 	for read < len(body) {
@@ -146,17 +151,19 @@
 	return read, nil
 }
 
-func (office *Office) tell(call *call) int {
+// acceptUsage records a usage report. A repeated report of a window is idempotent; different counts
+// for the same window are a violation.
+func (office *Office) acceptUsage(request *fencedRequest) int {
 	var report struct {
 		Window uint64            `json:"window_id"`
 		Counts map[string]uint64 `json:"counts"`
 	}
-	if err := json.Unmarshal(call.body, &report); err != nil {
+	if err := json.Unmarshal(request.body, &report); err != nil {
 		return http.StatusBadRequest
 	}
 	office.mutex.Lock()
 	defer office.mutex.Unlock()
-	if !office.fence("usage", call) {
+	if !office.acceptToken("usage", request) {
 		return http.StatusConflict
 	}
 	for index := range office.reports {
@@ -164,54 +171,59 @@
 			continue
 		}
 		if !maps.Equal(office.reports[index].Counts, report.Counts) {
-			office.breach("window %d is told as %v by %s and as %v by %s", report.Window, office.reports[index].Counts, office.reports[index].Holder, report.Counts, call.holder)
+			office.recordViolation("window %d is reported as %v by %s and as %v by %s", report.Window, office.reports[index].Counts, office.reports[index].Holder, report.Counts, request.holder)
 		}
 		return http.StatusOK
 	}
-	office.reports = append(office.reports, Report{report.Window, report.Counts, time.Now(), call.holder})
+	office.reports = append(office.reports, Report{report.Window, report.Counts, time.Now(), request.holder})
 	return http.StatusOK
 }
 
-func (office *Office) order(call *call) int {
+// acceptOrder places a scaling order. It returns 409 if the token is out of date or the engines are
+// not available.
+func (office *Office) acceptOrder(request *fencedRequest) int {
 	var order Order
-	if err := json.Unmarshal(call.body, &order); err != nil {
+	if err := json.Unmarshal(request.body, &order); err != nil {
 		return http.StatusBadRequest
 	}
 	office.mutex.Lock()
-	fenced := office.fence(order.Service+" in "+order.Zone, call)
+	accepted := office.acceptToken(order.Service+" in "+order.Zone, request)
 	office.mutex.Unlock()
-	if !fenced || !office.ordered(order) {
+	if !accepted || !office.placeOrder(order) {
 		return http.StatusConflict
 	}
 	return http.StatusOK
 }
 
-// fence checks the token of a call, and that no two holders act as one; mutex is held.
-func (office *Office) fence(subject string, call *call) bool {
-	if call.token < office.highest[subject] {
+// acceptToken reports whether the request's fencing token is at least the highest one accepted for
+// the subject, and records the operation if so. It records a violation if two holders use the same
+// token, or if a holder acts again within one lease although another holder acted in between. The
+// caller holds mutex.
+func (office *Office) acceptToken(subject string, request *fencedRequest) bool {
+	if request.token < office.highestTokens[subject] {
 		return false
 	}
-	office.highest[subject] = call.token
-	acts := office.acts[subject]
-	between := false
-	for index := len(acts) - 1; index >= 0; index-- {
-		earlier := acts[index]
-		if earlier.token == call.token && earlier.holder != call.holder {
-			office.breach("%s and %s both act on %s with token %d", earlier.holder, call.holder, subject, call.token)
+	office.highestTokens[subject] = request.token
+	operations := office.operations[subject]
+	otherBetween := false
+	for index := len(operations) - 1; index >= 0; index-- {
+		earlier := operations[index]
+		if earlier.token == request.token && earlier.holder != request.holder {
+			office.recordViolation("%s and %s both act on %s with token %d", earlier.holder, request.holder, subject, request.token)
 		}
 		if time.Since(earlier.at) >= office.lease {
 			continue
 		}
-		if earlier.holder == call.holder && between {
-			office.breach("%s acts on %s again within %v, another in between", call.holder, subject, time.Since(earlier.at))
+		if earlier.holder == request.holder && otherBetween {
+			office.recordViolation("%s acts on %s again within %v although another holder acted in between", request.holder, subject, time.Since(earlier.at))
 		}
-		between = between || earlier.holder != call.holder
+		otherBetween = otherBetween || earlier.holder != request.holder
 	}
-	office.acts[subject] = append(acts, act{call.holder, call.token, time.Now()})
+	office.operations[subject] = append(operations, operation{request.holder, request.token, time.Now()})
 	return true
 }
 
-// breach notes what no two nodes may do; mutex is held.
-func (office *Office) breach(format string, values ...any) {
-	office.breaches = append(office.breaches, fmt.Sprintf(format, values...))
+// recordViolation records a violation of mutual exclusion. The caller holds mutex.
+func (office *Office) recordViolation(format string, values ...any) {
+	office.violations = append(office.violations, fmt.Sprintf(format, values...))
 }
