--- a/standin/authority/authority.go
+++ b/standin/authority/authority.go
@@ -1,5 +1,5 @@
-// Package authority makes certificates for the nodes of a trial on one machine. It keeps its own key
-// nowhere, so that what it signed is worth nothing beyond the trial.
+// Package authority is a certificate authority for test deployments on one machine. It never stores
+// its private key, so that no further certificates can be issued after the process ends.
 package authority
 
 import (
@@ -15,45 +15,46 @@
 	"limpetcleat/failer"
 )
 
-// InnerName is the DNS name that all nodes share.
+// InnerName is the DNS name in the certificates of all nodes, which peers verify.
 const InnerName = "limpetcleat-inner"
 
 const (
 	defaultLifetime = 30 * 24 * time.Hour
-	// clockSkew is how far the clocks of a trial may be apart.
-	clockSkew  = time.Hour
-	serialBits = 128
+	// clockSkew is the tolerated clock difference between the machines of a test deployment.
+	clockSkew        = time.Hour
+	serialNumberBits = 128
 )
 
 // Kind classifies an Error.
 type Kind string
 
 const (
-	// Unsigned marks a certificate that could not be made.
-	Unsigned Kind = "unsigned"
-	// Unwritten marks a file that could not be written.
-	Unwritten Kind = "unwritten"
+	// SigningFailed marks a certificate that could not be created.
+	SigningFailed Kind = "unsigned"
+	// WriteFailed marks a file that could not be written.
+	WriteFailed Kind = "unwritten"
 )
 
-// Error is the one error type of this package.
+// Error is the error type of this package.
 type Error = failer.Error[Kind]
 
-// Authority signs certificates.
+// Authority signs certificates with a private key that exists only in memory.
 type Authority struct {
 	lifetime    time.Duration
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
 }
 
-// Option changes one property of an Authority.
+// Option configures an Authority.
 type Option func(*Authority)
 
-// WithLifetime sets how long the authority and its certificates hold; 30 days unless set.
+// WithLifetime sets the validity period of the authority's certificate and of those that it issues.
+// The default is 30 days.
 func WithLifetime(lifetime time.Duration) Option {
 	return func(authority *Authority) { authority.lifetime = lifetime }
 }
 
-// New returns an Authority with a fresh key.
+// New returns an Authority with a new key and a self-signed certificate.
 func New(opts ...Option) (*Authority, error) {
 	authority := &Authority{lifetime: defaultLifetime}
 	for _, opt := range opts {
@@ -67,49 +68,50 @@
 	return authority, err
 }
 
-// Issue returns a certificate that holds the DNS name and serves on both sides of a connection. The
-// subject is for people alone.
-func (authority *Authority) Issue(subject, name string) (*Certificate, error) {
+// Issue returns a certificate for the DNS name that is valid for both servers and clients. The
+// subject becomes the common name, which is informational and not verified.
+func (authority *Authority) Issue(subject, dnsName string) (*Certificate, error) {
 	template := authority.template(subject)
-	template.DNSNames = []string{name}
+	template.DNSNames = []string{dnsName}
 	template.KeyUsage = x509.KeyUsageDigitalSignature
 	template.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
 	signed, key, err := sign(template, authority.certificate, authority.key)
 	if err != nil {
 		return nil, err
 	}
-	return &Certificate{signed: signed, key: key}, nil
+	return &Certificate{leaf: signed, key: key}, nil
 }
 
-// Pool returns a pool that holds this authority alone.
+// Pool returns a pool that contains only the certificate of this authority.
 func (authority *Authority) Pool() *x509.CertPool {
 	pool := x509.NewCertPool()
 	pool.AddCert(authority.certificate)
 	return pool
 }
 
-// Configs returns the two sides of mutual TLS between nodes for one that proves the name: what it
-// serves with, and what it dials peers with.
-func (authority *Authority) Configs(name string) (serverSide, clientSide *tls.Config, err error) {
-	certificate, err := authority.Issue(name, name)
+// Configs returns the server and client configurations for mutual TLS between nodes, with a
+// certificate for the given DNS name. The client configuration expects peers to have InnerName.
+func (authority *Authority) Configs(dnsName string) (serverConfig, clientConfig *tls.Config, err error) {
+	certificate, err := authority.Issue(dnsName, dnsName)
 	if err != nil {
 		return nil, nil, err
 	}
-	serverSide = &tls.Config{
-		Certificates: []tls.Certificate{certificate.Pair()},
+	serverConfig = &tls.Config{
+		Certificates: []tls.Certificate{certificate.TLSCertificate()},
 		ClientAuth:   tls.RequireAndVerifyClientCert,
 		ClientCAs:    authority.Pool(),
 		MinVersion:   tls.VersionTLS13,
 	}
-	clientSide = &tls.Config{
-		Certificates: []tls.Certificate{certificate.Pair()},
+	clientConfig = &tls.Config{
+		Certificates: []tls.Certificate{certificate.TLSCertificate()},
 		RootCAs:      authority.Pool(),
 		ServerName:   InnerName,
 		MinVersion:   tls.VersionTLS13,
 	}
-	return serverSide, clientSide, nil
+	return serverConfig, clientConfig, nil
 }
 
+// template returns the fields that all certificates of the authority have.
 func (authority *Authority) template(subject string) *x509.Certificate {
 	now := time.Now()
 	return &x509.Certificate{
@@ -119,30 +121,30 @@
 	}
 }
 
-// sign makes a key and its certificate; without a parent the certificate signs itself.
+// sign creates a key and a certificate for it; without a parent the certificate is self-signed.
 func sign(template, parent *x509.Certificate, parentKey *ecdsa.PrivateKey) (*x509.Certificate, *ecdsa.PrivateKey, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, nil, unsigned(err)
+		return nil, nil, signingError(err)
 	}
-	template.SerialNumber, err = rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits-1))
+	template.SerialNumber, err = rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialNumberBits-1))
 	if err != nil {
-		return nil, nil, unsigned(err)
+		return nil, nil, signingError(err)
 	}
 	if parent == nil {
 		parent, parentKey = template, key
 	}
 	data, err := x509.CreateCertificate(rand.Reader, template, parent, &key.PublicKey, parentKey)
 	if err != nil {
-		return nil, nil, unsigned(err)
+		return nil, nil, signingError(err)
 	}
 	signed, err := x509.ParseCertificate(data)
 	if err != nil {
-		return nil, nil, unsigned(err)
+		return nil, nil, signingError(err)
 	}
 	return signed, key, nil
 }
 
-func unsigned(err error) error {
-	return failer.New("authority.sign", Unsigned, "%w", err)
+func signingError(err error) error {
+	return failer.New("authority.sign", SigningFailed, "%w", err)
 }
--- a/standin/authority/authority_test.go
+++ b/standin/authority/authority_test.go
@@ -14,12 +14,12 @@
 )
 
 func TestFilesProveTheSharedName(t *testing.T) {
-	made, err := authority.New(authority.WithLifetime(time.Hour))
+	issuer, err := authority.New(authority.WithLifetime(time.Hour))
 	assert.NilError(t, err)
-	stranger, err := authority.New()
+	untrusted, err := authority.New()
 	assert.NilError(t, err)
 	directory := filepath.Join(t.TempDir(), "trial")
-	paths, err := made.WriteNodes(directory, "a", "b")
+	paths, err := issuer.WriteNodes(directory, "a", "b")
 	assert.NilError(t, err)
 	assert.Equal(t, len(paths), 5)
 	data, err := os.ReadFile(filepath.Join(directory, authority.AuthorityFile))
@@ -30,9 +30,9 @@
 		key := filepath.Join(directory, node+".key")
 		pair, err := tls.LoadX509KeyPair(filepath.Join(directory, node+".pem"), key)
 		assert.NilError(t, err)
-		about, err := os.Stat(key)
+		info, err := os.Stat(key)
 		assert.NilError(t, err)
-		assert.Equal(t, about.Mode().Perm(), os.FileMode(0o600))
+		assert.Equal(t, info.Mode().Perm(), os.FileMode(0o600))
 		assert.Equal(t, pair.Leaf.Subject.CommonName, node)
 		assert.Assert(t, time.Until(pair.Leaf.NotAfter) <= time.Hour)
 		cases := []struct {
@@ -45,15 +45,15 @@
 			{authority.InnerName, pool, x509.ExtKeyUsageClientAuth, true},
 			{authority.InnerName, pool, x509.ExtKeyUsageCodeSigning, false},
 			{node, pool, x509.ExtKeyUsageServerAuth, false},
-			{authority.InnerName, stranger.Pool(), x509.ExtKeyUsageServerAuth, false},
+			{authority.InnerName, untrusted.Pool(), x509.ExtKeyUsageServerAuth, false},
 		}
 		for _, test := range cases {
 			_, err := pair.Leaf.Verify(x509.VerifyOptions{DNSName: test.name, Roots: test.pool, KeyUsages: []x509.ExtKeyUsage{test.use}})
 			assert.Equal(t, err == nil, test.valid, "%v %v", test, err)
 		}
 	}
-	_, err = made.WriteNodes(directory, "c")
+	_, err = issuer.WriteNodes(directory, "c")
 	assert.ErrorIs(t, err, os.ErrExist)
-	_, err = made.WriteNodes(t.TempDir(), "../c")
-	assert.ErrorContains(t, err, "no plain file name")
+	_, err = issuer.WriteNodes(t.TempDir(), "../c")
+	assert.ErrorContains(t, err, "not a plain file name")
 }
--- a/standin/authority/files.go
+++ b/standin/authority/files.go
@@ -12,53 +12,54 @@
 )
 
 const (
-	// AuthorityFile is the name of the file that holds the authority's certificate.
+	// AuthorityFile is the name of the file with the authority's certificate.
 	AuthorityFile = "authority.pem"
 
-	certificateBlock = "CERTIFICATE"
-	keyBlock         = "PRIVATE KEY"
-	publicMode       = 0o644
-	secretMode       = 0o600
-	directoryMode    = 0o700
+	certificateBlock    = "CERTIFICATE"
+	keyBlock            = "PRIVATE KEY"
+	certificateFileMode = 0o644
+	keyFileMode         = 0o600
+	directoryMode       = 0o700
 )
 
-// Certificate is a signed certificate with its key.
+// Certificate is a signed certificate with its private key.
 type Certificate struct {
-	signed *x509.Certificate
-	key    *ecdsa.PrivateKey
+	leaf *x509.Certificate
+	key  *ecdsa.PrivateKey
 }
 
-// Pair returns the certificate as package tls takes it.
-func (certificate *Certificate) Pair() tls.Certificate {
-	return tls.Certificate{Certificate: [][]byte{certificate.signed.Raw}, PrivateKey: certificate.key}
+// TLSCertificate returns the certificate and its key in the form that crypto/tls uses.
+func (certificate *Certificate) TLSCertificate() tls.Certificate {
+	return tls.Certificate{Certificate: [][]byte{certificate.leaf.Raw}, PrivateKey: certificate.key}
 }
 
-// Write writes NAME.pem and NAME.key into the directory and returns their paths. A file that is
-// there already is an error.
+// Write writes the certificate to NAME.pem and its key to NAME.key in the directory, and returns
+// their paths. It returns an error if either file exists.
 func (certificate *Certificate) Write(directory, name string) (certificatePath, keyPath string, err error) {
 	key, err := x509.MarshalPKCS8PrivateKey(certificate.key)
 	if err != nil {
-		return "", "", unwritten(err)
+		return "", "", writeError(err)
 	}
-	certificatePath, err = write(directory, name+".pem", certificateBlock, certificate.signed.Raw, publicMode)
+	certificatePath, err = writePEM(directory, name+".pem", certificateBlock, certificate.leaf.Raw, certificateFileMode)
 	if err != nil {
 		return "", "", err
 	}
-	keyPath, err = write(directory, name+".key", keyBlock, key, secretMode)
+	keyPath, err = writePEM(directory, name+".key", keyBlock, key, keyFileMode)
 	return certificatePath, keyPath, err
 }
 
-// Write writes the authority's certificate into the directory and returns its path. A file that is
-// there already is an error.
+// Write writes the authority's certificate to AuthorityFile in the directory, and returns its path.
+// It returns an error if the file exists.
 func (authority *Authority) Write(directory string) (string, error) {
-	return write(directory, AuthorityFile, certificateBlock, authority.certificate.Raw, publicMode)
+	return writePEM(directory, AuthorityFile, certificateBlock, authority.certificate.Raw, certificateFileMode)
 }
 
-// WriteNodes writes the authority's certificate, and for each node a certificate under the name that
-// all nodes share with its key, into the directory, which is made if need be. It returns the paths.
+// WriteNodes writes the authority's certificate and, for each node, a certificate for InnerName
+// with its key into the directory, which is created if necessary. It returns the paths written,
+// including those before an error in issuing or writing a node's certificate.
 func (authority *Authority) WriteNodes(directory string, nodes ...string) ([]string, error) {
 	if err := os.MkdirAll(directory, directoryMode); err != nil {
-		return nil, unwritten(err)
+		return nil, writeError(err)
 	}
 	path, err := authority.Write(directory)
 	if err != nil {
@@ -79,25 +80,27 @@
 	return paths, nil
 }
 
-func write(directory, name, kind string, data []byte, mode os.FileMode) (string, error) {
+// writePEM creates a file with one PEM block and returns its path. It returns an error if the name
+// contains a directory or the file exists.
+func writePEM(directory, name, blockType string, data []byte, mode os.FileMode) (string, error) {
 	if name != filepath.Base(name) {
-		return "", failer.New("authority.write", Unwritten, "%q is no plain file name", name)
+		return "", failer.New("authority.write", WriteFailed, "%q is not a plain file name", name)
 	}
 	path := filepath.Join(directory, name)
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, mode)
 	if err != nil {
-		return "", unwritten(err)
+		return "", writeError(err)
 	}
-	err = pem.Encode(file, &pem.Block{Type: kind, Bytes: data})
-	if closed := file.Close(); err == nil {
-		err = closed
+	err = pem.Encode(file, &pem.Block{Type: blockType, Bytes: data})
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
 	}
 	if err != nil {
-		return "", unwritten(err)
+		return "", writeError(err)
 	}
 	return path, nil
 }
 
-func unwritten(err error) error {
-	return failer.New("authority.write", Unwritten, "%w", err)
+func writeError(err error) error {
+	return failer.New("authority.write", WriteFailed, "%w", err)
 }
