--- a/standin/controller/controller.go
+++ b/standin/controller/controller.go
@@ -1,5 +1,5 @@
-// Package controller orders stand-ins about and reads their own records, over the calls that are no
-// part of what they stand for.
+// Package controller is a client for the administrative HTTP endpoints of the test doubles. It
+// injects faults into them and reads the requests and attempts that they recorded.
 package controller
 
 import (
@@ -19,36 +19,36 @@
 	"limpetcleat/storer"
 )
 
-const defaultTimeout = 2 * time.Second
+const defaultRequestTimeout = 2 * time.Second
 
 // Kind classifies an Error.
 type Kind string
 
-// Failing marks an order that was not taken or a record that could not be read.
-const Failing Kind = "failing"
+// RequestFailed marks an administrative request that failed or was rejected.
+const RequestFailed Kind = "failing"
 
-// Error is the one error type of this package.
+// Error is the error type of this package.
 type Error = failer.Error[Kind]
 
-// Controller speaks to one stand-in.
+// Controller sends administrative requests to one test double.
 type Controller struct {
 	address string
 	client  *http.Client
 }
 
-// Option changes one property of a Controller.
+// Option configures a Controller.
 type Option func(*Controller)
 
-// WithClient sets the client that makes the calls. Unless it is set a call takes 2 s at most, also when
-// the stand-in is frozen, and no connections are kept.
+// WithClient sets the HTTP client. The default client has a timeout of 2 s, so that a request to an
+// unresponsive test double ends, and does not keep connections alive.
 func WithClient(client *http.Client) Option {
 	return func(controller *Controller) { controller.client = client }
 }
 
-// New returns a Controller of the stand-in at the address.
+// New returns a Controller for the test double at the address, which has the form host:port.
 func New(address string, opts ...Option) *Controller {
 	controller := &Controller{address: address, client: &http.Client{
-		Timeout:   defaultTimeout,
+		Timeout:   defaultRequestTimeout,
 		Transport: &http.Transport{DisableKeepAlives: true},
 	}}
 	for _, opt := range opts {
@@ -57,32 +57,34 @@
 	return controller
 }
 
-// Faults sets faults of an engine or of the platform: any value with the fields that are to be set.
+// Faults configures fault injection in an engine or in the platform. The value is encoded as JSON;
+// omitted fields keep their values.
 func (controller *Controller) Faults(ctx context.Context, faults any) error {
 	return controller.order(ctx, http.MethodPost, "/faults", faults)
 }
 
-// ServiceFaults sets faults of a plain service.
+// ServiceFaults configures fault injection in a plain service, in the same way as Faults.
 func (controller *Controller) ServiceFaults(ctx context.Context, faults any) error {
 	return controller.order(ctx, http.MethodPost, "/_standin/faults", faults)
 }
 
-// PutVM sets one line of the platform's list of VMs.
+// PutVM creates or replaces one entry in the platform's list of VMs.
 func (controller *Controller) PutVM(ctx context.Context, vm storer.VM) error {
 	return controller.order(ctx, http.MethodPut, "/vms/"+url.PathEscape(vm.Name), vm)
 }
 
-// Leave makes an engine say that it leaves.
+// Leave makes an engine announce that it is leaving.
 func (controller *Controller) Leave(ctx context.Context) error {
 	return controller.order(ctx, http.MethodPost, "/admin/leave", struct{}{})
 }
 
-// EngineRuns returns what an engine recorded of its attempts.
+// EngineRuns returns an engine's record of its attempts.
 func (controller *Controller) EngineRuns(ctx context.Context) (engine.Runs, error) {
 	return read[engine.Runs](ctx, controller, "/runs")
 }
 
-// ServiceRuns returns what a plain service recorded; of one key, unless it is empty.
+// ServiceRuns returns a plain service's record of its requests, restricted to one key unless it is
+// empty.
 func (controller *Controller) ServiceRuns(ctx context.Context, key string) (service.Runs, error) {
 	path := "/_standin/runs"
 	if key != "" {
@@ -91,56 +93,58 @@
 	return read[service.Runs](ctx, controller, path)
 }
 
-// PlatformCalls returns how many calls the platform has counted.
+// PlatformCalls returns the platform's counts of received API requests.
 func (controller *Controller) PlatformCalls(ctx context.Context) (platform.Calls, error) {
 	return read[platform.Calls](ctx, controller, "/calls")
 }
 
-// AttemptsOf returns what an engine recorded of the request's attempts.
+// AttemptsOf returns an engine's records of the attempts of a request.
 func (controller *Controller) AttemptsOf(ctx context.Context, requestID string) ([]engine.Record, error) {
 	runs, err := controller.EngineRuns(ctx)
 	return slices.DeleteFunc(runs.Attempts, func(record engine.Record) bool { return !IsOf(record.AttemptID, requestID) }), err
 }
 
-// IsOf tells whether an attempt is one of the request's.
+// IsOf reports whether an attempt belongs to the request. It is false for an empty request ID.
 func IsOf(attemptID, requestID string) bool {
 	return requestID != "" && strings.HasPrefix(attemptID, requestID+".")
 }
 
-// order sends an order with a body of JSON.
+// order sends an administrative request with a JSON body and discards the response body.
 func (controller *Controller) order(ctx context.Context, method, path string, body any) error {
 	data, err := json.Marshal(body)
 	if err != nil {
-		return failer.New("controller.order", Failing, "%w", err)
+		return failer.New("controller.order", RequestFailed, "%w", err)
 	}
 	return controller.call(ctx, method, path, data, nil)
 }
 
+// read fetches and decodes a JSON record.
 func read[Record any](ctx context.Context, controller *Controller, path string) (Record, error) {
 	var record Record
 	err := controller.call(ctx, http.MethodGet, path, nil, &record)
 	return record, err
 }
 
-// call makes one call and decodes its answer into the target, if there is one.
+// call sends a request and decodes the response body into the target unless it is nil. A status
+// other than 200 is an error.
 func (controller *Controller) call(ctx context.Context, method, path string, body []byte, target any) error {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+controller.address+path, bytes.NewReader(body))
 	if err != nil {
-		return failer.New("controller.call", Failing, "%w", err)
+		return failer.New("controller.call", RequestFailed, "%w", err)
 	}
 	response, err := controller.client.Do(request)
 	if err != nil {
-		return failer.New("controller.call", Failing, "%w", err)
+		return failer.New("controller.call", RequestFailed, "%w", err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return failer.New("controller.call", Failing, "%s %s: the stand-in answered %s", method, path, response.Status)
+		return failer.New("controller.call", RequestFailed, "%s %s: unexpected status %s", method, path, response.Status)
 	}
 	if target == nil {
 		return nil
 	}
 	if err := json.NewDecoder(response.Body).Decode(target); err != nil {
-		return failer.New("controller.call", Failing, "%s %s: %w", method, path, err)
+		return failer.New("controller.call", RequestFailed, "%s %s: %w", method, path, err)
 	}
 	return nil
 }
