--- a/standin/clock/clock.go
+++ b/standin/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock stands in for time: a stepped clock with what is to happen at its times, so that a
-// run of parts which take the time as an argument is the same each time and takes no time itself.
+// Package clock provides a simulated clock with a queue of scheduled events. Tests of components
+// that take the current time as an argument run on it deterministically and without waiting.
 package clock
 
 import (
@@ -7,40 +7,41 @@
 	"time"
 )
 
-// Clock stands still but for Run. Everything happens in the caller's goroutine.
+// Clock is a simulated clock whose time advances only in Run and RunUntil. Events run in the
+// goroutine that calls these methods. A Clock is not safe for concurrent use.
 type Clock struct {
 	now time.Time
-	// steps is a heap by time and then by the order in which they were entered.
-	steps steps
-	count int
+	// queue is a heap ordered by time, then by the order of scheduling.
+	queue     eventQueue
+	scheduled int
 }
 
-// New returns a Clock that shows the time.
+// New returns a Clock whose current time is now.
 func New(now time.Time) *Clock { return &Clock{now: now} }
 
-// Now returns the time shown.
+// Now returns the current simulated time.
 func (clock *Clock) Now() time.Time { return clock.now }
 
-// After has something done once the wait has passed; what has a time in common is done in the order
-// in which it was entered, and a wait below zero is none.
-func (clock *Clock) After(wait time.Duration, do func()) {
-	clock.count++
-	heap.Push(&clock.steps, step{at: clock.now.Add(max(wait, 0)), number: clock.count, do: do})
+// After schedules an action to run once the wait has elapsed. Actions due at the same time run in
+// the order in which they were scheduled. A negative wait counts as zero.
+func (clock *Clock) After(wait time.Duration, action func()) {
+	clock.scheduled++
+	heap.Push(&clock.queue, event{at: clock.now.Add(max(wait, 0)), sequence: clock.scheduled, action: action})
 }
 
-// Run does what is due within the length and then shows its end.
+// Run advances the clock by the length and runs every event that falls due, its end included.
 func (clock *Clock) Run(length time.Duration) {
 	clock.RunUntil(length, func() bool { return false })
 }
 
-// RunUntil does the same, but stops behind the first step after which done holds, and tells whether
-// there was one.
+// RunUntil is like Run, but stops after the first event after which done returns true. It reports
+// whether done returned true; if so, the clock stays at the time of that event.
 func (clock *Clock) RunUntil(length time.Duration, done func() bool) bool {
 	end := clock.now.Add(length)
-	for len(clock.steps) > 0 && !clock.steps[0].at.After(end) {
-		next, _ := heap.Pop(&clock.steps).(step)
+	for len(clock.queue) > 0 && !clock.queue[0].at.After(end) {
+		next, _ := heap.Pop(&clock.queue).(event)
 		clock.now = next.at
-		next.do()
+		next.action()
 		if done() {
 			return true
 		}
--- a/standin/clock/timers.go
+++ b/standin/clock/timers.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// Timers are the timers of one part, by key, as package timer keeps them for a process. They hold the
-// number of times that each was set or cleared, so that none fires after it was.
+// Timers holds the timers of one component by key, as package timer does for a process. The value is
+// the generation of the timer, incremented by each Set and Clear, so that a timer that was replaced
+// or cleared does not fire.
 type Timers[Key comparable] map[Key]int
 
-// Set has fire called when the clock comes to the time, unless the timer is set anew or cleared
-// before.
+// Set schedules fire to be called when the clock reaches the time, unless the timer is set again or
+// cleared first.
 func (timers Timers[Key]) Set(clock *Clock, key Key, at time.Time, fire func()) {
 	timers[key]++
-	number := timers[key]
+	generation := timers[key]
 	clock.After(at.Sub(clock.now), func() {
-		if timers[key] == number {
+		if timers[key] == generation {
 			fire()
 		}
 	})
 }
 
-// Clear ends a timer.
+// Clear cancels the timer of the key.
 func (timers Timers[Key]) Clear(key Key) { timers[key]++ }
--- a/standin/measurer/busiest.go
+++ b/standin/measurer/busiest.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Busiest returns the most of the times that lie within any window of the length; they are in
-// order.
+// Busiest returns the largest number of times within any window of the given length, both ends
+// included. The times must be in ascending order.
 func Busiest(times []time.Time, window time.Duration) int {
 	most, first := 0, 0
 	for last := range times {
--- a/standin/measurer/measurer.go
+++ b/standin/measurer/measurer.go
@@ -1,4 +1,5 @@
-// Package measurer measures what parts cost in a trial: memory, processor time and bytes on the wire.
+// Package measurer measures the resource usage of components in tests: heap memory, CPU time and
+// the bytes and messages that nodes exchange.
 package measurer
 
 import (
@@ -7,7 +8,7 @@
 	"time"
 )
 
-// HeapInUse returns the bytes of the heap that are reachable, after a collection.
+// HeapInUse runs a garbage collection and returns the allocated heap memory in bytes.
 func HeapInUse() float64 {
 	var statistics runtime.MemStats
 	runtime.GC()
@@ -15,7 +16,7 @@
 	return float64(statistics.HeapAlloc)
 }
 
-// ProcessorTime returns what this process has used, in the program and in the system for it.
+// ProcessorTime returns the CPU time that this process has used, in user and system mode.
 func ProcessorTime() time.Duration {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
--- a/standin/measurer/measurer_test.go
+++ b/standin/measurer/measurer_test.go
@@ -32,12 +32,12 @@
 		return wire.Bytes("b")
 	}
 	first, second := count(), count()
-	assert.Assert(t, second > 200 && first > second, "types are written once: %d, then %d", first, second)
+	assert.Assert(t, second > 200 && first > second, "type descriptions must be sent only once: %d bytes, then %d", first, second)
 	assert.Equal(t, count(), second)
 	assert.Equal(t, wire.Bytes("c")+wire.Messages("c"), 0)
 }
 
-// TestBusiest counts the times of the fullest window, its ends included.
+// TestBusiest checks the count of the fullest window, both ends included.
 func TestBusiest(t *testing.T) {
 	var times []time.Time
 	for _, seconds := range []int{0, 10, 11, 12, 14, 15, 30} {
