--- a/standin/relay/relay.go
+++ b/standin/relay/relay.go
@@ -1,5 +1,6 @@
-// Package relay stands in for the network between two parts: it passes TCP connections on to one
-// address, and can cut, stall and count what passes.
+// Package relay provides a TCP proxy that stands in for the network between two components. It
+// forwards connections to one target, counts what it forwards, and can close or stall connections
+// of chosen peers.
 package relay
 
 import (
@@ -15,24 +16,25 @@
 	"limpetcleat/failer"
 )
 
-// Everyone stands for all peers of a relay, also those that it cannot tell apart.
+// Everyone selects all peers of a relay, including unidentified ones.
 const Everyone = ""
 
-// Mode is what a relay does with a peer's connections.
+// Mode is how a relay handles a peer's connections.
 type Mode int
 
 const (
-	// Passing connections are as usual.
+	// Passing forwards in both directions.
 	Passing Mode = iota
-	// Cutting closes them, and new ones at once.
+	// Cutting closes open connections, and new ones once the peer is identified. For Everyone it
+	// closes new ones as soon as they are accepted.
 	Cutting
-	// Stalling keeps them open and passes nothing on, either way.
+	// Stalling keeps connections open and forwards nothing in either direction.
 	Stalling
-	// Muting passes on what the peer sends and nothing back.
+	// Muting forwards what the peer sends and nothing in return.
 	Muting
 )
 
-// Direction is a way through a relay.
+// Direction is a direction of traffic through a relay.
 type Direction int
 
 const (
@@ -40,68 +42,71 @@
 	Forward Direction = iota
 	// Backward is from the target to the peer.
 	Backward
-	directions
+	directionCount
 )
 
 // Kind classifies an Error.
 type Kind string
 
-// Accepting marks a listener that takes no connections.
+// Accepting marks a failure of the listener to accept connections.
 const Accepting Kind = "accepting"
 
 // Error is the one error type of this package.
 type Error = failer.Error[Kind]
 
-// Relay passes connections on to its target. It tells whom a connection is from by a name in the
-// first bytes sent, as the envelopes between nodes carry.
+// Relay forwards connections to its target. It identifies the peer of a connection by the first
+// known name in the bytes sent; envelopes between nodes carry such a name. Its methods are safe for
+// concurrent use.
 type Relay struct {
-	target  string
-	peers   []string
-	counted []byte
-	done    chan struct{}
-	once    sync.Once
-	// bytes and matches count what was passed on, and the reads that matched.
-	bytes   [directions]atomic.Int64
-	matches atomic.Int64
-
-	// mutex guards everything below; no other lock is taken under it.
+	target        string
+	peers         []string
+	countedPrefix []byte
+	done          chan struct{}
+	closeOnce     sync.Once
+	// forwardedBytes counts the bytes forwarded; countedRequests counts the reads from peers that
+	// begin with countedPrefix.
+	forwardedBytes  [directionCount]atomic.Int64
+	countedRequests atomic.Int64
+
+	// mutex guards the fields below; no other lock is acquired while it is held.
 	mutex sync.Mutex
-	// changed is closed and replaced with each change of the modes.
-	changed chan struct{}
-	// modes holds the mode of each peer, and that of everyone.
+	// modeChanged is closed and replaced on each change of a mode and when the relay stops.
+	modeChanged chan struct{}
+	// modes holds the mode of each peer, and of Everyone.
 	modes map[string]Mode
-	// open holds both ends of every connection, with the peer once it is known.
-	open map[net.Conn]string
-	// held counts the reads that wait to be passed on.
-	held  [directions]int
-	ended bool
+	// connections maps both ends of every open connection to the peer's name, or to Everyone until
+	// the peer is identified.
+	connections map[net.Conn]string
+	// heldReads counts the reads that wait to be forwarded.
+	heldReads [directionCount]int
+	stopped   bool
 }
 
 // Option changes one property of a Relay.
 type Option func(*Relay)
 
-// WithTarget sets the address that connections are passed on to.
+// WithTarget sets the address that connections are forwarded to.
 func WithTarget(address string) Option {
 	return func(relay *Relay) { relay.target = address }
 }
 
-// WithPeers sets the names of the peers whose connections can be told apart.
+// WithPeers sets the names by which peers are identified.
 func WithPeers(names ...string) Option {
 	return func(relay *Relay) { relay.peers = slices.Clone(names) }
 }
 
-// WithCounted counts the requests that begin with the text, such as "POST /v1/".
-func WithCounted(beginning string) Option {
-	return func(relay *Relay) { relay.counted = []byte(beginning) }
+// WithCounted counts the requests that begin with the prefix, such as "POST /v1/".
+func WithCounted(prefix string) Option {
+	return func(relay *Relay) { relay.countedPrefix = []byte(prefix) }
 }
 
-// New returns a Relay in which all pass; it does nothing until it serves.
+// New returns a Relay that forwards all connections once Serve is called.
 func New(opts ...Option) *Relay {
 	relay := &Relay{
-		done:    make(chan struct{}),
-		changed: make(chan struct{}),
-		modes:   make(map[string]Mode),
-		open:    make(map[net.Conn]string),
+		done:        make(chan struct{}),
+		modeChanged: make(chan struct{}),
+		modes:       make(map[string]Mode),
+		connections: make(map[net.Conn]string),
 	}
 	for _, opt := range opts {
 		opt(relay)
@@ -109,36 +114,39 @@
 	return relay
 }
 
-// Set changes the mode of one peer, or of everyone. Cutting closes what is open.
+// Set changes the mode of one peer, or of Everyone. A mode of Everyone other than Passing overrides
+// the modes of single peers. Cutting closes the connections that are open.
 func (relay *Relay) Set(peer string, mode Mode) {
 	relay.mutex.Lock()
 	defer relay.mutex.Unlock()
 	relay.modes[peer] = mode
 	if mode == Cutting {
-		relay.closeOpen(peer)
+		relay.closeConnections(peer)
 	}
-	relay.wake()
+	relay.notifyModeChange()
 }
 
-// Holds tells whether bytes of the direction wait to be passed on.
+// Holds reports whether bytes wait to be forwarded in the direction.
 func (relay *Relay) Holds(direction Direction) bool {
 	relay.mutex.Lock()
 	defer relay.mutex.Unlock()
-	return relay.held[direction] > 0
+	return relay.heldReads[direction] > 0
 }
 
-// Bytes returns how many bytes were passed on in the direction.
+// Bytes returns the number of bytes forwarded in the direction.
 func (relay *Relay) Bytes(direction Direction) int64 {
-	return relay.bytes[direction].Load()
+	return relay.forwardedBytes[direction].Load()
 }
 
-// Counted returns how many requests came that begin as WithCounted says, held ones included.
+// Counted returns the number of requests received that begin with the prefix of WithCounted,
+// including requests that were not forwarded.
 func (relay *Relay) Counted() int {
-	return int(relay.matches.Load())
+	return int(relay.countedRequests.Load())
 }
 
-// Serve relays the listener's connections until the context ends or Close is called. It then closes
-// every connection and returns nil. A relay that has ended takes no connections any more.
+// Serve forwards the listener's connections until the context ends or Close is called. It then
+// closes every connection and returns nil. The relay cannot be served again afterwards. A failure
+// of the listener is returned as an Error of kind Accepting.
 func (relay *Relay) Serve(ctx context.Context, listener net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var workers conc.WaitGroup
@@ -149,7 +157,7 @@
 		}
 		cancel()
 		_ = listener.Close()
-		relay.end()
+		relay.shutDown()
 	})
 	err := relay.accept(ctx, listener, &workers)
 	cancel()
@@ -157,44 +165,44 @@
 	return err
 }
 
-// Close ends every Serve.
+// Close makes every Serve return, without waiting for it. It always returns nil.
 func (relay *Relay) Close() error {
-	relay.once.Do(func() { close(relay.done) })
+	relay.closeOnce.Do(func() { close(relay.done) })
 	return nil
 }
 
 func (relay *Relay) accept(ctx context.Context, listener net.Listener, workers *conc.WaitGroup) error {
 	for {
-		near, err := listener.Accept()
+		peerConn, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
 		if err != nil {
 			return failer.New("relay.Serve", Accepting, "%w", err)
 		}
-		workers.Go(func() { relay.pass(ctx, near) })
+		workers.Go(func() { relay.forward(ctx, peerConn) })
 	}
 }
 
-func (relay *Relay) end() {
+func (relay *Relay) shutDown() {
 	relay.mutex.Lock()
 	defer relay.mutex.Unlock()
-	relay.ended = true
-	relay.closeOpen(Everyone)
-	relay.wake()
+	relay.stopped = true
+	relay.closeConnections(Everyone)
+	relay.notifyModeChange()
 }
 
-// closeOpen closes the connections of a peer; the mutex is held.
-func (relay *Relay) closeOpen(peer string) {
-	for conn, from := range relay.open {
-		if peer == Everyone || peer == from {
+// closeConnections closes the connections of a peer; the caller holds the mutex.
+func (relay *Relay) closeConnections(peer string) {
+	for conn, owner := range relay.connections {
+		if peer == Everyone || peer == owner {
 			_ = conn.Close()
 		}
 	}
 }
 
-// wake lets those that wait look at the modes again; the mutex is held.
-func (relay *Relay) wake() {
-	close(relay.changed)
-	relay.changed = make(chan struct{})
+// notifyModeChange wakes all callers of awaitModeChange; the caller holds the mutex.
+func (relay *Relay) notifyModeChange() {
+	close(relay.modeChanged)
+	relay.modeChanged = make(chan struct{})
 }
--- a/standin/relay/relay_test.go
+++ b/standin/relay/relay_test.go
@@ -17,18 +17,18 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// limit is far beyond what a text takes.
-const limit = 20 * time.Second
+// testTimeout is far longer than a short text takes to pass the relay.
+const testTimeout = 20 * time.Second
 
-// scene is a relay before a listener of the test's own.
-type scene struct {
+// fixture is a running relay whose target is a listener of the test.
+type fixture struct {
 	*relay.Relay
 	*runner.Runner
 	t      *testing.T
 	target net.Listener
 }
 
-func start(t *testing.T) *scene {
+func start(t *testing.T) *fixture {
 	t.Helper()
 	target, err := net.Listen("tcp", runner.Loopback)
 	assert.NilError(t, err)
@@ -39,72 +39,72 @@
 		assert.NilError(t, running.Stop())
 		assert.NilError(t, target.Close())
 	})
-	return &scene{Relay: relay, Runner: running, t: t, target: target}
+	return &fixture{Relay: relay, Runner: running, t: t, target: target}
 }
 
-// end is one end of a connection.
-type end struct {
+// endpoint is one end of a connection.
+type endpoint struct {
 	t *testing.T
 	net.Conn
 }
 
-// dial returns both ends of a connection through the relay, over which a text has passed.
-func (scene *scene) dial(text string) (near, far end) {
-	scene.t.Helper()
-	dialled, err := net.Dial("tcp", scene.Address())
-	assert.NilError(scene.t, err)
-	taken, err := scene.target.Accept()
-	assert.NilError(scene.t, err)
-	for _, conn := range []net.Conn{dialled, taken} {
-		scene.t.Cleanup(func() { _ = conn.Close() })
-		assert.NilError(scene.t, conn.SetDeadline(time.Now().Add(limit)))
+// dial opens a connection through the relay, sends a text over it and returns both ends.
+func (fixture *fixture) dial(text string) (near, far endpoint) {
+	fixture.t.Helper()
+	dialled, err := net.Dial("tcp", fixture.Address())
+	assert.NilError(fixture.t, err)
+	accepted, err := fixture.target.Accept()
+	assert.NilError(fixture.t, err)
+	for _, conn := range []net.Conn{dialled, accepted} {
+		fixture.t.Cleanup(func() { _ = conn.Close() })
+		assert.NilError(fixture.t, conn.SetDeadline(time.Now().Add(testTimeout)))
 	}
-	near, far = end{scene.t, dialled}, end{scene.t, taken}
-	near.say(text)
-	far.hear(text)
+	near, far = endpoint{fixture.t, dialled}, endpoint{fixture.t, accepted}
+	near.send(text)
+	far.expect(text)
 	return near, far
 }
 
-func (end end) say(text string) {
-	end.t.Helper()
-	_, err := io.WriteString(end, text)
-	assert.NilError(end.t, err)
+func (endpoint endpoint) send(text string) {
+	endpoint.t.Helper()
+	_, err := io.WriteString(endpoint, text)
+	assert.NilError(endpoint.t, err)
 }
 
-func (end end) hear(want string) {
-	end.t.Helper()
-	got := make([]byte, len(want))
-	_, err := io.ReadFull(end, got)
-	assert.NilError(end.t, err)
-	assert.Equal(end.t, string(got), want)
+func (endpoint endpoint) expect(want string) {
+	endpoint.t.Helper()
+	received := make([]byte, len(want))
+	_, err := io.ReadFull(endpoint, received)
+	assert.NilError(endpoint.t, err)
+	assert.Equal(endpoint.t, string(received), want)
 }
 
-// closed expects the end of the connection with nothing before it.
-func (end end) closed() {
-	end.t.Helper()
-	count, err := end.Read(make([]byte, 1))
-	assert.Assert(end.t, count == 0 && err != nil && !errors.Is(err, os.ErrDeadlineExceeded), "%v", err)
+// expectClosed checks that the connection was closed and no data precedes the end.
+func (endpoint endpoint) expectClosed() {
+	endpoint.t.Helper()
+	count, err := endpoint.Read(make([]byte, 1))
+	assert.Assert(endpoint.t, count == 0 && err != nil && !errors.Is(err, os.ErrDeadlineExceeded), "%v", err)
 }
 
-func (scene *scene) awaitHeld(direction relay.Direction) {
-	for began := time.Now(); !scene.Holds(direction); {
-		assert.Assert(scene.t, time.Since(began) < limit)
+func (fixture *fixture) awaitHeld(direction relay.Direction) {
+	for began := time.Now(); !fixture.Holds(direction); {
+		assert.Assert(fixture.t, time.Since(began) < testTimeout)
 	}
 }
 
 func TestPassingIsCounted(t *testing.T) {
-	scene := start(t)
-	near, far := scene.dial("anna asks")
-	far.say("an answer")
-	near.hear("an answer")
-	near.say("anna tells")
-	far.hear("anna tells")
+	fixture := start(t)
+	near, far := fixture.dial("anna asks")
+	far.send("an answer")
+	near.expect("an answer")
+	near.send("anna tells")
+	far.expect("anna tells")
 	assert.NilError(t, near.Close())
-	far.closed()
-	assert.NilError(t, scene.Stop())
-	assert.Equal(t, scene.Counted(), 1)
-	assert.Equal(t, scene.Bytes(relay.Forward), int64(len("anna asksanna tells")))
-	assert.Equal(t, scene.Bytes(relay.Backward), int64(len("an answer")))
+	far.expectClosed()
+	assert.NilError(t, fixture.Stop())
+	assert.Equal(t, fixture.Counted(), 1)
+	assert.Equal(t, fixture.Bytes(relay.Forward), int64(len("anna asksanna tells")))
+	assert.Equal(t, fixture.Bytes(relay.Backward), int64(len("an answer")))
 }
 
 func TestHoldingBack(t *testing.T) {
@@ -120,57 +120,57 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			scene := start(t)
-			near, far := scene.dial("anna, not boris")
-			other, behind := scene.dial("boris, not anna")
-			scene.Set(test.peer, test.mode)
+			fixture := start(t)
+			near, far := fixture.dial("anna, not boris")
+			other, behind := fixture.dial("boris, not anna")
+			fixture.Set(test.peer, test.mode)
 			if test.held == relay.Backward {
-				near.say("still passes")
-				far.hear("still passes")
+				near.send("still passes")
+				far.expect("still passes")
 				near, far = far, near
 			}
-			near.say("held")
-			scene.awaitHeld(test.held)
+			near.send("held")
+			fixture.awaitHeld(test.held)
 			assert.NilError(t, far.SetReadDeadline(time.Now()))
 			_, err := far.Read(make([]byte, 1))
 			assert.Assert(t, errors.Is(err, os.ErrDeadlineExceeded), "%v", err)
-			assert.NilError(t, far.SetReadDeadline(time.Now().Add(limit)))
+			assert.NilError(t, far.SetReadDeadline(time.Now().Add(testTimeout)))
 			if test.peer != relay.Everyone {
-				behind.say("of another")
-				other.hear("of another")
+				behind.send("of another")
+				other.expect("of another")
 			}
-			scene.Set(test.peer, relay.Passing)
-			far.hear("held")
+			fixture.Set(test.peer, relay.Passing)
+			far.expect("held")
 		})
 	}
 }
 
 func TestCutting(t *testing.T) {
 	for _, peer := range []string{"anna", relay.Everyone} {
-		scene := start(t)
-		near, far := scene.dial("anna")
-		other, behind := scene.dial("boris")
-		scene.Set(peer, relay.Cutting)
-		near.closed()
-		far.closed()
+		fixture := start(t)
+		near, far := fixture.dial("anna")
+		other, behind := fixture.dial("boris")
+		fixture.Set(peer, relay.Cutting)
+		near.expectClosed()
+		far.expectClosed()
 		if peer == relay.Everyone {
-			other.closed()
+			other.expectClosed()
 		} else {
-			other.say("of another")
-			behind.hear("of another")
+			other.send("of another")
+			behind.expect("of another")
 		}
-		scene.Set(peer, relay.Passing)
-		scene.dial("anna again")
+		fixture.Set(peer, relay.Passing)
+		fixture.dial("anna again")
 	}
 }
 
 func TestCloseEndsWhatIsHeld(t *testing.T) {
-	scene := start(t)
-	near, far := scene.dial("anna")
-	scene.Set(relay.Everyone, relay.Stalling)
-	near.say("held")
-	scene.awaitHeld(relay.Forward)
-	assert.NilError(t, scene.Stop())
-	near.closed()
-	far.closed()
+	fixture := start(t)
+	near, far := fixture.dial("anna")
+	fixture.Set(relay.Everyone, relay.Stalling)
+	near.send("held")
+	fixture.awaitHeld(relay.Forward)
+	assert.NilError(t, fixture.Stop())
+	near.expectClosed()
+	far.expectClosed()
 }
