--- a/standin/balancer/balancer.go
+++ b/standin/balancer/balancer.go
@@ -1,5 +1,5 @@
-// Package balancer stands in for the platform's TCP balancer: connections go to
-// the back ends in turn, and a back end that does not take one is skipped.
+// Package balancer provides a round-robin TCP load balancer that stands in for
+// the one of the platform. It skips back ends that refuse a connection.
 package balancer
 
 import (
@@ -15,78 +15,80 @@
 )
 
 const (
-	defaultDialTimeout = time.Second
-	defaultPeriod      = 500 * time.Millisecond
-	defaultHealthPath  = "/readyz"
+	defaultDialTimeout  = time.Second
+	defaultHealthPeriod = 500 * time.Millisecond
+	defaultHealthPath   = "/readyz"
 )
 
-// Balancer spreads TCP connections over back ends.
+// Balancer distributes TCP connections over back ends. Its methods are safe for
+// concurrent use.
 type Balancer struct {
-	dialTimeout time.Duration
-	checked     bool
-	healthPath  string
-	period      time.Duration
-	client      *http.Client
-	done        chan struct{}
-	once        sync.Once
-
-	// mu guards everything below; no other lock is taken under it.
+	dialTimeout   time.Duration
+	healthChecked bool
+	healthPath    string
+	healthPeriod  time.Duration
+	healthClient  *http.Client
+	done          chan struct{}
+	closeOnce     sync.Once
+
+	// mu guards the fields below; no other lock is acquired while it is held.
 	mu       sync.Mutex
 	backends []string
-	// unready has the back ends whose last health check failed.
+	// unready is true for the back ends whose last health check failed.
 	unready map[string]bool
-	// turn counts the connections taken.
-	turn int
+	// accepted counts the connections balanced so far.
+	accepted int
 }
 
 // Option changes one property of a Balancer.
 type Option func(*Balancer)
 
-// WithBackends sets the addresses of the first back ends.
+// WithBackends sets the addresses of the initial back ends.
 func WithBackends(addresses ...string) Option {
 	return func(balancer *Balancer) { balancer.backends = slices.Clone(addresses) }
 }
 
-// WithHealthCheck asks each back end with GET in every period, and leaves out
-// one that does not answer 200. An empty path is /readyz; a period of zero is
-// half a second.
+// WithHealthCheck sends each back end a GET request in every period, and skips
+// those that do not respond with 200. An empty path selects /readyz, a zero
+// period half a second.
 func WithHealthCheck(path string, period time.Duration) Option {
 	return func(balancer *Balancer) {
-		balancer.checked = true
+		balancer.healthChecked = true
 		if path != "" {
 			balancer.healthPath = path
 		}
 		if period > 0 {
-			balancer.period = period
+			balancer.healthPeriod = period
 		}
 	}
 }
 
-// WithDialTimeout sets how long a back end may take to accept a connection.
+// WithDialTimeout sets the timeout for connecting to a back end and for a health
+// check. The default is one second.
 func WithDialTimeout(timeout time.Duration) Option {
 	return func(balancer *Balancer) { balancer.dialTimeout = timeout }
 }
 
-// New returns a Balancer, which does nothing until it serves.
+// New returns a Balancer that does nothing until Serve is called.
 func New(opts ...Option) *Balancer {
 	balancer := &Balancer{
-		dialTimeout: defaultDialTimeout,
-		healthPath:  defaultHealthPath,
-		period:      defaultPeriod,
-		done:        make(chan struct{}),
-		unready:     map[string]bool{},
+		dialTimeout:  defaultDialTimeout,
+		healthPath:   defaultHealthPath,
+		healthPeriod: defaultHealthPeriod,
+		done:         make(chan struct{}),
+		unready:      map[string]bool{},
 	}
 	for _, opt := range opts {
 		opt(balancer)
 	}
-	balancer.client = &http.Client{
+	balancer.healthClient = &http.Client{
 		Timeout:   balancer.dialTimeout,
 		Transport: &http.Transport{DisableKeepAlives: true},
 	}
 	return balancer
 }
 
-// SetBackends replaces the back ends for the connections to come.
+// SetBackends replaces the back ends for new connections.
 func (balancer *Balancer) SetBackends(addresses ...string) {
 	balancer.mu.Lock()
 	defer balancer.mu.Unlock()
@@ -94,7 +96,8 @@
 }
 
 // Serve balances the listener's connections until the context ends or Close is
-// called. It then closes every connection and returns nil.
+// called. It then closes every connection and returns nil. A failure of the
+// listener is returned as an Error.
 func (balancer *Balancer) Serve(ctx context.Context, listener net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var workers conc.WaitGroup
@@ -106,8 +109,8 @@
 		cancel()
 		_ = listener.Close()
 	})
-	if balancer.checked {
-		workers.Go(func() { balancer.check(ctx) })
+	if balancer.healthChecked {
+		workers.Go(func() { balancer.runHealthChecks(ctx) })
 	}
 	err := balancer.accept(ctx, listener, &workers)
 	cancel()
@@ -115,41 +118,41 @@
 	return err
 }
 
-// Close ends every Serve.
+// Close makes every Serve return, without waiting for it. It always returns nil.
 func (balancer *Balancer) Close() error {
-	balancer.once.Do(func() { close(balancer.done) })
+	balancer.closeOnce.Do(func() { close(balancer.done) })
 	return nil
 }
 
 func (balancer *Balancer) accept(ctx context.Context, listener net.Listener, workers *conc.WaitGroup) error {
 	for {
-		caller, err := listener.Accept()
+		client, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
 		if err != nil {
 			return &Error{Operation: "accept", Err: err}
 		}
-		workers.Go(func() { balancer.forward(ctx, caller) })
+		workers.Go(func() { balancer.forward(ctx, client) })
 	}
 }
 
-// forward joins the caller to the first back end that takes the connection.
-func (balancer *Balancer) forward(ctx context.Context, caller net.Conn) {
-	defer func() { _ = caller.Close() }()
+// forward proxies the client to the first back end that accepts a connection.
+func (balancer *Balancer) forward(ctx context.Context, client net.Conn) {
+	defer func() { _ = client.Close() }()
 	dialer := net.Dialer{Timeout: balancer.dialTimeout}
-	for _, address := range balancer.order() {
+	for _, address := range balancer.dialOrder() {
 		backend, err := dialer.DialContext(ctx, "tcp", address)
 		if err == nil {
-			join(ctx, caller, backend)
+			proxy(ctx, client, backend)
 			return
 		}
 	}
 }
 
-// order returns the back ends in the order to try them. When none is ready it
-// returns all.
-func (balancer *Balancer) order() []string {
+// dialOrder returns the ready back ends in the order to try them. If none is
+// ready it returns all.
+func (balancer *Balancer) dialOrder() []string {
 	balancer.mu.Lock()
 	defer balancer.mu.Unlock()
 	ready := slices.DeleteFunc(slices.Clone(balancer.backends), func(address string) bool {
@@ -161,7 +164,7 @@
 	if len(ready) == 0 {
 		return nil
 	}
-	first := balancer.turn % len(ready)
-	balancer.turn++
+	first := balancer.accepted % len(ready)
+	balancer.accepted++
 	return append(slices.Clone(ready[first:]), ready[:first]...)
 }
--- a/standin/balancer/balancer_test.go
+++ b/standin/balancer/balancer_test.go
@@ -18,7 +18,7 @@
 	"limpetcleat/standin/runner"
 )
 
-// backend answers its name, and its health as told.
+// backend responds with its name, and to health checks as ready is set.
 type backend struct {
 	address string
 	ready   atomic.Bool
@@ -40,7 +40,8 @@
 	return backend
 }
 
-// start returns a call through the balancer that gives the name of the back end that answered.
+// start runs the balancer and returns a function that sends a request through it and returns the
+// name of the back end that responded, or "none".
 func start(t *testing.T, standin *balancer.Balancer) func() string {
 	t.Helper()
 	running, err := runner.Start(context.Background(), standin, runner.Loopback)
@@ -59,7 +60,7 @@
 	}
 }
 
-// closedAddress returns a loopback address that nothing listens on.
+// closedAddress returns a loopback address without a listener.
 func closedAddress(t *testing.T) string {
 	t.Helper()
 	reservation, err := runner.Reserve(t.Context())
@@ -69,15 +70,15 @@
 }
 
 func TestConnectionsGoInTurn(t *testing.T) {
-	one, two, gone := newBackend(t, "1"), newBackend(t, "2"), closedAddress(t)
+	one, two, closed := newBackend(t, "1"), newBackend(t, "2"), closedAddress(t)
 	cases := []struct {
 		name     string
 		backends []string
 		want     string
 	}{
 		{"two", []string{one.address, two.address}, "1 2 1 2"},
-		{"one gone", []string{one.address, gone}, "1 1 1 1"},
-		{"all gone", []string{gone}, "none none none none"},
+		{"one gone", []string{one.address, closed}, "1 1 1 1"},
+		{"all gone", []string{closed}, "none none none none"},
 		{"none", nil, "none none none none"},
 	}
 	for _, test := range cases {
@@ -100,9 +101,9 @@
 			other = "2"
 		}
 		unready.ready.Store(false)
-		for row := 0; row < 4; row++ {
+		for consecutive := 0; consecutive < 4; consecutive++ {
 			if call() != other {
-				row = -1
+				consecutive = -1
 			}
 		}
 		unready.ready.Store(true)
@@ -120,13 +121,13 @@
 	standin := balancer.New(balancer.WithBackends(upstream.Addr().String()))
 	running, err := runner.Start(context.Background(), standin, runner.Loopback)
 	assert.NilError(t, err)
-	caller, err := net.Dial("tcp", running.Address())
+	client, err := net.Dial("tcp", running.Address())
 	assert.NilError(t, err)
-	defer caller.Close()
-	behind, err := upstream.Accept()
+	defer client.Close()
+	backendConn, err := upstream.Accept()
 	assert.NilError(t, err)
-	defer behind.Close()
+	defer backendConn.Close()
 	assert.NilError(t, running.Stop())
-	_, err = behind.Read(make([]byte, 1))
+	_, err = backendConn.Read(make([]byte, 1))
 	assert.Assert(t, err != nil)
 }
--- a/standin/balancer/checker.go
+++ b/standin/balancer/checker.go
@@ -10,13 +10,13 @@
 	"github.com/sourcegraph/conc"
 )
 
-// check asks the back ends for their health in every period until the context
-// ends.
-func (balancer *Balancer) check(ctx context.Context) {
-	ticker := time.NewTicker(balancer.period)
+// runHealthChecks checks the health of all back ends in every period until the
+// context ends.
+func (balancer *Balancer) runHealthChecks(ctx context.Context) {
+	ticker := time.NewTicker(balancer.healthPeriod)
 	defer ticker.Stop()
 	for {
-		balancer.checkAll(ctx)
+		balancer.checkBackends(ctx)
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -25,14 +25,14 @@
 	}
 }
 
-func (balancer *Balancer) checkAll(ctx context.Context) {
+func (balancer *Balancer) checkBackends(ctx context.Context) {
 	balancer.mu.Lock()
 	addresses := slices.Clone(balancer.backends)
 	balancer.mu.Unlock()
 	var workers conc.WaitGroup
 	for _, address := range addresses {
 		workers.Go(func() {
-			ready := balancer.ready(ctx, address)
+			ready := balancer.checkBackend(ctx, address)
 			balancer.mu.Lock()
 			defer balancer.mu.Unlock()
 			balancer.unready[address] = !ready
@@ -41,12 +41,12 @@
 	workers.Wait()
 }
 
-func (balancer *Balancer) ready(ctx context.Context, address string) bool {
+func (balancer *Balancer) checkBackend(ctx context.Context, address string) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+balancer.healthPath, nil)
 	if err != nil {
 		return false
 	}
-	response, err := balancer.client.Do(request)
+	response, err := balancer.healthClient.Do(request)
 	if err != nil {
 		return false
 	}
--- a/standin/balancer/joiner.go
+++ b/standin/balancer/proxy.go
@@ -9,7 +9,7 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Error is a failure of the balancer itself.
+// Error is a failure of the balancer's own listener.
 type Error struct {
 	Operation string
 	Err       error
@@ -25,33 +25,33 @@
 	return err.Err
 }
 
-// join copies both ways until both ends are done, one breaks, or the context
-// ends.
-func join(ctx context.Context, caller, backend net.Conn) {
+// proxy copies in both directions until both ends have finished sending, one
+// fails, or the context ends. It closes both connections.
+func proxy(ctx context.Context, client, backend net.Conn) {
 	ctx, cancel := context.WithCancel(ctx)
 	var workers conc.WaitGroup
 	workers.Go(func() {
 		<-ctx.Done()
-		_ = caller.Close()
+		_ = client.Close()
 		_ = backend.Close()
 	})
 	var copiers conc.WaitGroup
-	copiers.Go(func() { copyOne(backend, caller, cancel) })
-	copiers.Go(func() { copyOne(caller, backend, cancel) })
+	copiers.Go(func() { copyOneWay(backend, client, cancel) })
+	copiers.Go(func() { copyOneWay(client, backend, cancel) })
 	copiers.Wait()
 	cancel()
 	workers.Wait()
 }
 
-// copyOne copies until the source ends and passes the end on. A broken end
-// breaks the other too.
-func copyOne(target, source net.Conn, broken context.CancelFunc) {
+// copyOneWay copies until the source ends and then half-closes the target. On an
+// error it calls abort, which closes both connections.
+func copyOneWay(target, source net.Conn, abort context.CancelFunc) {
 	if _, err := io.Copy(target, source); err != nil {
-		broken()
+		abort()
 		return
 	}
 	closer, ok := target.(interface{ CloseWrite() error })
 	if !ok || closer.CloseWrite() != nil {
-		broken()
+		abort()
 	}
 }
