--- a/standin/process/process.go
+++ b/standin/process/process.go
@@ -1,5 +1,5 @@
-// Package process runs programs that a trial kills, freezes and stops, as machines and operators do,
-// with what they write kept in a file.
+// Package process runs child processes that a test can kill, suspend and terminate. Their output is
+// appended to a log file.
 package process
 
 import (
@@ -14,10 +14,10 @@
 )
 
 const (
-	logMode   = 0o600
-	pollEvery = 15 * time.Millisecond
-	// listensOn stands before the address in what a stand-in writes.
-	listensOn = "listens on "
+	logFileMode  = 0o600
+	pollInterval = 15 * time.Millisecond
+	// listeningPrefix precedes the listen address in the output of a stand-in.
+	listeningPrefix = "listens on "
 )
 
 // Kind classifies an Error.
@@ -26,7 +26,7 @@
 const (
 	// NotStarted marks a program that could not be started.
 	NotStarted Kind = "notStarted"
-	// Unfinished marks a process that has not come to what was awaited.
+	// Unfinished marks a process that did not exit or listen as awaited.
 	Unfinished Kind = "unfinished"
 )
 
@@ -35,114 +35,120 @@
 
 // Process is one child process.
 type Process struct {
-	log     string
+	logPath string
 	command *exec.Cmd
-	// over is closed once the child has ended; code is set before.
-	over chan struct{}
-	code int
+	// exited is closed once the child process has exited; exitCode is set before that.
+	exited   chan struct{}
+	exitCode int
 }
 
-// Start runs the program and appends what it writes to the log, which a program that is started again
-// may share. The process runs until it ends by itself or is killed.
-func Start(log, program string, args ...string) (*Process, error) {
-	output, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, logMode)
+// Start runs the program and appends its standard output and standard error to the file at logPath,
+// which it creates if needed. Several processes may share a log file. The process runs until it exits or
+// is signalled. An error is of kind NotStarted.
+func Start(logPath, program string, args ...string) (*Process, error) {
+	output, err := os.OpenFile(logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, logFileMode)
 	if err != nil {
 		return nil, failer.New("process.Start", NotStarted, "%w", err)
 	}
 	defer func() { _ = output.Close() }()
-	process := &Process{log: log, command: exec.Command(program, args...), over: make(chan struct{})}
+	process := &Process{logPath: logPath, command: exec.Command(program, args...), exited: make(chan struct{})}
 	process.command.Stdout, process.command.Stderr = output, output
 	if err := process.command.Start(); err != nil {
 		return nil, failer.New("process.Start", NotStarted, "%w", err)
 	}
 	go func() {
-		defer close(process.over)
+		defer close(process.exited)
 		_ = process.command.Wait()
-		process.code = process.command.ProcessState.ExitCode()
+		process.exitCode = process.command.ProcessState.ExitCode()
 	}()
 	return process, nil
 }
 
-// Kill ends the process at once and waits for its end.
+// Kill sends SIGKILL to the process and waits until it has exited.
 func (process *Process) Kill() {
 	process.signal(syscall.SIGKILL)
-	<-process.over
+	<-process.exited
 }
 
-// Freeze keeps the process from running until Thaw.
+// Freeze suspends the process with SIGSTOP until Thaw is called.
 func (process *Process) Freeze() { process.signal(syscall.SIGSTOP) }
 
-// Thaw lets a frozen process run again.
+// Thaw resumes a suspended process with SIGCONT.
 func (process *Process) Thaw() { process.signal(syscall.SIGCONT) }
 
-// Stop asks the process to end, as a planned stop does.
+// Stop sends SIGTERM to the process, as a planned stop does, and does not wait for it to exit.
 func (process *Process) Stop() { process.signal(syscall.SIGTERM) }
 
-// Over returns the channel that is closed once the process has ended.
-func (process *Process) Over() <-chan struct{} { return process.over }
+// Over returns a channel that is closed once the process has exited.
+func (process *Process) Over() <-chan struct{} { return process.exited }
 
-// ExitCode waits for the end of the process and returns its exit code, which is -1 after a signal.
+// ExitCode waits until the process has exited and returns its exit code, which is -1 if a signal
+// terminated it. If the context ends first, it returns an error of kind Unfinished.
 func (process *Process) ExitCode(ctx context.Context) (int, error) {
 	select {
-	case <-process.over:
-		return process.code, nil
+	case <-process.exited:
+		return process.exitCode, nil
 	case <-ctx.Done():
 		return 0, failer.New("process.ExitCode", Unfinished, "%w", ctx.Err())
 	}
 }
 
-// Text returns what the process, and those before it with the same log, have written.
+// Text returns the content of the log file: the output of the process and of all others that share
+// the file.
 func (process *Process) Text() (string, error) {
-	data, err := os.ReadFile(process.log)
+	data, err := os.ReadFile(process.logPath)
 	return string(data), err
 }
 
-// Listening returns the address that a stand-in says it listens on, once it does.
+// Listening waits until a stand-in reports its listen address in the log file and returns the
+// address. If the process exits or the context ends first, it returns an error of kind Unfinished.
 func (process *Process) Listening(ctx context.Context) (string, error) {
 	for {
-		// The end is looked at first, so that nothing is written after the text is read.
-		ended := process.ended()
+		// The exit is checked before the log is read, so that the log of an exited process is
+		// complete.
+		exited := process.hasExited()
 		text, err := process.Text()
 		if err != nil {
 			return "", failer.New("process.Listening", Unfinished, "%w", err)
 		}
-		_, after, found := strings.Cut(text, listensOn)
-		if address, _, whole := strings.Cut(after, "\n"); found && whole {
+		_, after, found := strings.Cut(text, listeningPrefix)
+		if address, _, complete := strings.Cut(after, "\n"); found && complete {
 			return address, nil
 		}
-		if ended {
-			return "", failer.New("process.Listening", Unfinished, "it ended: %s", text)
+		if exited {
+			return "", failer.New("process.Listening", Unfinished, "process exited before it reported its listen address: %s", text)
 		}
-		if err := process.pause(ctx); err != nil {
+		if err := process.awaitPoll(ctx); err != nil {
 			return "", failer.New("process.Listening", Unfinished, "%w", err)
 		}
 	}
 }
 
-// pause waits a little, or until the process or the context has ended.
-func (process *Process) pause(ctx context.Context) error {
-	timer := time.NewTimer(pollEvery)
+// awaitPoll waits for the poll interval, for the exit of the process or for the end of the context,
+// whichever comes first. It returns the error of the context, if any.
+func (process *Process) awaitPoll(ctx context.Context) error {
+	timer := time.NewTimer(pollInterval)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-process.over:
+	case <-process.exited:
 	case <-ctx.Done():
 	}
 	return ctx.Err()
 }
 
-func (process *Process) ended() bool {
+func (process *Process) hasExited() bool {
 	select {
-	case <-process.over:
+	case <-process.exited:
 		return true
 	default:
 		return false
 	}
 }
 
-// signal sends a signal to the process alone, if it still runs.
+// signal sends a signal to the process, but not to its children, unless it has exited.
 func (process *Process) signal(signal syscall.Signal) {
-	if !process.ended() {
+	if !process.hasExited() {
 		_ = process.command.Process.Signal(signal)
 	}
 }
