--- a/standin/runner/address.go
+++ b/standin/runner/address.go
@@ -11,36 +11,38 @@
 )
 
 const (
-	// Ports from lowestPort on lie below those that systems give to outgoing
-	// connections.
+	// The ports from lowestPort to lowestPort+portCount-1 lie below the range that
+	// operating systems assign to outgoing connections.
 	lowestPort = 18000
 	portCount  = 12000
 	loopback   = "127.0.0.1"
 )
 
-// Reservation keeps an address on loopback for a part that has to know its address
-// before it is started, and that may be ended and started there again.
+// Reservation reserves a loopback address for a component that has to know its
+// address before it starts, or that is restarted on the same address.
 type Reservation struct {
 	address string
-	// guard is a datagram socket of the same port: it leaves the address free for
-	// connections and keeps other reservations, of other processes too, away from it.
+	// guard is a UDP socket on the same port. It leaves the TCP port free and
+	// prevents other reservations of the address, including by other processes.
 	guard net.PacketConn
 }
 
-// Reserve returns an address on which nobody takes connections, until it is closed.
+// Reserve reserves an address without a TCP listener until the reservation is
+// closed. If it finds none, it returns an error of kind NotListening.
 func Reserve(ctx context.Context) (*Reservation, error) {
 	for range portCount {
-		port := lowestPort + rand.IntN(portCount) //nolint:gosec // Which port it is keeps no secret.
+		port := lowestPort + rand.IntN(portCount) //nolint:gosec // The port need not be unpredictable.
 		reservation, err := reserve(ctx, net.JoinHostPort(loopback, strconv.Itoa(port)))
 		if err == nil {
 			return reservation, nil
 		}
 	}
-	return nil, failer.New("runner.Reserve", NotListening, "no port of %d from %d on is free", portCount, lowestPort)
+	return nil, failer.New("runner.Reserve", NotListening, "no free port among %d ports starting at %d", portCount, lowestPort)
 }
 
-// reserve reserves one address. The probe for listeners comes behind the guard, so
-// that it never meets a part that is just starting at an address reserved for it.
+// reserve reserves one address. It probes for a listener only after it has opened
+// the guard, so that the probe never collides with a component that is starting
+// on an address reserved for it.
 func reserve(ctx context.Context, address string) (*Reservation, error) {
 	guard, err := (&net.ListenConfig{}).ListenPacket(ctx, "udp", address)
 	if err != nil {
@@ -56,8 +58,8 @@
 	return &Reservation{address: address, guard: guard}, nil
 }
 
-// Address returns the address, an IP address with a port.
+// Address returns the reserved IP address with its port.
 func (reservation *Reservation) Address() string { return reservation.address }
 
-// Close gives the address up.
+// Close releases the address.
 func (reservation *Reservation) Close() error { return reservation.guard.Close() }
--- a/standin/runner/address_test.go
+++ b/standin/runner/address_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestReservedAddressesAreGivenOnce holds that an address stays reserved while the
-// part that uses it is down, and that the part can listen there meanwhile.
+// TestReservedAddressesAreGivenOnce checks that a component can listen on its
+// reserved address, and that the address stays reserved while the component is down.
 func TestReservedAddressesAreGivenOnce(t *testing.T) {
 	reservation, err := Reserve(t.Context())
 	assert.NilError(t, err)
@@ -17,7 +17,7 @@
 		assert.NilError(t, err)
 		assert.NilError(t, listener.Close())
 		_, err = reserve(t.Context(), reservation.Address())
-		assert.Assert(t, err != nil, "%s was given twice", reservation.Address())
+		assert.Assert(t, err != nil, "%s was reserved twice", reservation.Address())
 	}
 	assert.NilError(t, reservation.Close())
 	again, err := reserve(t.Context(), reservation.Address())
--- a/standin/runner/runner.go
+++ b/standin/runner/runner.go
@@ -1,4 +1,5 @@
-// Package runner runs a stand-in, or any part that serves a listener, in this process.
+// Package runner runs servers, such as stand-ins, on a listener in the current process and reserves
+// loopback addresses for them.
 package runner
 
 import (
@@ -10,25 +11,25 @@
 	"limpetcleat/failer"
 )
 
-// Loopback is the address of a free port that this machine alone reaches.
+// Loopback selects a free port on the loopback interface.
 const Loopback = "127.0.0.1:0"
 
 // Kind classifies an Error.
 type Kind string
 
-// NotListening marks an address that cannot be listened on.
+// NotListening marks a failure to listen on an address or to find a free one.
 const NotListening Kind = "notListening"
 
 // Error is the one error type of this package.
 type Error = failer.Error[Kind]
 
-// Server serves the connections of a listener until its context ends or it is closed.
+// Server serves the connections of a listener until its context ends or Close is called.
 type Server interface {
 	Serve(ctx context.Context, listener net.Listener) error
 	Close() error
 }
 
-// Runner is one server that runs.
+// Runner is a running server.
 type Runner struct {
 	server  Server
 	address string
@@ -37,7 +38,8 @@
 	err error
 }
 
-// Start listens on the address and serves it until the context ends or Stop is called.
+// Start listens on the address and serves it in the background until the context ends or Stop is
+// called. If it cannot listen, it returns an error of kind NotListening.
 func Start(ctx context.Context, server Server, address string) (*Runner, error) {
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", address)
 	if err != nil {
@@ -48,16 +50,17 @@
 	return runner, nil
 }
 
-// Address returns the address listened on, with its port.
+// Address returns the listen address with its port.
 func (runner *Runner) Address() string { return runner.address }
 
-// Wait returns what Serve returned, once it has.
+// Wait waits until Serve has returned and returns its error.
 func (runner *Runner) Wait() error {
 	runner.group.Wait()
 	return runner.err
 }
 
-// Stop closes the server, waits for its end and returns the first failure.
+// Stop closes the server and waits until Serve has returned. If Close fails, Stop returns that error
+// without waiting; otherwise it returns the error of Serve.
 func (runner *Runner) Stop() error {
 	if err := runner.server.Close(); err != nil {
 		return err
