--- a/standin/caller/call.go
+++ b/standin/caller/call.go
@@ -15,38 +15,41 @@
 type Call struct {
 	// Path begins with a slash.
 	Path string
-	// Method is POST when it is empty.
+	// Method defaults to POST.
 	Method string
 	// APIKey is the bearer token; none is sent when it is empty.
 	APIKey string
 	// Key is the Idempotency-Key; none is sent when it is empty.
 	Key  string
 	Body io.Reader
-	// Model and Prompt are set for a completion, whose answer they decide.
+	// Model and Prompt are set for a completion and determine the answer of a stand-in engine. They
+	// are not sent by themselves; Body contains them.
 	Model, Prompt string
 	// Deadline is sent as X-Request-Timeout-Ms, unless it is zero.
 	Deadline time.Duration
 	Header   map[string]string
-	// Progress, when set, gets the number of tokens that have come of a stream.
+	// Progress, if set, is called after each token of a streamed response with the number of tokens
+	// received so far.
 	Progress func(count int)
 }
 
-// Completion returns a call for an answer of some tokens.
+// Completion returns a call of the completions API for an answer of the given number of tokens.
 func Completion(model, prompt string, tokens int, streamed bool) Call {
-	prompt = withLength(prompt, tokens)
+	prompt = withAnswerLength(prompt, tokens)
 	body := map[string]any{"model": model, "prompt": prompt, "stream": streamed, "max_tokens": tokens}
 	return Call{Path: "/v1/completions", Body: Encode(body), Model: model, Prompt: prompt}
 }
 
-// Chat returns the same as a chat, whose length the prompt alone decides.
+// Chat returns a call of the chat completions API for an answer of the given number of tokens. It
+// sends no max_tokens; the prompt alone determines the length.
 func Chat(model, prompt string, tokens int, streamed bool) Call {
-	prompt = withLength(prompt, tokens)
+	prompt = withAnswerLength(prompt, tokens)
 	messages := []map[string]string{{"role": "user", "content": prompt}}
 	body := map[string]any{"model": model, "stream": streamed, "messages": messages}
 	return Call{Path: "/v1/chat/completions", Body: Encode(body), Model: model, Prompt: "user: " + prompt + "\n"}
 }
 
-// Encode returns a body of JSON; one that has no JSON is empty.
+// Encode returns the value as a JSON body, or an empty body if the value cannot be encoded.
 func Encode(body any) io.Reader {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -55,13 +58,13 @@
 	return strings.NewReader(string(data))
 }
 
-// withLength adds what tells a stand-in engine how long its answer is.
-func withLength(prompt string, tokens int) string {
+// withAnswerLength appends the marker that sets the length of a stand-in engine's answer.
+func withAnswerLength(prompt string, tokens int) string {
 	return fmt.Sprintf("%s #len=%d ", prompt, tokens)
 }
 
-// request returns the call as an HTTP request to the address.
-func (call Call) request(ctx context.Context, address string) (*http.Request, error) {
+// httpRequest returns the call as an HTTP request to the address.
+func (call Call) httpRequest(ctx context.Context, address string) (*http.Request, error) {
 	method := call.Method
 	if method == "" {
 		method = http.MethodPost
@@ -70,7 +73,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// A connection that breaks must not send the call again by itself.
+	// Without GetBody the transport does not resend the call by itself when a connection breaks.
 	request.GetBody = nil
 	request.Header.Set("Content-Type", "application/json")
 	if call.APIKey != "" {
--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller stands in for callers: it sends calls and reads whatever comes of them, whole,
-// streamed or broken off.
+// Package caller provides an HTTP client that stands in for the callers of the router. It sends
+// requests and reads responses, including streamed, incomplete and missing ones.
 package caller
 
 import (
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Caller sends calls to nodes.
+// Caller sends calls to nodes. It is safe for concurrent use if its transport is.
 type Caller struct {
 	transport http.RoundTripper
 }
@@ -16,7 +16,7 @@
 // Option changes one property of a Caller.
 type Option func(*Caller)
 
-// WithTransport sets what carries the calls; a connection for each call is made unless it is set.
+// WithTransport sets the transport. The default opens a new connection for each call.
 func WithTransport(transport http.RoundTripper) Option {
 	return func(caller *Caller) { caller.transport = transport }
 }
@@ -30,16 +30,18 @@
 	return caller
 }
 
-// Send sends a call to an address and returns what came of it before the context ended.
+// Send sends a call to an address and returns the reply. If the context ends first, the reply holds
+// what was received until then.
 func (caller *Caller) Send(ctx context.Context, address string, call Call) Reply {
-	request, err := call.request(ctx, address)
+	request, err := call.httpRequest(ctx, address)
 	if err != nil {
 		return Reply{Err: err, Code: err.Error()}
 	}
 	return caller.Do(request, call.Progress)
 }
 
-// Do sends a request as it is and returns what came of it; progress may be nil.
+// Do sends a request unchanged and returns the reply. If progress is not nil, it is called after
+// each token of a streamed response with the number of tokens received so far.
 func (caller *Caller) Do(request *http.Request, progress func(count int)) Reply {
 	began := time.Now()
 	response, err := caller.transport.RoundTrip(request)
--- a/standin/caller/caller_test.go
+++ b/standin/caller/caller_test.go
@@ -51,10 +51,10 @@
 				}
 			}))
 			defer server.Close()
-			told := 0
-			got := caller.New().Send(t.Context(), server.Listener.Addr().String(), caller.Call{Path: "/", Progress: func(count int) { told = count }})
+			reported := 0
+			got := caller.New().Send(t.Context(), server.Listener.Addr().String(), caller.Call{Path: "/", Progress: func(count int) { reported = count }})
 			assert.Equal(t, got.Err != nil, test.cut, "%v", got.Err)
-			assert.Assert(t, test.kind != stream || told == test.want.Tokens)
+			assert.Assert(t, test.kind != stream || reported == test.want.Tokens)
 			test.want.Status, test.want.Body, test.want.Header = test.status, test.body, got.Header
 			got.Err, got.Took = nil, 0
 			assert.DeepEqual(t, got, test.want)
--- a/standin/caller/reply.go
+++ b/standin/caller/reply.go
@@ -13,113 +13,117 @@
 	"limpetcleat/standin/engine"
 )
 
-// streamEnd is the data of the last event of a whole stream.
-const streamEnd = "[DONE]"
+// streamEndData is the data of the last event of a complete stream.
+const streamEndData = "[DONE]"
 
-// Reply is what a caller got for one call.
+// Reply is what a caller received for one call.
 type Reply struct {
-	// Status is 0 when the connection ended without an answer.
+	// Status is 0 if no response was received.
 	Status int
 	Header http.Header
-	// Body is all that came, in bytes as they came.
+	// Body is the raw response body as far as it was received.
 	Body string
-	// Text is what a completion says, and Tokens its length: of a stream the tokens that came, else
-	// the usage told.
+	// Text is the text of a completion. Tokens is its length: the number of tokens received of a
+	// stream, otherwise the completion tokens of the reported usage.
 	Text   string
 	Tokens int
-	// Whole says that the answer, of status 200, came to its end without an error.
+	// Whole is true if the response was received completely: a stream with its last event, any other
+	// body as valid JSON of status 200.
 	Whole bool
-	// Failed says that an error was told, by the status or within a stream.
+	// Failed is true if an error was reported, by the status or within a stream.
 	Failed bool
-	// Code is the error's code, or why there is no answer.
+	// Code is the error's code, or the text of Err if no response was received.
 	Code string
-	// Outcome is what was told last of the run: with the error, else in the header.
+	// Outcome is the reported outcome of the run: that of the error, otherwise that of the X-Outcome
+	// header. An error event without an outcome clears it.
 	Outcome string
-	// Err is why the answer did not come, or not to its end.
-	Err  error
+	// Err is why the response is missing or incomplete.
+	Err error
+	// Took is the time from sending the request to the end of the response.
 	Took time.Duration
 }
 
-// Read reads a response to its end; progress, if any, gets the number of tokens of a stream.
+// Read reads a response to its end without closing the body. If progress is not nil, it is called
+// after each token of a streamed response with the number of tokens received so far.
 func Read(response *http.Response, progress func(count int)) Reply {
 	reply := Reply{Status: response.StatusCode, Header: response.Header, Outcome: response.Header.Get("X-Outcome")}
 	reply.Failed = response.StatusCode/100 != 2
-	body := &recorder{source: response.Body}
+	body := &recordingReader{source: response.Body}
 	if strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream") {
 		reply.readStream(body, progress)
 	} else {
-		reply.readWhole(body)
+		reply.readBody(body)
 	}
 	return reply
 }
 
-// RequestID returns the id under which the request was handled.
+// RequestID returns the ID under which the request was handled.
 func (reply Reply) RequestID() string { return reply.Header.Get("X-Request-Id") }
 
-// RetryAfter returns when to come back, in seconds, if that was told.
+// RetryAfter returns the value of the Retry-After header in seconds, or an empty string.
 func (reply Reply) RetryAfter() string { return reply.Header.Get("Retry-After") }
 
-// Offer returns the key offered in place of a refused one.
+// Offer returns the idempotency key offered in place of a rejected one, or an empty string.
 func (reply Reply) Offer() string { return reply.Header.Get("Idempotency-Key-Offer") }
 
-// Replayed tells whether this is a stored answer.
+// Replayed reports whether the response is the stored answer of an earlier call with the same key.
 func (reply Reply) Replayed() bool { return reply.Header.Get("Idempotency-Replayed") == "true" }
 
-// NotRun tells whether the caller was told that the call did not run.
+// NotRun reports whether the response states that the call did not run.
 func (reply Reply) NotRun() bool { return reply.Outcome == "notRun" }
 
-// Own tells whether what came of the answer is the call's own, as the stand-in engines have it, from
-// its first token on and without one lost or doubled.
+// Own reports whether the text received is the beginning of the stand-in engine's answer to the
+// call, with no token missing or duplicated.
 func (reply Reply) Own(call Call) bool {
 	return reply.Text == engine.Answer(call.Model, call.Prompt, 0, reply.Tokens)
 }
 
-// String returns the reply's main points.
+// String returns a summary of the reply for failure messages.
 func (reply Reply) String() string {
 	return fmt.Sprintf("status %d outcome %q code %q whole %v tokens %d after %v",
 		reply.Status, reply.Outcome, reply.Code, reply.Whole, reply.Tokens, reply.Took.Round(time.Millisecond))
 }
 
-func (reply *Reply) readWhole(body *recorder) {
-	reply.readRest(body)
+func (reply *Reply) readBody(body *recordingReader) {
+	reply.readRemaining(body)
 	parsed := gjson.Parse(reply.Body)
-	reply.Text = textOf(parsed, "message")
+	reply.Text = choiceText(parsed, "message")
 	reply.Tokens = int(parsed.Get("usage.completion_tokens").Int())
 	reply.Whole = reply.Err == nil && gjson.Valid(reply.Body) && reply.Status == http.StatusOK
 	failure := parsed.Get("error")
 	reply.Code = failure.Get("code").String()
-	if told := failure.Get("outcome"); reply.Failed && told.Exists() {
-		reply.Outcome = told.String()
+	if outcome := failure.Get("outcome"); reply.Failed && outcome.Exists() {
+		reply.Outcome = outcome.String()
 	}
-	// A stream that was never named as one may still end with an error.
+	// A stream without the content type of one may still end with an error event.
 	for event, err := range sse.Read(strings.NewReader(reply.Body), nil) {
-		if err != nil || reply.fail(gjson.Parse(event.Data)) {
+		if err != nil || reply.recordError(gjson.Parse(event.Data)) {
 			return
 		}
 	}
 }
 
-func (reply *Reply) readStream(body *recorder, progress func(count int)) {
+func (reply *Reply) readStream(body *recordingReader, progress func(count int)) {
 	for event, err := range sse.Read(body, nil) {
 		if err != nil {
 			break
 		}
-		reply.take(event.Data, progress)
+		reply.addEvent(event.Data, progress)
 	}
-	reply.readRest(body)
+	reply.readRemaining(body)
 }
 
-// take reads one event's data.
-func (reply *Reply) take(data string, progress func(count int)) {
-	if data == streamEnd {
+// addEvent adds the data of one event to the reply.
+func (reply *Reply) addEvent(data string, progress func(count int)) {
+	if data == streamEndData {
 		reply.Whole = true
 		return
 	}
 	parsed := gjson.Parse(data)
-	if reply.fail(parsed) {
+	if reply.recordError(parsed) {
 		return
 	}
-	text := textOf(parsed, "delta")
+	text := choiceText(parsed, "delta")
 	if text == "" {
 		return
 	}
@@ -130,8 +134,8 @@
 	}
 }
 
-// fail takes in the error that an event tells, if it does.
-func (reply *Reply) fail(event gjson.Result) bool {
+// recordError records the error that an event carries and reports whether there is one.
+func (reply *Reply) recordError(event gjson.Result) bool {
 	failure := event.Get("error")
 	if !failure.Exists() {
 		return false
@@ -141,30 +145,31 @@
 	return true
 }
 
-func (reply *Reply) readRest(body *recorder) {
+func (reply *Reply) readRemaining(body *recordingReader) {
 	_, _ = io.Copy(io.Discard, body)
 	reply.Body, reply.Err = body.text.String(), body.err
 }
 
-// textOf returns the first choice's text, of a completion or of a chat.
-func textOf(parsed gjson.Result, part string) string {
-	return parsed.Get("choices.0.text").String() + parsed.Get("choices.0."+part+".content").String()
+// choiceText returns the text of the first choice of a completion or, from the given field, of a
+// chat.
+func choiceText(parsed gjson.Result, field string) string {
+	return parsed.Get("choices.0.text").String() + parsed.Get("choices.0."+field+".content").String()
 }
 
-// recorder keeps what is read.
-type recorder struct {
+// recordingReader keeps a copy of all data read from its source.
+type recordingReader struct {
 	source io.Reader
 	text   strings.Builder
-	// err is why the source broke off.
+	// err is the error with which the source ended, other than io.EOF.
 	err error
 }
 
-// Read reads from the source.
-func (recorder *recorder) Read(data []byte) (int, error) {
-	count, err := recorder.source.Read(data)
-	recorder.text.Write(data[:count])
+// Read reads from the source and records the data.
+func (reader *recordingReader) Read(data []byte) (int, error) {
+	count, err := reader.source.Read(data)
+	reader.text.Write(data[:count])
 	if err != nil && err != io.EOF {
-		recorder.err = err
+		reader.err = err
 	}
 	return count, err
 }
