--- a/standin/service/caller.go
+++ b/standin/service/call.go
@@ -14,7 +14,7 @@
 	"limpetcleat/standin/internal/host"
 )
 
-// The headers of a call and its answer.
+// Headers of a call and its answer.
 const (
 	HeaderAttemptID = "X-Attempt-Id"
 	HeaderKey       = "Idempotency-Key"
@@ -29,21 +29,21 @@
 	Path      string `json:"path"`
 	AttemptID string `json:"attemptId"`
 	Key       string `json:"key"`
-	// Runs counts the runs of the key so far, or of the attempt when there is no
-	// key.
+	// Runs is the number of recorded runs of the key, or of the attempt if the call
+	// has no key, this run included.
 	Runs int `json:"runs"`
-	// Echo is the SHA-256 of the request's body in hexadecimal.
+	// Echo is the SHA-256 hash of the request body in hexadecimal.
 	Echo string `json:"echo"`
 }
 
-func (service *Service) call(writer http.ResponseWriter, request *http.Request) {
+func (service *Service) handleCall(writer http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, maxBodyBytes))
 	if err != nil {
 		writer.Header().Set(HeaderNotRun, "1")
 		host.Fail(writer, http.StatusRequestEntityTooLarge, "invalidBody", err.Error())
 		return
 	}
-	if service.dead(writer, request) {
+	if service.hangIfDead(writer, request) {
 		return
 	}
 	run := Run{
@@ -53,15 +53,15 @@
 		Path:      request.URL.Path,
 		AtMs:      time.Now().UnixMilli(),
 	}
-	runs, plan, accepted := service.begin(run)
-	said := service.announcement()
-	said.Write(writer.Header())
+	runs, faults, accepted := service.startRun(run)
+	announcement := service.currentAnnouncement()
+	announcement.Write(writer.Header())
 	if !accepted {
-		refuse(writer, run.AttemptID, said)
+		writeRefusal(writer, run.AttemptID, announcement)
 		return
 	}
-	service.work(request, run.Path, plan)
-	if plan.failAfter {
+	service.simulateRun(request, run.Path, faults)
+	if faults.failAfter {
 		host.Cut(writer)
 		return
 	}
@@ -70,57 +70,59 @@
 		Service: service.name, Path: run.Path, AttemptID: run.AttemptID, Key: run.Key,
 		Runs: runs, Echo: hex.EncodeToString(digest[:]),
 	}
-	if plan.crossed {
+	if faults.crossAttemptID {
 		answer.AttemptID = uuid.NewString()
 	}
-	send(writer, answer, plan)
+	writeAnswer(writer, answer, faults)
 }
 
-// begin records the run and takes its faults, unless the call is refused
-// without running.
-func (service *Service) begin(run Run) (runs int, ordered plan, accepted bool) {
+// startRun records the run and consumes the faults that apply to it. If accepted
+// is false, the call is refused and nothing runs.
+func (service *Service) startRun(run Run) (runs int, taken runFaults, accepted bool) {
 	service.mu.Lock()
 	defer service.mu.Unlock()
-	full := service.capacity > unbounded && service.running >= service.capacity
-	if full || take(&service.faults.FailBefore) {
-		return 0, plan{}, false
+	full := service.capacity > unlimited && service.activeRuns >= service.capacity
+	if full || consume(&service.faults.FailBefore) {
+		return 0, runFaults{}, false
 	}
-	service.running++
-	return service.runs.add(run), service.faults.plan(), true
+	service.activeRuns++
+	return service.runs.add(run), service.faults.takeForRun(), true
 }
 
-// work passes the time of a run. The run counts also when its client leaves
-// meanwhile.
-func (service *Service) work(request *http.Request, path string, plan plan) {
-	service.host.Wait(request.Context(), service.latencyOf(path)+plan.slow)
+// simulateRun waits for the duration of a run. The run stays recorded if its
+// client disconnects meanwhile.
+func (service *Service) simulateRun(request *http.Request, path string, faults runFaults) {
+	service.host.Wait(request.Context(), service.pathLatency(path)+faults.addedLatency)
 	service.mu.Lock()
 	stall := time.Until(service.stalledUntil)
 	service.mu.Unlock()
 	service.host.Wait(request.Context(), stall)
 	service.mu.Lock()
-	service.running--
+	service.activeRuns--
 	service.mu.Unlock()
 }
 
-// announcement returns how the service wants to be asked.
-func (service *Service) announcement() host.Announcement {
+// currentAnnouncement returns the limit, the leaving notice and the backoff that
+// the service announces in its response headers.
+func (service *Service) currentAnnouncement() host.Announcement {
 	service.mu.Lock()
 	defer service.mu.Unlock()
 	return service.faults.Announcement
 }
 
-func refuse(writer http.ResponseWriter, attemptID string, said host.Announcement) {
+func writeRefusal(writer http.ResponseWriter, attemptID string, announcement host.Announcement) {
 	header := writer.Header()
 	header.Set(HeaderNotRun, "1")
-	said.WriteRetryAfter(header)
+	announcement.WriteRetryAfter(header)
 	if attemptID != "" {
 		header.Set(HeaderAttemptID, attemptID)
 	}
 	host.Fail(writer, http.StatusServiceUnavailable, "notRun", "refused without running")
 }
 
-// send writes the answer, or its first bytes when it is to be cut.
-func send(writer http.ResponseWriter, answer Answer, plan plan) {
+// writeAnswer writes the answer. If the body is to be cut, it writes the first
+// bytes and closes the connection.
+func writeAnswer(writer http.ResponseWriter, answer Answer, faults runFaults) {
 	encoded, err := json.Marshal(answer)
 	if err != nil {
 		host.Fail(writer, http.StatusInternalServerError, "encoding", err.Error())
@@ -132,11 +134,11 @@
 	if answer.AttemptID != "" {
 		header.Set(HeaderAttemptID, answer.AttemptID)
 	}
-	if !plan.cut {
+	if !faults.cutBody {
 		_, _ = writer.Write(encoded)
 		return
 	}
-	_, _ = writer.Write(encoded[:min(plan.cutAfter, len(encoded))])
+	_, _ = writer.Write(encoded[:min(faults.cutAfterBytes, len(encoded))])
 	_ = http.NewResponseController(writer).Flush()
 	host.Cut(writer)
 }
--- a/standin/service/faults.go
+++ b/standin/service/faults.go
@@ -9,53 +9,56 @@
 	"limpetcleat/standin/internal/host"
 )
 
-// Faults is what POST /_standin/faults sets; a field that is not given keeps
-// its value. The counts are of what is still to come.
+// Faults is the body of POST /_standin/faults; a field that is missing keeps its
+// value. FailBefore, FailAfter, CutCount and Crossed are the numbers of calls that
+// the fault still affects.
 type Faults struct {
 	// SlowMs is added to the latency of every call, in milliseconds.
 	SlowMs int `json:"slowMs"`
-	// StallMs holds all calls once, for so many milliseconds.
+	// StallMs stalls all runs once, for this number of milliseconds from now on.
 	StallMs int `json:"stallMs"`
-	// FailBefore answers 503 without running.
+	// FailBefore responds with 503 without running.
 	FailBefore int `json:"failBefore"`
-	// FailAfter runs and then closes the connection without an answer.
+	// FailAfter runs and then closes the connection without a response.
 	FailAfter int `json:"failAfter"`
-	// CutAfterBytes is how much of the body the next CutCount answers send before
-	// their connection is closed. A positive CutAfterBytes without CutCount cuts
-	// one answer.
+	// CutAfterBytes is the number of bytes of the body that the next CutCount
+	// answers send before their connection is closed. A positive CutAfterBytes
+	// without CutCount cuts one answer.
 	CutAfterBytes int `json:"cutAfterBytes"`
 	CutCount      int `json:"cutCount"`
-	// Crossed answers carry another attempt's id.
+	// Crossed answers carry the ID of another attempt.
 	Crossed int `json:"crossed"`
-	// Dead takes connections and never answers; nothing runs.
+	// Dead accepts connections and never responds; nothing runs.
 	Dead bool `json:"dead"`
 	host.Announcement
 }
 
-// plan is the faults that one run gets.
-type plan struct {
-	failAfter bool
-	crossed   bool
-	cut       bool
-	cutAfter  int
-	slow      time.Duration
+// runFaults holds the faults of one run.
+type runFaults struct {
+	failAfter      bool
+	crossAttemptID bool
+	cutBody        bool
+	cutAfterBytes  int
+	addedLatency   time.Duration
 }
 
-func (faults *Faults) plan() plan {
-	ordered := plan{
-		failAfter: take(&faults.FailAfter),
-		crossed:   take(&faults.Crossed),
-		cutAfter:  faults.CutAfterBytes,
-		slow:      time.Duration(faults.SlowMs) * time.Millisecond,
+// takeForRun returns the faults for the next run and decrements their counts.
+func (faults *Faults) takeForRun() runFaults {
+	taken := runFaults{
+		failAfter:      consume(&faults.FailAfter),
+		crossAttemptID: consume(&faults.Crossed),
+		cutAfterBytes:  faults.CutAfterBytes,
+		addedLatency:   time.Duration(faults.SlowMs) * time.Millisecond,
 	}
-	ordered.cut = take(&faults.CutCount)
+	taken.cutBody = consume(&faults.CutCount)
 	if faults.CutCount == 0 {
 		faults.CutAfterBytes = 0
 	}
-	return ordered
+	return taken
 }
 
-func take(count *int) bool {
+// consume decrements a positive count and reports whether it was positive.
+func consume(count *int) bool {
 	if *count <= 0 {
 		return false
 	}
@@ -63,17 +66,17 @@
 	return true
 }
 
-func (service *Service) routes() http.Handler {
+func (service *Service) adminRoutes() http.Handler {
 	router := httprouter.New()
-	router.GET(ownPrefix+"health", service.getHealth)
-	router.GET(ownPrefix+"runs", service.getRuns)
-	router.GET(ownPrefix+"faults", service.getFaults)
-	router.POST(ownPrefix+"faults", service.setFaults)
+	router.GET(adminPrefix+"health", service.getHealth)
+	router.GET(adminPrefix+"runs", service.getRuns)
+	router.GET(adminPrefix+"faults", service.getFaults)
+	router.POST(adminPrefix+"faults", service.setFaults)
 	return router
 }
 
 func (service *Service) getHealth(writer http.ResponseWriter, request *http.Request, _ httprouter.Params) {
-	if service.dead(writer, request) {
+	if service.hangIfDead(writer, request) {
 		return
 	}
 	host.Answer(writer, http.StatusOK, struct{}{})
@@ -111,8 +114,9 @@
 	host.Answer(writer, http.StatusOK, faults)
 }
 
-// dead hangs and returns true while the service is dead.
-func (service *Service) dead(writer http.ResponseWriter, request *http.Request) bool {
+// hangIfDead reports whether the Dead fault is set. If so, it first blocks until
+// the request or the service ends and then closes the connection.
+func (service *Service) hangIfDead(writer http.ResponseWriter, request *http.Request) bool {
 	service.mu.Lock()
 	dead := service.faults.Dead
 	service.mu.Unlock()
--- a/standin/service/service_test.go
+++ b/standin/service/service_test.go
@@ -34,7 +34,8 @@
 	return client{t: t, url: server.URL}
 }
 
-// reply is an answer; status 0 is none, and cut is true when the body ended early.
+// reply is the response to a call. Status is 0 if there was no response, and cut is true if the
+// body ended early.
 type reply struct {
 	status int
 	notRun bool
@@ -74,7 +75,7 @@
 	return runs
 }
 
-func (client client) order(faults string) {
+func (client client) setFaults(faults string) {
 	response, err := http.Post(client.url+"/_standin/faults", "application/json", strings.NewReader(faults))
 	assert.NilError(client.t, err)
 	defer response.Body.Close()
@@ -99,7 +100,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			client := start(t)
-			client.order(test.faults)
+			client.setFaults(test.faults)
 			first := client.call(context.Background(), "/stock", "a1", "k1")
 			assert.Equal(t, first.status, test.status)
 			assert.Equal(t, first.notRun, test.notRun)
@@ -109,7 +110,7 @@
 			assert.Equal(t, len(client.runs("?attemptId=a1").Runs), test.runs)
 
 			second := client.call(context.Background(), "/stock", "a2", "k1")
-			assert.Equal(t, second.answer.Runs, test.runs+1, "the fault is spent and the key is counted")
+			assert.Equal(t, second.answer.Runs, test.runs+1, "the fault must be consumed and the run counted for its key")
 			assert.Equal(t, second.header, "a2")
 			assert.Equal(t, client.runs("?key=k1").Keys["k1"], test.runs+1)
 			assert.Equal(t, second.answer.Echo, fmt.Sprintf("%x", sha256.Sum256([]byte("order"))))
@@ -119,12 +120,12 @@
 
 func TestDeadNeverAnswersAndNeverRuns(t *testing.T) {
 	client := start(t)
-	client.order(`{"dead":true}`)
+	client.setFaults(`{"dead":true}`)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
 	assert.Equal(t, client.call(ctx, "/stock", "a1", "k1").status, 0)
 	assert.Equal(t, client.runs("").Total, 0)
-	client.order(`{"dead":false}`)
+	client.setFaults(`{"dead":false}`)
 	assert.Equal(t, client.call(context.Background(), "/stock", "a1", "k1").status, 200)
 }
 
@@ -144,10 +145,11 @@
 	assert.DeepEqual(t, runs.Attempts, map[string]int{"a1": 1})
 }
 
-// TestAnnouncements holds that what is set stands in all answers, and the backoff in refusals.
+// TestAnnouncements checks that the limit and the leaving notice are in the headers of all
+// responses and the backoff only in those of refusals.
 func TestAnnouncements(t *testing.T) {
 	client := start(t)
-	set := func(faults string) {
+	postFaults := func(faults string) {
 		response, err := http.Post(client.url+"/_standin/faults", "application/json", strings.NewReader(faults))
 		assert.NilError(t, err)
 		assert.NilError(t, response.Body.Close())
@@ -162,7 +164,7 @@
 		return response.Header
 	}
 	assert.Equal(t, headers().Get("Server-Limit")+headers().Get("Server-Leaving"), "")
-	set(`{"limitPerSecond":"2.2","saysLeaving":true,"retryAfterMs":2500,"failBefore":1}`)
+	postFaults(`{"limitPerSecond":"2.2","saysLeaving":true,"retryAfterMs":2500,"failBefore":1}`)
 	refused := headers()
 	assert.Equal(t, refused.Get("Server-Limit"), "2.2")
 	assert.Equal(t, refused.Get("Server-Leaving"), "1")
