--- a/standin/clock/timers.go
+++ b/standin/clock/timers.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Timers holds the timers of one component by key, as package timer does for a process. The value is
-// the generation of the timer, incremented by each Set and Clear, so that a timer that was replaced
-// or cleared does not fire.
+// Timers holds the timers of one component by key, as package timer does for a process. The value
+// is the generation of the timer, incremented by each Set and Clear, so that a timer that was
+// replaced or cleared does not fire.
 type Timers[Key comparable] map[Key]int
 
 // Set schedules fire to be called when the clock reaches the time, unless the timer is set again or
--- a/standin/process/process.go
+++ b/standin/process/process.go
@@ -42,9 +42,9 @@
 	exitCode int
 }
 
-// Start runs the program and appends its standard output and standard error to the file at logPath,
-// which it creates if needed. Several processes may share a log file. The process runs until it exits or
-// is signalled. An error is of kind NotStarted.
+// Start runs the program and appends its standard output and standard error to the file at
+// logPath, which it creates if needed. Several processes may share a log file. The process runs
+// until it exits or a signal terminates it. An error is of kind NotStarted.
 func Start(logPath, program string, args ...string) (*Process, error) {
 	output, err := os.OpenFile(logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, logFileMode)
 	if err != nil {
--- a/standin/runner/runner.go
+++ b/standin/runner/runner.go
@@ -59,8 +59,8 @@
 	return runner.err
 }
 
-// Stop closes the server and waits until Serve has returned. If Close fails, Stop returns that error
-// without waiting; otherwise it returns the error of Serve.
+// Stop closes the server and waits until Serve has returned. If Close fails, Stop returns that
+// error without waiting; otherwise it returns the error of Serve.
 func (runner *Runner) Stop() error {
 	if err := runner.server.Close(); err != nil {
 		return err
