--- a/standin/caller/reply.go
+++ b/standin/caller/reply.go
@@ -27,15 +27,15 @@
 	// stream, otherwise the completion tokens of the reported usage.
 	Text   string
 	Tokens int
-	// Whole is true if the response was received completely: a stream with its last event, any other
-	// body as valid JSON of status 200.
+	// Whole is true if the response was received completely: a stream with its last event, any
+	// other body as valid JSON of status 200.
 	Whole bool
 	// Failed is true if an error was reported, by the status or within a stream.
 	Failed bool
 	// Code is the error's code, or the text of Err if no response was received.
 	Code string
-	// Outcome is the reported outcome of the run: that of the error, otherwise that of the X-Outcome
-	// header. An error event without an outcome clears it.
+	// Outcome is the reported outcome of the run: that of the error, otherwise that of the
+	// X-Outcome header. An error event without an outcome clears it.
 	Outcome string
 	// Err is why the response is missing or incomplete.
 	Err error
--- a/standin/relay/connection.go
+++ b/standin/relay/connection.go
@@ -8,7 +8,7 @@
 	"github.com/sourcegraph/conc"
 )
 
-const bufferSize = 32 << 10
+const bufferBytes = 32 << 10
 
 // connection is one proxied connection with its connections to the peer and to the target.
 type connection struct {
@@ -63,7 +63,7 @@
 		_ = to.Close()
 		_ = from.Close()
 	}()
-	buffer := make([]byte, bufferSize)
+	buffer := make([]byte, bufferBytes)
 	for {
 		count, err := from.Read(buffer)
 		if err != nil {
--- a/standin/relay/relay_test.go
+++ b/standin/relay/relay_test.go
@@ -86,7 +86,7 @@
 	assert.Assert(endpoint.t, count == 0 && err != nil && !errors.Is(err, os.ErrDeadlineExceeded), "%v", err)
 }
 
-func (fixture *fixture) awaitHeld(direction relay.Direction) {
+func (fixture *fixture) awaitHeldRead(direction relay.Direction) {
 	for began := time.Now(); !fixture.Holds(direction); {
 		assert.Assert(fixture.t, time.Since(began) < testTimeout)
 	}
@@ -130,7 +130,7 @@
 				near, far = far, near
 			}
 			near.send("held")
-			fixture.awaitHeld(test.held)
+			fixture.awaitHeldRead(test.held)
 			assert.NilError(t, far.SetReadDeadline(time.Now()))
 			_, err := far.Read(make([]byte, 1))
 			assert.Assert(t, errors.Is(err, os.ErrDeadlineExceeded), "%v", err)
@@ -169,7 +169,7 @@
 	near, far := fixture.dial("anna")
 	fixture.Set(relay.Everyone, relay.Stalling)
 	near.send("held")
-	fixture.awaitHeld(relay.Forward)
+	fixture.awaitHeldRead(relay.Forward)
 	assert.NilError(t, fixture.Stop())
 	near.expectClosed()
 	far.expectClosed()
