--- a/generator/plan_test.go
+++ b/generator/plan_test.go
@@ -12,8 +12,8 @@
 	mix := Mix{Streams: []Stream{{Name: "a", Rate: 50, OutputTokens: 40}, {Name: "b", Rate: 20}}}
 	times := func(seed uint64) []time.Duration {
 		var times []time.Duration
-		for _, arrival := range plan(mix, 1, 10*time.Second, seed) {
-			times = append(times, arrival.at, time.Duration(arrival.length))
+		for _, arrival := range planArrivals(mix, 1, 10*time.Second, seed) {
+			times = append(times, arrival.offset, time.Duration(arrival.outputTokens))
 		}
 		return times
 	}
@@ -37,24 +37,24 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			arrivals := plan(Mix{Streams: []Stream{test.stream}}, test.scale, seconds*time.Second, 1)
-			// A Poisson count is within six deviations of its mean.
+			arrivals := planArrivals(Mix{Streams: []Stream{test.stream}}, test.scale, seconds*time.Second, 1)
+			// The bound is six standard deviations of a Poisson count.
 			assert.Assert(t, math.Abs(float64(len(arrivals))-test.wanted) <= 6*math.Sqrt(test.wanted), len(arrivals))
 			for index, arrival := range arrivals {
 				assert.Equal(t, arrival.number, index)
-				assert.Assert(t, index == 0 || arrival.at >= arrivals[index-1].at)
+				assert.Assert(t, index == 0 || arrival.offset >= arrivals[index-1].offset)
 			}
 		})
 	}
 }
 
-// TestGapsAreExponential holds mean and deviation of the gaps, which are equal
-// in a Poisson process, against each other.
+// TestGapsAreExponential checks that the mean and the standard deviation of the gaps between
+// arrivals are nearly equal, as in a Poisson process.
 func TestGapsAreExponential(t *testing.T) {
-	arrivals := plan(Mix{Streams: []Stream{{Rate: 100}}}, 1, 200*time.Second, 3)
+	arrivals := planArrivals(Mix{Streams: []Stream{{Rate: 100}}}, 1, 200*time.Second, 3)
 	var sum, squares float64
 	for index := 1; index < len(arrivals); index++ {
-		gap := (arrivals[index].at - arrivals[index-1].at).Seconds()
+		gap := (arrivals[index].offset - arrivals[index-1].offset).Seconds()
 		sum += gap
 		squares += gap * gap
 	}
@@ -67,23 +67,23 @@
 func TestBurstFallsInItsTime(t *testing.T) {
 	mix := Mix{Streams: []Stream{{Rate: 20, Burst: &Burst{AtMs: 40_000, ForMs: 20_000, Factor: 5}}}}
 	inside, outside := 0, 0
-	for _, arrival := range plan(mix, 1, 100*time.Second, 1) {
-		if arrival.at >= 40*time.Second && arrival.at < 60*time.Second {
+	for _, arrival := range planArrivals(mix, 1, 100*time.Second, 1) {
+		if arrival.offset >= 40*time.Second && arrival.offset < 60*time.Second {
 			inside++
 		} else {
 			outside++
 		}
 	}
-	// 2,000 are expected inside and 1,600 outside.
+	// The expected counts are 2,000 inside the burst and 1,600 outside.
 	assert.Assert(t, inside > 1700 && inside < 2300, inside)
 	assert.Assert(t, outside > 1300 && outside < 1900, outside)
 }
 
 func TestLengthsAreDrawnAroundTheirMean(t *testing.T) {
-	sum, arrivals := 0, plan(Mix{Streams: []Stream{{Rate: 100, OutputTokens: 100}}}, 1, 100*time.Second, 5)
+	sum, arrivals := 0, planArrivals(Mix{Streams: []Stream{{Rate: 100, OutputTokens: 100}}}, 1, 100*time.Second, 5)
 	for _, arrival := range arrivals {
-		assert.Assert(t, arrival.length >= 50 && arrival.length < 150)
-		sum += arrival.length
+		assert.Assert(t, arrival.outputTokens >= 50 && arrival.outputTokens < 150)
+		sum += arrival.outputTokens
 	}
 	mean := float64(sum) / float64(len(arrivals))
 	assert.Assert(t, mean > 95 && mean < 105, mean)
--- a/generator/report.go
+++ b/generator/report.go
@@ -2,27 +2,30 @@
 
 import "time"
 
-// Report is a result in its JSON form; times are in milliseconds. Its fields are
-// exported because the codec needs it.
+// Report is the JSON form of a Result; times are in milliseconds. Its fields are exported for the
+// JSON codec.
 type Report struct {
-	TookMs float64 `json:"tookMs"`
-	// GoodputTokens is the tokens a second of whole answers.
+	ElapsedMs float64 `json:"tookMs"`
+	// GoodputTokens is the number of tokens in complete answers, per second.
 	GoodputTokens float64        `json:"goodputTokens"`
 	Streams       []StreamReport `json:"streams"`
 }
 
-// StreamReport is the JSON form of what came of one stream.
+// StreamReport is the JSON form of a stream's result.
 type StreamReport struct {
 	*StreamResult
+	// Attainment is the fraction of requests that met their targets.
 	Attainment float64 `json:"attainment"`
-	// GoodputTokens and GoodputAnswers are counted a second.
+	// GoodputTokens and GoodputAnswers are the tokens and the number of complete answers, per
+	// second.
 	GoodputTokens  float64   `json:"goodputTokens"`
 	GoodputAnswers float64   `json:"goodputAnswers"`
 	FirstToken     Quantiles `json:"firstTokenMs"`
 	Total          Quantiles `json:"totalMs"`
 }
 
-// Quantiles are those of one latency of whole answers, from intended arrival.
+// Quantiles are latency quantiles of complete answers in milliseconds, measured from the intended
+// arrival.
 type Quantiles struct {
 	P50 float64 `json:"p50"`
 	P90 float64 `json:"p90"`
@@ -31,33 +34,34 @@
 	Max float64 `json:"max"`
 }
 
-// Report returns the result in its JSON form.
+// Report returns the JSON form of the result.
 func (result *Result) Report() Report {
-	seconds := max(result.took.Seconds(), 1e-9)
-	report := Report{TookMs: inMilliseconds(result.took), GoodputTokens: result.Goodput()}
+	seconds := max(result.elapsed.Seconds(), 1e-9)
+	report := Report{ElapsedMs: toMilliseconds(result.elapsed), GoodputTokens: result.Goodput()}
 	for _, stream := range result.streams {
 		report.Streams = append(report.Streams, StreamReport{
 			StreamResult:   stream,
 			Attainment:     stream.Attainment(),
 			GoodputTokens:  float64(stream.Tokens) / seconds,
-			GoodputAnswers: float64(stream.Whole) / seconds,
-			FirstToken:     quantilesOf(stream.FirstToken),
-			Total:          quantilesOf(stream.Total),
+			GoodputAnswers: float64(stream.Completed) / seconds,
+			FirstToken:     newQuantiles(stream.FirstToken),
+			Total:          newQuantiles(stream.Total),
 		})
 	}
 	return report
 }
 
-func quantilesOf(quantile func(float64) time.Duration) Quantiles {
+// newQuantiles evaluates a function that maps a percentile, 0 to 100, to a latency.
+func newQuantiles(quantile func(float64) time.Duration) Quantiles {
 	return Quantiles{
-		P50: inMilliseconds(quantile(50)),
-		P90: inMilliseconds(quantile(90)),
-		P95: inMilliseconds(quantile(95)),
-		P99: inMilliseconds(quantile(99)),
-		Max: inMilliseconds(quantile(100)),
+		P50: toMilliseconds(quantile(50)),
+		P90: toMilliseconds(quantile(90)),
+		P95: toMilliseconds(quantile(95)),
+		P99: toMilliseconds(quantile(99)),
+		Max: toMilliseconds(quantile(100)),
 	}
 }
 
-func inMilliseconds(duration time.Duration) float64 {
+func toMilliseconds(duration time.Duration) float64 {
 	return float64(duration.Microseconds()) / 1000
 }
--- a/generator/result.go
+++ b/generator/result.go
@@ -14,31 +14,34 @@
 )
 
 const (
-	// Latencies are kept in microseconds, up to ten minutes.
-	highestLatency = int64(10 * time.Minute / time.Microsecond)
-	digits         = 3
+	// Latencies are recorded in microseconds, up to ten minutes.
+	maxLatencyMicroseconds = int64(10 * time.Minute / time.Microsecond)
+	significantDigits      = 3
 )
 
-// Result is what came of a load, stream by stream.
+// Result holds the outcome of a load for each stream.
 type Result struct {
-	// mutex guards streams.
+	// mutex guards the contents of streams.
 	mutex sync.Mutex
-	// streams holds each stream of the mix once, in its order.
+	// streams has one entry for each stream name, in the order of the mix.
 	streams []*StreamResult
-	took    time.Duration
-	// wasted holds the wasted tokens by stream; nil when they are not known.
+	elapsed time.Duration
+	// wasted maps stream names to numbers of wasted tokens; nil if unknown.
 	wasted map[string]uint64
 }
 
-// StreamResult is what came of one stream.
+// StreamResult holds the outcome of one stream's requests.
 type StreamResult struct {
 	Name string `json:"name"`
 	Sent int    `json:"sent"`
-	// Whole counts whole answers, Met those within the stream's targets.
-	Whole  int `json:"whole"`
-	Met    int `json:"met"`
-	Tokens int `json:"tokens"`
-	// Refused counts honest refusals and errors by code.
+	// Completed is the number of complete answers, Met the number of those within the stream's
+	// targets, and Tokens the number of tokens in complete answers.
+	Completed int `json:"whole"`
+	Met       int `json:"met"`
+	Tokens    int `json:"tokens"`
+	// Refused counts the requests without a complete answer by error code. The code is "silent"
+	// if there was no valid response or the stream ended early, and "foreign" if the answer's text
+	// failed the AnswerCheck.
 	Refused    map[string]int `json:"refused,omitempty"`
 	firstToken *hdrhistogram.Histogram
 	total      *hdrhistogram.Histogram
@@ -47,19 +50,19 @@
 func newResult(mix Mix) *Result {
 	result := &Result{}
 	for _, stream := range mix.Streams {
-		if result.find(stream.Name) == nil {
+		if result.streamResult(stream.Name) == nil {
 			result.streams = append(result.streams, &StreamResult{
 				Name:       stream.Name,
 				Refused:    make(map[string]int),
-				firstToken: hdrhistogram.New(1, highestLatency, digits),
-				total:      hdrhistogram.New(1, highestLatency, digits),
+				firstToken: hdrhistogram.New(1, maxLatencyMicroseconds, significantDigits),
+				total:      hdrhistogram.New(1, maxLatencyMicroseconds, significantDigits),
 			})
 		}
 	}
 	return result
 }
 
-func (result *Result) find(name string) *StreamResult {
+func (result *Result) streamResult(name string) *StreamResult {
 	for _, stream := range result.streams {
 		if stream.Name == name {
 			return stream
@@ -71,44 +74,46 @@
 // Streams returns the results of all streams, in the order of the mix.
 func (result *Result) Streams() []*StreamResult { return result.streams }
 
-// Took returns the time from the first arrival to the last answer.
-func (result *Result) Took() time.Duration { return result.took }
+// Elapsed returns the time from the start of the load to the last answer.
+func (result *Result) Elapsed() time.Duration { return result.elapsed }
 
-func (result *Result) add(answer *answer) {
+// record adds an answer to its stream's result. It is safe for concurrent use.
+func (result *Result) record(answer *answer) {
 	result.mutex.Lock()
 	defer result.mutex.Unlock()
-	stream := result.find(answer.arrival.stream.Name)
+	stream := result.streamResult(answer.arrival.stream.Name)
 	stream.Sent++
-	if !answer.whole {
-		stream.Refused[answer.code]++
+	if !answer.complete {
+		stream.Refused[answer.errorCode]++
 		return
 	}
-	stream.Whole++
+	stream.Completed++
 	stream.Tokens += answer.tokens
 	_ = stream.total.RecordValue(answer.total.Microseconds())
 	if answer.firstToken > 0 {
 		_ = stream.firstToken.RecordValue(answer.firstToken.Microseconds())
 	}
-	if answer.met() {
+	if answer.meetsTargets() {
 		stream.Met++
 	}
 }
 
-// met tells whether a whole answer came within its stream's targets.
-func (answer *answer) met() bool {
+// meetsTargets reports whether a complete answer is within its stream's latency targets.
+func (answer *answer) meetsTargets() bool {
 	stream := answer.arrival.stream
 	switch {
 	case stream.TotalMs > 0 && answer.total > milliseconds(stream.TotalMs):
 		return false
 	case stream.FirstTokenMs > 0 && answer.firstToken > milliseconds(stream.FirstTokenMs):
 		return false
-	case stream.BetweenTokensMs > 0 && answer.between() > milliseconds(stream.BetweenTokensMs):
+	case stream.BetweenTokensMs > 0 && answer.meanTokenInterval() > milliseconds(stream.BetweenTokensMs):
 		return false
 	}
 	return true
 }
 
-func (answer *answer) between() time.Duration {
+// meanTokenInterval returns the mean time between tokens, or 0 with fewer than two tokens.
+func (answer *answer) meanTokenInterval() time.Duration {
 	if answer.tokens < 2 {
 		return 0
 	}
@@ -117,8 +122,7 @@
 
 func milliseconds(count int) time.Duration { return time.Duration(count) * time.Millisecond }
 
-// Attainment returns the share of requests that met their targets; 1 when none
-// was sent.
+// Attainment returns the fraction of requests that met their targets, or 1 if no request was sent.
 func (stream *StreamResult) Attainment() float64 {
 	if stream.Sent == 0 {
 		return 1
@@ -126,43 +130,43 @@
 	return float64(stream.Met) / float64(stream.Sent)
 }
 
-// FirstToken returns a quantile, 0 to 100, of the time to the first token.
+// FirstToken returns the given percentile, 0 to 100, of the time to the first token.
 func (stream *StreamResult) FirstToken(quantile float64) time.Duration {
 	return time.Duration(stream.firstToken.ValueAtQuantile(quantile)) * time.Microsecond
 }
 
-// Total returns a quantile, 0 to 100, of the time to the whole answer.
+// Total returns the given percentile, 0 to 100, of the time to the complete answer.
 func (stream *StreamResult) Total(quantile float64) time.Duration {
 	return time.Duration(stream.total.ValueAtQuantile(quantile)) * time.Microsecond
 }
 
-// Goodput returns the tokens a second of whole answers.
+// Goodput returns the number of tokens in complete answers, per second.
 func (result *Result) Goodput() float64 {
 	tokens := 0
 	for _, stream := range result.streams {
 		tokens += stream.Tokens
 	}
-	return float64(tokens) / max(result.took.Seconds(), 1e-9)
+	return float64(tokens) / max(result.elapsed.Seconds(), 1e-9)
 }
 
-// SetWasted sets the tokens that were computed for each stream and discarded,
-// as the system under load counted them.
+// SetWasted sets the number of tokens that were computed and then discarded, by stream name, as
+// counted by the system under test.
 func (result *Result) SetWasted(tokens map[string]uint64) { result.wasted = tokens }
 
-// WriteText writes the result as a table.
+// WriteText writes the result as a table with one row per stream.
 func (result *Result) WriteText(writer io.Writer) error {
 	table := tabwriter.NewWriter(writer, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "class\tsent\twhole\tattainment\tgoodput\twasted\tfirst token p50/p95\ttotal p50/p95\trefused")
 	for _, stream := range result.streams {
 		_, _ = fmt.Fprintf(table, "%s\t%d\t%d\t%.1f%%\t%s\t%s\t%s\t%s\t%s\n",
-			stream.Name, stream.Sent, stream.Whole, 100*stream.Attainment(), stream.goodput(result.took), result.wastedOf(stream),
-			pair(stream.FirstToken), pair(stream.Total), stream.refusals())
+			stream.Name, stream.Sent, stream.Completed, 100*stream.Attainment(), stream.formatGoodput(result.elapsed), result.formatWasted(stream),
+			formatMedianAndP95(stream.FirstToken), formatMedianAndP95(stream.Total), stream.formatRefusals())
 	}
 	return table.Flush()
 }
 
-// wastedOf returns the share of a stream's tokens that were discarded.
-func (result *Result) wastedOf(stream *StreamResult) string {
+// formatWasted returns the discarded percentage of a stream's tokens, or "-" if unknown.
+func (result *Result) formatWasted(stream *StreamResult) string {
 	if result.wasted == nil {
 		return "-"
 	}
@@ -170,19 +174,20 @@
 	return fmt.Sprintf("%.1f%%", 100*wasted/max(wasted+float64(stream.Tokens), 1))
 }
 
-func (stream *StreamResult) goodput(took time.Duration) string {
-	seconds := max(took.Seconds(), 1e-9)
+// formatGoodput returns tokens per second, or answers per second for a stream without tokens.
+func (stream *StreamResult) formatGoodput(elapsed time.Duration) string {
+	seconds := max(elapsed.Seconds(), 1e-9)
 	if stream.Tokens == 0 {
-		return fmt.Sprintf("%.1f answers/s", float64(stream.Whole)/seconds)
+		return fmt.Sprintf("%.1f answers/s", float64(stream.Completed)/seconds)
 	}
 	return fmt.Sprintf("%.0f tokens/s", float64(stream.Tokens)/seconds)
 }
 
-func pair(quantile func(float64) time.Duration) string {
+func formatMedianAndP95(quantile func(float64) time.Duration) string {
 	return fmt.Sprintf("%d/%d ms", quantile(50).Milliseconds(), quantile(95).Milliseconds())
 }
 
-func (stream *StreamResult) refusals() string {
+func (stream *StreamResult) formatRefusals() string {
 	if len(stream.Refused) == 0 {
 		return "none"
 	}
--- a/generator/result_test.go
+++ b/generator/result_test.go
@@ -15,8 +15,8 @@
 	"limpetcleat/generator"
 )
 
-// run sends a load of one stream to the handler.
-func run(t *testing.T, handler http.Handler, stream generator.Stream, options ...generator.Option) *generator.Result {
+// runLoad sends the load of one stream to a server with the handler and returns the result.
+func runLoad(t *testing.T, handler http.Handler, stream generator.Stream, options ...generator.Option) *generator.Result {
 	t.Helper()
 	server := httptest.NewServer(handler)
 	defer server.Close()
@@ -25,9 +25,9 @@
 	return generator.New([]string{address}, all...).Run(t.Context(), generator.Mix{Streams: []generator.Stream{stream}})
 }
 
-// TestLatencyCountsFromTheIntendedArrival stalls a server that answers one
-// request at a time: those that arrive during the stall must show it, though
-// the server spends no time on them.
+// TestLatencyCountsFromTheIntendedArrival guards against coordinated omission. The server handles
+// one request at a time and stalls on the first; the latency of requests that arrive during the
+// stall must include the wait, although the server handles each of them at once.
 func TestLatencyCountsFromTheIntendedArrival(t *testing.T) {
 	const stall = 2 * time.Second
 	var mutex sync.Mutex
@@ -41,10 +41,10 @@
 		}
 		io.WriteString(writer, `{}`)
 	})
-	result := run(t, handler, generator.Stream{Name: "calls", Path: "/services/stock/x", Rate: 100, TotalMs: 1000}, generator.WithDuration(time.Second))
+	result := runLoad(t, handler, generator.Stream{Name: "calls", Path: "/services/stock/x", Rate: 100, TotalMs: 1000}, generator.WithDuration(time.Second))
 	stream := result.Streams()[0]
-	assert.Equal(t, stream.Whole, stream.Sent)
-	// All arrive within the first second of a stall of two.
+	assert.Equal(t, stream.Completed, stream.Sent)
+	// All requests arrive within the first second of the stall of 2 s.
 	assert.Assert(t, stream.Total(10) > stall/3, stream.Total(10))
 	assert.Equal(t, stream.Met, 0)
 }
@@ -72,14 +72,14 @@
 				writer.WriteHeader(test.status)
 				io.WriteString(writer, test.body)
 			})
-			stream := run(t, handler, generator.Stream{Name: "chat", Path: "/v1/completions", Model: "m", Rate: 100, OutputTokens: 2, Streamed: true}).Streams()[0]
+			stream := runLoad(t, handler, generator.Stream{Name: "chat", Path: "/v1/completions", Model: "m", Rate: 100, OutputTokens: 2, Streamed: true}).Streams()[0]
 			assert.Assert(t, stream.Sent > 0)
 			if test.whole {
-				assert.Equal(t, stream.Whole, stream.Sent)
+				assert.Equal(t, stream.Completed, stream.Sent)
 				assert.Equal(t, stream.Tokens, stream.Sent*test.tokens)
 				return
 			}
-			assert.Equal(t, stream.Whole, 0)
+			assert.Equal(t, stream.Completed, 0)
 			assert.DeepEqual(t, stream.Refused, map[string]int{test.code: stream.Sent})
 		})
 	}
@@ -90,13 +90,13 @@
 		io.WriteString(writer, `{"choices":[{"text":"somebody else's"}]}`)
 	})
 	check := generator.WithCheck(func(string, string, string, int) bool { return false })
-	stream := run(t, handler, generator.Stream{Name: "chat", Path: "/v1/completions", Model: "m", Rate: 100}, check).Streams()[0]
+	stream := runLoad(t, handler, generator.Stream{Name: "chat", Path: "/v1/completions", Model: "m", Rate: 100}, check).Streams()[0]
 	assert.DeepEqual(t, stream.Refused, map[string]int{"foreign": stream.Sent})
 }
 
 func TestTableHasALineForEachStream(t *testing.T) {
 	handler := http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) { io.WriteString(writer, `{}`) })
-	result := run(t, handler, generator.Stream{Name: "calls", Path: "/services/stock/x", Rate: 100})
+	result := runLoad(t, handler, generator.Stream{Name: "calls", Path: "/services/stock/x", Rate: 100})
 	var text bytes.Buffer
 	assert.NilError(t, result.WriteText(&text))
 	lines := strings.Split(strings.TrimSpace(text.String()), "\n")
@@ -107,9 +107,9 @@
 	assert.Assert(t, strings.HasPrefix(lines[1], "calls "))
 	assert.Assert(t, strings.Contains(lines[1], "100.0%"))
 	assert.Assert(t, strings.HasSuffix(lines[1], "none"))
-	assert.Assert(t, strings.Contains(lines[1], " - "), "waste is not known")
+	assert.Assert(t, strings.Contains(lines[1], " - "), "wasted share must be - while unknown")
 	text.Reset()
 	result.SetWasted(map[string]uint64{"calls": 5})
 	assert.NilError(t, result.WriteText(&text))
-	assert.Assert(t, strings.Count(text.String(), "100.0%") == 2, "all that was computed was wasted: %s", text.String())
+	assert.Assert(t, strings.Count(text.String(), "100.0%") == 2, "wasted share must be 100%%: %s", text.String())
 }
--- a/generator/sender.go
+++ b/generator/sender.go
@@ -14,71 +14,79 @@
 	"github.com/tmaxmax/go-sse"
 )
 
-const maxAnswer = 32 << 20
+const maxAnswerBytes = 32 << 20
 
-// answer is what came of one request.
+// answer is the outcome of one request.
 type answer struct {
 	arrival arrival
 	status  int
-	// whole says that the answer came to its end and is the request's own.
-	whole bool
-	// code is the error's code; "silent" when an answer ended without a word.
-	code    string
-	outcome string
-	tokens  int
-	text    strings.Builder
-	// The times are counted from the intended arrival.
+	// complete is set if the answer arrived in full and its text passed the AnswerCheck.
+	complete bool
+	// errorCode is the code that the server sent, codeSilent or codeForeign; it is empty for a
+	// complete answer.
+	errorCode string
+	outcome   string
+	tokens    int
+	text      strings.Builder
+	// The latencies are measured from the intended arrival. firstToken and lastToken are 0 if the
+	// answer was not streamed.
 	firstToken time.Duration
 	lastToken  time.Duration
 	total      time.Duration
 }
 
 const (
-	codeSilent  = "silent"
+	// codeSilent is the code of a request that failed without a valid response, or whose event
+	// stream ended without an error event.
+	codeSilent = "silent"
+	// codeForeign is the code of a complete answer whose text failed the AnswerCheck.
 	codeForeign = "foreign"
 )
 
-// send sends one request and reads its answer.
+// send sends one request and reads its answer. The time due is the intended arrival.
 func (generator *Generator) send(ctx context.Context, due time.Time, arrival arrival) *answer {
 	answer := &answer{arrival: arrival}
 	ctx, cancel := context.WithTimeout(ctx, generator.timeout)
 	defer cancel()
-	request, err := generator.request(ctx, arrival)
+	request, err := generator.newRequest(ctx, arrival)
 	if err != nil {
-		answer.code = codeSilent
+		answer.errorCode = codeSilent
 		return answer
 	}
 	response, err := generator.client.Do(request)
 	if err != nil {
-		answer.code = codeSilent
+		answer.errorCode = codeSilent
 		return answer
 	}
 	defer func() { _ = response.Body.Close() }()
 	answer.status = response.StatusCode
 	answer.read(response, due)
 	answer.total = time.Since(due)
-	if answer.whole && !generator.own(answer) {
-		answer.whole = false
-		answer.code = codeForeign
+	if answer.complete && !generator.verifyText(answer) {
+		answer.complete = false
+		answer.errorCode = codeForeign
 	}
 	return answer
 }
 
-func (generator *Generator) own(answer *answer) bool {
+// verifyText reports whether the answer's text passes the check. Answers of plain services always
+// pass.
+func (generator *Generator) verifyText(answer *answer) bool {
 	stream := answer.arrival.stream
 	if stream.Model == "" {
 		return true
 	}
-	return generator.check(stream.Model, answer.arrival.prompt(), answer.text.String(), answer.arrival.length)
+	return generator.check(stream.Model, answer.arrival.prompt(), answer.text.String(), answer.arrival.outputTokens)
 }
 
-func (generator *Generator) request(ctx context.Context, arrival arrival) (*http.Request, error) {
+func (generator *Generator) newRequest(ctx context.Context, arrival arrival) (*http.Request, error) {
 	stream := arrival.stream
 	target := "http://" + generator.target(arrival) + stream.Path
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, target, bytes.NewReader(arrival.body()))
 	if err != nil {
 		return nil, err
 	}
+	// Without GetBody, the transport does not retry the request.
 	request.GetBody = nil
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set("Authorization", "Bearer "+stream.APIKey)
@@ -86,7 +94,7 @@
 		request.Header.Set(name, value)
 	}
 	if stream.Keyed {
-		key, err := generator.key(ctx, arrival)
+		key, err := generator.idempotencyKey(ctx, arrival)
 		if err != nil {
 			return nil, err
 		}
@@ -95,8 +103,9 @@
 	return request, nil
 }
 
-// key returns the Idempotency-Key of a keyed request.
-func (generator *Generator) key(ctx context.Context, arrival arrival) (string, error) {
+// idempotencyKey returns the Idempotency-Key of a keyed request. With issuedKeys, it obtains the
+// key from the request's entry VM.
+func (generator *Generator) idempotencyKey(ctx context.Context, arrival arrival) (string, error) {
 	if !generator.issuedKeys {
 		return fmt.Sprintf("load-%d-%d", generator.seed, arrival.number), nil
 	}
@@ -110,80 +119,84 @@
 		return "", err
 	}
 	defer func() { _ = response.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	return gjson.GetBytes(body, "key").String(), err
 }
 
-// target returns the entry VM that a request goes to.
+// target returns the address of the entry VM for a request.
 func (generator *Generator) target(arrival arrival) string {
 	return generator.targets[arrival.number%len(generator.targets)]
 }
 
-// completion is the body of a completion request.
-type completion struct {
+// completionRequest is the body of a completion request.
+type completionRequest struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
 	MaxTokens int    `json:"max_tokens"`
 	Stream    bool   `json:"stream"`
 }
 
-// order is the body of a call to a plain service.
-type order struct {
+// serviceCall is the body of a call to a plain service.
+type serviceCall struct {
 	Number int `json:"number"`
 }
 
 func (arrival arrival) body() []byte {
-	var content any = order{Number: arrival.number}
+	var payload any = serviceCall{Number: arrival.number}
 	if arrival.stream.Model != "" {
-		content = completion{Model: arrival.stream.Model, Prompt: arrival.prompt(), MaxTokens: arrival.stream.OutputTokens * 2, Stream: arrival.stream.Streamed}
+		payload = completionRequest{Model: arrival.stream.Model, Prompt: arrival.prompt(), MaxTokens: arrival.stream.OutputTokens * 2, Stream: arrival.stream.Streamed}
 	}
-	body, err := json.Marshal(content)
+	body, err := json.Marshal(payload)
 	if err != nil {
 		return nil
 	}
 	return body
 }
 
+// read reads a response, either an event stream or a JSON document.
 func (answer *answer) read(response *http.Response, due time.Time) {
 	if response.StatusCode == http.StatusOK && strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream") {
 		answer.readStream(response.Body, due)
 		return
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	parsed := gjson.ParseBytes(body)
 	if err != nil || !gjson.ValidBytes(body) {
-		answer.code = codeSilent
+		answer.errorCode = codeSilent
 		return
 	}
 	if response.StatusCode != http.StatusOK {
-		answer.code = parsed.Get("error.code").String()
+		answer.errorCode = parsed.Get("error.code").String()
 		answer.outcome = parsed.Get("outcome").String()
 		return
 	}
-	answer.whole = true
+	answer.complete = true
 	answer.tokens = int(parsed.Get("usage.completion_tokens").Int())
 	answer.text.WriteString(parsed.Get("choices.0.text").String())
 }
 
+// readStream reads an event stream. The answer is complete only after the event [DONE].
 func (answer *answer) readStream(body io.Reader, due time.Time) {
-	answer.code = codeSilent
+	answer.errorCode = codeSilent
 	for event, err := range sse.Read(body, nil) {
 		if err != nil {
 			return
 		}
 		if event.Data == "[DONE]" {
-			answer.whole = true
-			answer.code = ""
+			answer.complete = true
+			answer.errorCode = ""
 			return
 		}
-		answer.take(gjson.Parse(event.Data), due)
+		answer.addEvent(gjson.Parse(event.Data), due)
 	}
 }
 
-func (answer *answer) take(parsed gjson.Result, due time.Time) {
-	if failure := parsed.Get("error"); failure.Exists() {
-		answer.code = failure.Get("code").String()
-		answer.outcome = failure.Get("outcome").String()
+// addEvent adds the text of an event to the answer, or records the error that the event reports.
+// Each event with text counts as one token.
+func (answer *answer) addEvent(parsed gjson.Result, due time.Time) {
+	if errorObject := parsed.Get("error"); errorObject.Exists() {
+		answer.errorCode = errorObject.Get("code").String()
+		answer.outcome = errorObject.Get("outcome").String()
 		return
 	}
 	text := parsed.Get("choices.0.text").String()
--- a/generator/waste.go
+++ b/generator/waste.go
@@ -8,16 +8,17 @@
 	"limpetcleat/failer"
 )
 
-// Unreadable marks an engine whose record could not be read.
+// Unreadable is the kind of error for an engine whose token counts could not be read.
 const Unreadable Kind = "unreadable"
 
-// Waste is the work that engines computed and then discarded, in tokens.
+// Waste holds the number of tokens that engines computed, and the number of those that were
+// discarded.
 type Waste struct {
 	Computed  int64 `json:"computedTokens"`
 	Discarded int64 `json:"discardedTokens"`
 }
 
-// Share returns the share of computed work that was discarded.
+// Share returns the discarded fraction of the computed tokens, or 0 if none were computed.
 func (waste Waste) Share() float64 {
 	if waste.Computed == 0 {
 		return 0
@@ -25,35 +26,36 @@
 	return float64(waste.Discarded) / float64(waste.Computed)
 }
 
-// ReadWaste adds up what the stand-in engines at the addresses recorded.
+// ReadWaste returns the total waste of the stand-in engines at the addresses. It returns an error
+// of kind Unreadable if any engine cannot be read.
 func ReadWaste(ctx context.Context, engines []string) (Waste, error) {
-	var sum Waste
+	var total Waste
 	for _, address := range engines {
 		waste, err := readWaste(ctx, address)
 		if err != nil {
 			return Waste{}, err
 		}
-		sum.Computed += waste.Computed
-		sum.Discarded += waste.Discarded
+		total.Computed += waste.Computed
+		total.Discarded += waste.Discarded
 	}
-	return sum, nil
+	return total, nil
 }
 
-// Since returns the work done after the earlier reading.
+// Since returns the difference from an earlier reading.
 func (waste Waste) Since(earlier Waste) Waste {
 	return Waste{Computed: waste.Computed - earlier.Computed, Discarded: waste.Discarded - earlier.Discarded}
 }
 
-// WasteOf returns what each stand-in engine recorded, by address, and leaves out
-// those that do not answer.
+// WasteOf returns the waste of each stand-in engine by address. It omits engines that cannot be
+// read.
 func WasteOf(ctx context.Context, engines []string) map[string]Waste {
-	found := make(map[string]Waste, len(engines))
+	wasteByEngine := make(map[string]Waste, len(engines))
 	for _, address := range engines {
 		if waste, err := readWaste(ctx, address); err == nil {
-			found[address] = waste
+			wasteByEngine[address] = waste
 		}
 	}
-	return found
+	return wasteByEngine
 }
 
 func readWaste(ctx context.Context, address string) (Waste, error) {
