--- a/simulator/doc.go
+++ b/simulator/doc.go
@@ -1,5 +1,5 @@
-// Package simulator plays load on model engines without a network: callers, nodes that
-// choose with the product's own selector from reports of each other that are late, and
-// engines with a queue, slots and a memory of prompts. Time is stepped and every draw
-// seeded, so that a run gives the same result each time.
+// Package simulator is a discrete-time simulation of load on model engines, without a network. It
+// models callers, nodes that choose engines with package selector based on delayed load reports
+// from their peers, and engines with a queue, slots and a prefix cache; a seed makes each run
+// reproducible.
 package simulator
--- a/simulator/engine.go
+++ b/simulator/engine.go
@@ -8,156 +8,162 @@
 	"limpetcleat/selector"
 )
 
-// EngineSettings are the physics of one engine.
+// EngineSettings is the performance model of one engine.
 type EngineSettings struct {
-	// Slots is how many requests it serves at once.
+	// Slots is the number of requests that the engine can decode concurrently.
 	Slots int
-	// CacheTokens is its memory, shared by requests that run and parts that are kept.
+	// CacheTokens is the memory capacity in tokens, shared by running requests and the prefix
+	// cache.
 	CacheTokens int
-	// ReadPerMillisecond is how many prompt tokens it reads in a millisecond.
-	ReadPerMillisecond float64
-	// Step is what a token of every answer takes, and StepPerSlot what each answer
-	// that is under way adds to it.
-	Step        time.Duration
-	StepPerSlot time.Duration
-	// Chunk is how many prompt tokens are read between two steps.
-	Chunk int
+	// PrefillTokensPerMillisecond is the prefill throughput in prompt tokens.
+	PrefillTokensPerMillisecond float64
+	// StepTime is the base duration of a step, which decodes one token of each running request;
+	// StepTimePerRequest is added for each running request.
+	StepTime           time.Duration
+	StepTimePerRequest time.Duration
+	// ChunkTokens is the maximum number of prompt tokens that a step prefills.
+	ChunkTokens int
 }
 
-// run is one request at an engine.
-type run struct {
+// sequence is the state of one request at an engine.
+type sequence struct {
 	request *request
-	// unread is what is left of its prompt to read, and unwritten of its answer.
-	unread    int
-	unwritten float64
+	// prefillLeft is the number of prompt tokens still to be prefilled, outputLeft the number of
+	// answer tokens still to be decoded.
+	prefillLeft int
+	outputLeft  float64
 }
 
-// engine serves runs: it reads one prompt at a time, the most urgent first, in chunks
-// between the steps of the answers under way.
+// engine models an engine with chunked prefill. It prefills one prompt at a time, in order of
+// priority, and each step also decodes one token of each running answer.
 type engine struct {
-	settings EngineSettings
-	waiting  []*run
-	reading  *run
-	writing  []*run
-	// kept holds the parts in memory, the one used last in front, and places where
-	// each stands there.
-	kept   *list.List
-	places map[string]*list.Element
-	// spare is time that it was given and has not used; it is negative while a step
-	// lasts beyond what it was given.
-	spare time.Duration
-	// free is how many tokens of memory no kept part and no run has.
-	free int
-	// read and again count the tokens of prompts that it read, and those of shared
-	// parts that some engine had read before.
-	read  int
-	again int
+	settings   EngineSettings
+	queue      []*sequence
+	prefilling *sequence
+	decoding   []*sequence
+	// cache is the prefix cache, a list of selector.Part with the most recently used in front;
+	// cacheIndex maps part IDs to elements of the list.
+	cache      *list.List
+	cacheIndex map[string]*list.Element
+	// timeBudget is the simulated time that is not yet used; it is negative while a step extends
+	// past the current tick.
+	timeBudget time.Duration
+	// freeTokens is the memory used by neither the prefix cache nor sequences; it is negative if
+	// the sequences exceed the capacity.
+	freeTokens int
+	// prefilledTokens counts the prompt tokens prefilled, and repeatedTokens those among them that
+	// belong to shared parts which some engine had prefilled before.
+	prefilledTokens int
+	repeatedTokens  int
 }
 
 func newEngine(settings EngineSettings) *engine {
-	return &engine{settings: settings, kept: list.New(), places: make(map[string]*list.Element), free: settings.CacheTokens}
+	return &engine{settings: settings, cache: list.New(), cacheIndex: make(map[string]*list.Element), freeTokens: settings.CacheTokens}
 }
 
-// take queues a request behind those that are as urgent.
-func (engine *engine) take(request *request) {
-	place := slices.IndexFunc(engine.waiting, func(other *run) bool { return other.request.urgency > request.urgency })
-	if place < 0 {
-		place = len(engine.waiting)
+// enqueue adds a request to the queue, after all requests of the same or a more urgent priority.
+func (engine *engine) enqueue(request *request) {
+	index := slices.IndexFunc(engine.queue, func(other *sequence) bool { return other.request.priority > request.priority })
+	if index < 0 {
+		index = len(engine.queue)
 	}
-	engine.waiting = slices.Insert(engine.waiting, place, &run{request: request})
+	engine.queue = slices.Insert(engine.queue, index, &sequence{request: request})
 }
 
-// advance lets the engine work for a span; seen holds the parts read anywhere.
-func (engine *engine) advance(now time.Time, span time.Duration, seen map[string]bool) {
-	engine.spare += span
-	for engine.spare > 0 {
-		engine.start(seen)
-		if engine.reading == nil && len(engine.writing) == 0 {
-			engine.spare = 0
+// advance runs the engine for a duration; prefilledParts has the IDs of the parts that any engine
+// has prefilled.
+func (engine *engine) advance(now time.Time, duration time.Duration, prefilledParts map[string]bool) {
+	engine.timeBudget += duration
+	for engine.timeBudget > 0 {
+		engine.startNext(prefilledParts)
+		if engine.prefilling == nil && len(engine.decoding) == 0 {
+			engine.timeBudget = 0
 			return
 		}
-		engine.spare -= engine.step(now)
+		engine.timeBudget -= engine.step(now)
 	}
 }
 
-// start begins with the first request that waits, if there is a slot.
-func (engine *engine) start(seen map[string]bool) {
-	if engine.reading != nil || len(engine.waiting) == 0 || len(engine.writing) >= engine.settings.Slots {
+// startNext starts the prefill of the first request in the queue, if the engine is not prefilling
+// another prompt and has a free slot.
+func (engine *engine) startNext(prefilledParts map[string]bool) {
+	if engine.prefilling != nil || len(engine.queue) == 0 || len(engine.decoding) >= engine.settings.Slots {
 		return
 	}
-	next := engine.waiting[0]
-	engine.waiting = engine.waiting[1:]
-	engine.reading = next
-	next.unread = next.request.prompt
-	for _, part := range next.request.parts {
-		if engine.use(part) {
-			next.unread -= part.Tokens
+	sequence := engine.queue[0]
+	engine.queue = engine.queue[1:]
+	engine.prefilling = sequence
+	sequence.prefillLeft = sequence.request.promptTokens
+	for _, part := range sequence.request.parts {
+		if engine.usePart(part) {
+			sequence.prefillLeft -= part.Tokens
 			continue
 		}
-		if seen[part.ID] {
-			engine.again += part.Tokens
+		if prefilledParts[part.ID] {
+			engine.repeatedTokens += part.Tokens
 		}
-		seen[part.ID] = true
+		prefilledParts[part.ID] = true
 	}
-	engine.read += next.unread
-	next.unwritten = float64(next.request.output)
-	engine.reserve(next.request.own() + next.request.output)
+	engine.prefilledTokens += sequence.prefillLeft
+	sequence.outputLeft = float64(sequence.request.outputTokens)
+	engine.reserve(sequence.request.uniqueTokens() + sequence.request.outputTokens)
 }
 
-// use notes that a part is used and tells whether it was kept; it is from now on.
-func (engine *engine) use(part selector.Part) bool {
-	if element, ok := engine.places[part.ID]; ok {
-		engine.kept.MoveToFront(element)
+// usePart marks a part as most recently used and reports whether it was in the prefix cache; a part
+// that was not is added.
+func (engine *engine) usePart(part selector.Part) bool {
+	if element, ok := engine.cacheIndex[part.ID]; ok {
+		engine.cache.MoveToFront(element)
 		return true
 	}
 	engine.reserve(part.Tokens)
-	engine.places[part.ID] = engine.kept.PushFront(part)
+	engine.cacheIndex[part.ID] = engine.cache.PushFront(part)
 	return false
 }
 
-// reserve takes memory, from the parts that were not used for longest if need be.
+// reserve allocates memory and evicts the least recently used parts as needed.
 func (engine *engine) reserve(tokens int) {
-	engine.free -= tokens
-	for engine.free < 0 && engine.kept.Len() > 0 {
-		oldest := engine.kept.Back()
-		part, ok := engine.kept.Remove(oldest).(selector.Part)
+	engine.freeTokens -= tokens
+	for engine.freeTokens < 0 && engine.cache.Len() > 0 {
+		element := engine.cache.Back()
+		part, ok := engine.cache.Remove(element).(selector.Part)
 		if !ok {
-			return // Nothing else is ever put there.
+			return // The list has only values of type selector.Part.
 		}
-		delete(engine.places, part.ID)
-		engine.free += part.Tokens
+		delete(engine.cacheIndex, part.ID)
+		engine.freeTokens += part.Tokens
 	}
 }
 
-// step reads a chunk and writes a token of each answer; it returns how long it takes.
+// step prefills a chunk, decodes one token of each running answer and returns the duration.
 func (engine *engine) step(now time.Time) time.Duration {
 	settings := &engine.settings
-	took := settings.Step + settings.StepPerSlot*time.Duration(len(engine.writing))
-	for _, run := range engine.writing {
-		run.unwritten--
+	elapsed := settings.StepTime + settings.StepTimePerRequest*time.Duration(len(engine.decoding))
+	for _, sequence := range engine.decoding {
+		sequence.outputLeft--
 	}
-	if reading := engine.reading; reading != nil {
-		chunk := min(reading.unread, settings.Chunk)
-		reading.unread -= chunk
-		took += time.Duration(float64(chunk) / settings.ReadPerMillisecond * float64(time.Millisecond))
-		if reading.unread <= 0 {
-			reading.request.begin(now.Add(took))
-			engine.writing = append(engine.writing, reading)
-			engine.reading = nil
+	if sequence := engine.prefilling; sequence != nil {
+		chunk := min(sequence.prefillLeft, settings.ChunkTokens)
+		sequence.prefillLeft -= chunk
+		elapsed += time.Duration(float64(chunk) / settings.PrefillTokensPerMillisecond * float64(time.Millisecond))
+		if sequence.prefillLeft <= 0 {
+			sequence.request.recordFirstEvent(now.Add(elapsed))
+			engine.decoding = append(engine.decoding, sequence)
+			engine.prefilling = nil
 		}
 	}
-	engine.writing = slices.DeleteFunc(engine.writing, func(run *run) bool {
-		if run.unwritten > 0 && !run.request.ended {
+	engine.decoding = slices.DeleteFunc(engine.decoding, func(sequence *sequence) bool {
+		if sequence.outputLeft > 0 && !sequence.request.ended {
 			return false
 		}
-		engine.free += run.request.own() + run.request.output
-		run.request.end(now)
+		engine.freeTokens += sequence.request.uniqueTokens() + sequence.request.outputTokens
+		sequence.request.finish(now)
 		return true
 	})
-	return took
+	return elapsed
 }
 
-// drop takes out the requests that wait and whose callers have left.
-func (engine *engine) drop() {
-	engine.waiting = slices.DeleteFunc(engine.waiting, func(run *run) bool { return run.request.ended })
+// dropEnded removes requests that have ended from the queue, such as those that timed out.
+func (engine *engine) dropEnded() {
+	engine.queue = slices.DeleteFunc(engine.queue, func(sequence *sequence) bool { return sequence.request.ended })
 }
--- a/simulator/exchange.go
+++ b/simulator/exchange.go
@@ -5,53 +5,54 @@
 	"limpetcleat/messenger"
 )
 
-// fleet is the name under which nodes learn what all others do.
-const fleet definer.VM = "fleet"
+// peers is the sender's name on the combined report that a node receives from all other nodes.
+const peers definer.VM = "fleet"
 
-// exchange has every node learn what the others do, in one report as in a group.
-func (world *world) exchange() {
-	loads := make(map[definer.UpstreamStart]messenger.UpstreamLoad)
-	kinds := make(map[string]messenger.KindWork)
-	var reads []messenger.PartsRead
-	reports := make([]*messenger.LoadReport, 0, len(world.nodes))
-	for _, node := range world.nodes {
-		report := node.selector.Report(world.now)
+// exchangeReports applies to each node one combined load report of all other nodes, as in a group.
+func (simulation *simulation) exchangeReports() {
+	totalLoads := make(map[definer.UpstreamStart]messenger.UpstreamLoad)
+	totalWork := make(map[string]messenger.KindWork)
+	var partsRead []messenger.PartsRead
+	reports := make([]*messenger.LoadReport, 0, len(simulation.nodes))
+	for _, node := range simulation.nodes {
+		report := node.selector.Report(simulation.now)
 		for _, load := range report.Loads {
-			loads[load.Start()] = load.Plus(loads[load.Start()])
+			totalLoads[load.Start()] = load.Plus(totalLoads[load.Start()])
 		}
-		for _, kind := range report.Kinds {
-			kinds[kind.Rule] = kind.Plus(kinds[kind.Rule])
+		for _, work := range report.Kinds {
+			totalWork[work.Rule] = work.Plus(totalWork[work.Rule])
 		}
-		reads = append(reads, report.Reads...)
+		partsRead = append(partsRead, report.Reads...)
 		reports = append(reports, report)
 	}
-	for index, node := range world.nodes {
-		node.selector.ApplyReport(world.now, fleet, world.others(loads, kinds, reads, reports[index]), len(world.nodes)-1)
+	for index, node := range simulation.nodes {
+		node.selector.ApplyReport(simulation.now, peers, simulation.peerReport(totalLoads, totalWork, partsRead, reports[index]), len(simulation.nodes)-1)
 	}
 }
 
-// others returns the report of all nodes but one.
-func (world *world) others(loads map[definer.UpstreamStart]messenger.UpstreamLoad, kinds map[string]messenger.KindWork, reads []messenger.PartsRead, own *messenger.LoadReport) *messenger.LoadReport {
-	report := &messenger.LoadReport{Nodes: len(world.nodes) - 1, Reads: reads}
+// peerReport returns the combined report of all nodes except the one whose report is own. Its
+// Reads include those of the excluded node.
+func (simulation *simulation) peerReport(totalLoads map[definer.UpstreamStart]messenger.UpstreamLoad, totalWork map[string]messenger.KindWork, partsRead []messenger.PartsRead, own *messenger.LoadReport) *messenger.LoadReport {
+	report := &messenger.LoadReport{Nodes: len(simulation.nodes) - 1, Reads: partsRead}
 	ownLoads := make(map[definer.UpstreamStart]messenger.UpstreamLoad, len(own.Loads))
 	for _, load := range own.Loads {
 		ownLoads[load.Start()] = load
 	}
-	for _, upstream := range world.list {
+	for _, upstream := range simulation.upstreams {
 		start := upstream.Start()
-		if load := loads[start].Minus(ownLoads[start]); load.InFlight > 0 {
+		if load := totalLoads[start].Minus(ownLoads[start]); load.InFlight > 0 {
 			load.Upstream, load.Incarnation = start.Upstream, start.Incarnation
 			report.Loads = append(report.Loads, load)
 		}
 	}
-	ownKinds := make(map[string]messenger.KindWork, len(own.Kinds))
-	for _, kind := range own.Kinds {
-		ownKinds[kind.Rule] = kind
+	ownWork := make(map[string]messenger.KindWork, len(own.Kinds))
+	for _, work := range own.Kinds {
+		ownWork[work.Rule] = work
 	}
-	for index := range world.pattern.Classes {
-		name := world.pattern.Classes[index].Name
-		if kind, known := kinds[name]; known {
-			report.Kinds = append(report.Kinds, kind.Minus(ownKinds[name]))
+	for index := range simulation.scenario.Classes {
+		name := simulation.scenario.Classes[index].Name
+		if work, ok := totalWork[name]; ok {
+			report.Kinds = append(report.Kinds, work.Minus(ownWork[name]))
 		}
 	}
 	return report
--- a/simulator/request.go
+++ b/simulator/request.go
@@ -6,64 +6,69 @@
 	"limpetcleat/selector"
 )
 
-// Class is a kind of request.
+// Class describes a class of requests with the same properties.
 type Class struct {
 	Name string
-	// PerSecond is how many come, and Burst by how many times more while one lasts.
-	PerSecond float64
-	Burst     float64
-	// Subjects is how many there are, each with Shared tokens that requests share; Own
-	// and Output are the tokens of each request's prompt and answer.
-	Subjects int
-	Shared   int
-	Own      int
-	Output   int
-	// Objective is when the first event is aimed for, Patience when callers leave.
+	// RequestsPerSecond is the arrival rate over all nodes; BurstFactor multiplies it during the
+	// burst.
+	RequestsPerSecond float64
+	BurstFactor       float64
+	// Prefixes is the number of distinct shared prompt prefixes, each of PrefixTokens tokens.
+	// UniqueTokens is the length of the remaining prompt, OutputTokens that of the answer.
+	Prefixes     int
+	PrefixTokens int
+	UniqueTokens int
+	OutputTokens int
+	// Objective is the latency objective for the first event. Callers give up after Timeout
+	// unless they have the complete answer.
 	Objective time.Duration
-	Patience  time.Duration
-	// Tier is the rank; those of the lowest may be put behind others.
+	Timeout   time.Duration
+	// Tier is the priority; 0 is the highest. Deferrable requests may be queued behind all others
+	// when they would miss their objective.
 	Tier       int
 	Deferrable bool
 }
 
-// request is one caller's.
+// request is the state of one caller's request.
 type request struct {
-	class  *Class
-	parts  []selector.Part
-	prompt int
-	output int
-	node   *node
-	// came is when the caller first came, and deadline when it leaves.
-	came     time.Time
-	deadline time.Time
-	// retried is set once it came back after a refusal.
-	retried    bool
-	urgency    int
-	assignment *selector.Assignment
-	first      time.Time
-	ended      bool
+	class        *Class
+	parts        []selector.Part
+	promptTokens int
+	outputTokens int
+	node         *node
+	// arrivedAt is the time of the first attempt, deadline when the caller gives up.
+	arrivedAt time.Time
+	deadline  time.Time
+	// retried is set once the request is scheduled for its retry.
+	retried bool
+	// priority orders the engine's queue; lower values are served first.
+	priority     int
+	assignment   *selector.Assignment
+	firstEventAt time.Time
+	// ended is set once the request is finished, failed or abandoned.
+	ended bool
 }
 
-// own counts the tokens that the request alone has in its prompt.
-func (request *request) own() int {
-	own := request.prompt
+// uniqueTokens returns the number of prompt tokens outside the shared parts.
+func (request *request) uniqueTokens() int {
+	uniqueTokens := request.promptTokens
 	for _, part := range request.parts {
-		own -= part.Tokens
+		uniqueTokens -= part.Tokens
 	}
-	return own
+	return uniqueTokens
 }
 
-// begin notes the first event.
-func (request *request) begin(now time.Time) {
+// recordFirstEvent records the time of the first event, unless the request has ended.
+func (request *request) recordFirstEvent(now time.Time) {
 	if request.ended {
 		return
 	}
-	request.first = now
+	request.firstEventAt = now
 	request.assignment.RecordFirstEvent(now)
 }
 
-// end notes the end of the answer.
-func (request *request) end(now time.Time) {
+// finish records the end of a complete answer, unless the request has ended.
+func (request *request) finish(now time.Time) {
 	if request.ended {
 		return
 	}
@@ -71,14 +76,14 @@
 	request.assignment.End(now, selector.Answered)
 }
 
-// lose notes that the engine crashed; the caller does not come back.
-func (request *request) lose(now time.Time) {
+// fail ends the request because its engine crashed; the caller does not retry.
+func (request *request) fail(now time.Time) {
 	request.ended = true
 	request.assignment.End(now, selector.Failed)
 }
 
-// leave notes that the caller gave up.
-func (request *request) leave(now time.Time) {
+// abandon ends the request because the caller gave up, unless the request has ended.
+func (request *request) abandon(now time.Time) {
 	if request.ended {
 		return
 	}
--- a/simulator/restart_test.go
+++ b/simulator/restart_test.go
@@ -10,51 +10,51 @@
 	"limpetcleat/simulator"
 )
 
-// TestRestartsUnderTheSameName holds that engines which start again empty under their names
-// are used for what they are: a third of them within a burst cost hardly anyone their
-// time when the nodes are told of the start, and a seventh of the requests when they have
-// to find out.
+// TestRestartsUnderTheSameName checks that nodes treat engines that restart under the same name as
+// having empty caches. A third of the engines restart during a burst. If the restarts are
+// announced, few requests miss their objective; otherwise a seventh do, until the nodes detect the
+// restarts.
 func TestRestartsUnderTheSameName(t *testing.T) {
-	play := func(told time.Duration) (during, after simulator.Window) {
-		pattern := quotes(system{18, 9, 8 * time.Second}, 2.5, 11)
-		pattern.Length = 16 * time.Second
+	runWithDelay := func(delay time.Duration) (during, after simulator.Outcomes) {
+		scenario := sharedPrefixScenario(deployment{18, 9, 8 * time.Second}, 2.5, 11)
+		scenario.Duration = 16 * time.Second
 		for engine := range 6 {
-			pattern.Restarts = append(pattern.Restarts, simulator.Restart{Engine: engine, At: 10 * time.Second, Told: told})
+			scenario.Restarts = append(scenario.Restarts, simulator.Restart{Engine: engine, At: 10 * time.Second, AnnouncementDelay: delay})
 		}
-		result := simulator.Play(pattern)
-		return sum(result.Seconds[10:13]), sum(result.Seconds[13:15])
+		result := simulator.Run(scenario)
+		return sumOutcomes(result.BySecond[10:13]), sumOutcomes(result.BySecond[13:15])
 	}
-	during, after := play(200 * time.Millisecond)
-	untold, untoldAfter := play(time.Hour)
-	report := fmt.Sprintf("told: %+v, then %+v; not told: %+v, then %+v", during, after, untold, untoldAfter)
-	t.Log(report)
-	assert.Assert(t, after.Share() > 0.97, report)
-	assert.Assert(t, during.Share() > untold.Share()+0.1, report)
+	during, after := runWithDelay(200 * time.Millisecond)
+	undetected, undetectedAfter := runWithDelay(time.Hour)
+	summary := fmt.Sprintf("announced: %+v, then %+v; not announced: %+v, then %+v", during, after, undetected, undetectedAfter)
+	t.Log(summary)
+	assert.Assert(t, after.InTimeShare() > 0.97, summary)
+	assert.Assert(t, during.InTimeShare() > undetected.InTimeShare()+0.1, summary)
 }
 
-// TestUnreadableEntriesInABurst holds that engines whose entries cannot be read for a while
-// get nothing in it and are used before and after, and that the others carry the load.
+// TestUnreadableEntriesInABurst checks that engines get no requests while their registry entries
+// are unreadable and are used again afterwards, and that the other engines serve the load.
 func TestUnreadableEntriesInABurst(t *testing.T) {
 	from, until := 10*time.Second, 13*time.Second
-	pattern := quotes(system{18, 9, 8 * time.Second}, 1.5, 11)
-	pattern.Length = 18 * time.Second
+	scenario := sharedPrefixScenario(deployment{18, 9, 8 * time.Second}, 1.5, 11)
+	scenario.Duration = 18 * time.Second
 	for engine := range 3 {
-		pattern.Unreadable = append(pattern.Unreadable, simulator.Unreadable{Engine: engine, From: from, Until: until})
+		scenario.UnreadableEntries = append(scenario.UnreadableEntries, simulator.UnreadableEntry{Engine: engine, From: from, Until: until})
 	}
-	result := simulator.Play(pattern)
+	result := simulator.Run(scenario)
 	for engine := range 3 {
-		during, after := 0, 0
-		for _, sent := range result.Sent[engine] {
+		sentDuring, sentAfter := 0, 0
+		for _, sentAt := range result.SentAt[engine] {
 			switch {
-			case sent >= from && sent < until:
-				during++
-			case sent >= until:
-				after++
+			case sentAt >= from && sentAt < until:
+				sentDuring++
+			case sentAt >= until:
+				sentAfter++
 			}
 		}
-		assert.Equal(t, during, 0, "engine %d", engine)
-		assert.Assert(t, after > 0, "engine %d", engine)
+		assert.Equal(t, sentDuring, 0, "engine %d", engine)
+		assert.Assert(t, sentAfter > 0, "engine %d", engine)
 	}
-	burst := sum(result.Seconds[10:13])
-	assert.Assert(t, burst.Share() > 0.9, "%+v", burst)
+	during := sumOutcomes(result.BySecond[10:13])
+	assert.Assert(t, during.InTimeShare() > 0.9, "%+v", during)
 }
--- a/simulator/simulator.go
+++ b/simulator/simulator.go
@@ -13,306 +13,320 @@
 )
 
 const (
-	// tick is the step of time; no figure of a pattern is finer.
+	// tick is the time step of the simulation. The times of a Scenario, except those in its
+	// EngineSettings, must be multiples of it.
 	tick = 5 * time.Millisecond
-	// reportInterval is how often nodes tell each other what they do.
+	// reportInterval is the interval of load reports between nodes; a multiple of tick.
 	reportInterval = 100 * time.Millisecond
-	// firstIncarnation is that of the engines at the beginning.
+	// firstIncarnation is the incarnation of all engines at the start.
 	firstIncarnation = 1
-	// deferredUrgency is behind that of every tier.
-	deferredUrgency = 9
+	// deferredPriority is lower than the priority of every tier.
+	deferredPriority = 9
 )
 
-// Pattern is a load on a system.
-type Pattern struct {
+// Scenario describes a deployment and the load on it.
+type Scenario struct {
 	Engines  int
 	Nodes    int
 	Settings EngineSettings
 	Classes  []Class
-	// BurstFrom and BurstUntil bound the burst, Length the whole, from the start on.
+	// BurstFrom and BurstUntil are the start and end of the burst, Duration is that of the whole
+	// run; all are relative to the start.
 	BurstFrom  time.Duration
 	BurstUntil time.Duration
-	Length     time.Duration
+	Duration   time.Duration
 	Seed       uint64
-	// Restarts are in order of time.
-	Restarts   []Restart
-	Unreadable []Unreadable
+	// Restarts must be in order of time.
+	Restarts          []Restart
+	UnreadableEntries []UnreadableEntry
 }
 
-// Unreadable is a time in which an engine's entry cannot be read: the nodes do not use it,
-// and what it has goes on.
-type Unreadable struct {
+// UnreadableEntry is a period, relative to the start, in which an engine's registry entry is
+// unreadable. Nodes send the engine no new requests; those in progress continue.
+type UnreadableEntry struct {
 	Engine int
 	From   time.Duration
 	Until  time.Duration
 }
 
-// Restart is a crash of an engine, which starts again under its name at once and empty.
-// Requests there end without an answer.
+// Restart is a crash of an engine, which restarts at once under the same name with an empty cache.
+// Requests in progress at the engine fail.
 type Restart struct {
 	Engine int
-	At     time.Duration
-	// Told is how long after it the nodes hear of the new start.
-	Told time.Duration
+	// At is the time of the crash, relative to the start.
+	At time.Duration
+	// AnnouncementDelay is the time from the crash until the nodes receive the new incarnation.
+	AnnouncementDelay time.Duration
 }
 
-// Window is what came of the requests of one second or class.
-type Window struct {
-	Asked   int
-	InTime  int
-	Late    int
-	Refused int
-	// Left counts those whose caller gave up.
-	Left int
+// Outcomes counts the outcomes of a set of requests, such as those of one second or one class.
+type Outcomes struct {
+	Requests int
+	InTime   int
+	Late     int
+	Refused  int
+	// Unanswered counts requests without a first event that were not refused: the caller gave up,
+	// the engine crashed or the simulation ended.
+	Unanswered int
 }
 
-// Share returns the part of the requests that were served in time.
-func (window Window) Share() float64 { return float64(window.InTime) / float64(max(window.Asked, 1)) }
+// InTimeShare returns the fraction of requests whose first event met the objective, or 0 if there
+// were none.
+func (outcomes Outcomes) InTimeShare() float64 {
+	return float64(outcomes.InTime) / float64(max(outcomes.Requests, 1))
+}
 
-// Plus returns what came of the requests of both.
-func (window Window) Plus(other Window) Window {
-	window.Asked += other.Asked
-	window.InTime += other.InTime
-	window.Late += other.Late
-	window.Refused += other.Refused
-	window.Left += other.Left
-	return window
+// Plus returns the sum of both.
+func (outcomes Outcomes) Plus(other Outcomes) Outcomes {
+	outcomes.Requests += other.Requests
+	outcomes.InTime += other.InTime
+	outcomes.Late += other.Late
+	outcomes.Refused += other.Refused
+	outcomes.Unanswered += other.Unanswered
+	return outcomes
 }
 
-// Result is what came of a pattern.
+// Result is the result of a simulation.
 type Result struct {
-	Seconds []Window
-	Classes map[string]Window
-	// Sent holds when requests were sent to each engine, from the start on.
-	Sent [][]time.Duration
-	// Read counts the tokens of prompts that engines read, Again those of shared parts
-	// that some engine had read before.
-	Read  int
-	Again int
+	// BySecond groups the outcomes by the second of arrival, ByClass by the name of the class.
+	BySecond []Outcomes
+	ByClass  map[string]Outcomes
+	// SentAt has the times at which requests were sent to each engine, relative to the start.
+	SentAt [][]time.Duration
+	// PrefilledTokens counts the prompt tokens that engines prefilled, RepeatedTokens those among
+	// them that belong to shared parts which some engine had prefilled before.
+	PrefilledTokens int
+	RepeatedTokens  int
 }
 
-// node chooses engines for its callers.
+// node is a routing node, which chooses engines for requests.
 type node struct{ selector *selector.Selector }
 
-// world is a pattern while it is played.
-type world struct {
-	pattern  Pattern
-	random   *rand.Rand
-	start    time.Time
-	now      time.Time
-	nodes    []*node
-	engines  map[definer.UpstreamName]*engine
-	list     []*registrar.Upstream
-	live     []*request
-	waiting  map[time.Time][]*request
+// simulation is the state of a run.
+type simulation struct {
+	scenario  Scenario
+	random    *rand.Rand
+	start     time.Time
+	now       time.Time
+	nodes     []*node
+	engines   map[definer.UpstreamName]*engine
+	upstreams []*registrar.Upstream
+	// open has the requests that were assigned to an engine and have not ended, retries those
+	// waiting for their retry by its time, and requests all of them.
+	open     []*request
+	retries  map[time.Time][]*request
 	requests []*request
 	refused  map[*request]bool
-	seen     map[string]bool
-	// sent holds when requests were sent to each engine.
-	sent map[definer.UpstreamName][]time.Duration
+	// prefilledParts has the IDs of the parts that any engine has prefilled.
+	prefilledParts map[string]bool
+	// sentAt has the times at which requests were sent to each engine, relative to start.
+	sentAt map[definer.UpstreamName][]time.Duration
 }
 
-// Play plays a pattern to its end.
-func Play(pattern Pattern) Result {
-	world := newWorld(pattern)
-	for elapsed := time.Duration(0); elapsed < pattern.Length; elapsed += tick {
-		world.now = world.start.Add(elapsed)
+// Run simulates a scenario to its end.
+func Run(scenario Scenario) Result {
+	simulation := newSimulation(scenario)
+	for elapsed := time.Duration(0); elapsed < scenario.Duration; elapsed += tick {
+		simulation.now = simulation.start.Add(elapsed)
 		if elapsed%reportInterval == 0 {
-			world.exchange()
+			simulation.exchangeReports()
 		}
-		world.restart(elapsed)
-		world.arrive(elapsed)
-		world.expire()
-		for _, upstream := range world.list {
-			engine := world.engines[upstream.ID]
-			engine.drop()
-			engine.advance(world.now, tick, world.seen)
+		simulation.applyRestarts(elapsed)
+		simulation.sendArrivals(elapsed)
+		simulation.expireRequests()
+		for _, upstream := range simulation.upstreams {
+			engine := simulation.engines[upstream.ID]
+			engine.dropEnded()
+			engine.advance(simulation.now, tick, simulation.prefilledParts)
 		}
 	}
-	return world.result()
+	return simulation.result()
 }
 
-func newWorld(pattern Pattern) *world {
-	world := &world{
-		pattern: pattern,
-		random:  rand.New(rand.NewPCG(pattern.Seed, 1)),
-		start:   time.Unix(1000, 0),
-		engines: make(map[definer.UpstreamName]*engine),
-		waiting: make(map[time.Time][]*request),
-		refused: make(map[*request]bool),
-		seen:    make(map[string]bool),
-		sent:    make(map[definer.UpstreamName][]time.Duration),
+func newSimulation(scenario Scenario) *simulation {
+	simulation := &simulation{
+		scenario:       scenario,
+		random:         rand.New(rand.NewPCG(scenario.Seed, 1)),
+		start:          time.Unix(1000, 0),
+		engines:        make(map[definer.UpstreamName]*engine),
+		retries:        make(map[time.Time][]*request),
+		refused:        make(map[*request]bool),
+		prefilledParts: make(map[string]bool),
+		sentAt:         make(map[definer.UpstreamName][]time.Duration),
 	}
-	for index := range pattern.Engines {
+	for index := range scenario.Engines {
 		id := definer.UpstreamName(fmt.Sprintf("engine-%03d", index))
-		world.list = append(world.list, &registrar.Upstream{ID: id, Service: "pool", DataCentre: "one", Slots: pattern.Settings.Slots, Incarnation: firstIncarnation})
-		world.engines[id] = newEngine(pattern.Settings)
+		simulation.upstreams = append(simulation.upstreams, &registrar.Upstream{ID: id, Service: "pool", DataCentre: "one", Slots: scenario.Settings.Slots, Incarnation: firstIncarnation})
+		simulation.engines[id] = newEngine(scenario.Settings)
 	}
-	for range pattern.Nodes {
-		world.nodes = append(world.nodes, &node{selector: selector.New("one")})
+	for range scenario.Nodes {
+		simulation.nodes = append(simulation.nodes, &node{selector: selector.New("one")})
 	}
-	return world
+	return simulation
 }
 
-// restart plays the restarts that are due, and lets nodes hear of those that were.
-func (world *world) restart(elapsed time.Duration) {
-	for index, restart := range world.pattern.Restarts {
-		upstream := world.list[restart.Engine]
+// applyRestarts performs the restarts that are due, and announces earlier ones to the nodes when
+// their AnnouncementDelay has passed.
+func (simulation *simulation) applyRestarts(elapsed time.Duration) {
+	for index, restart := range simulation.scenario.Restarts {
+		upstream := simulation.upstreams[restart.Engine]
 		if elapsed == restart.At {
-			world.crash(upstream.ID)
+			simulation.crash(upstream.ID)
 		}
-		if elapsed == restart.At+restart.Told {
-			later := *upstream
-			later.Incarnation = definer.Incarnation(index + firstIncarnation + 1)
-			world.list = slices.Clone(world.list)
-			world.list[restart.Engine] = &later
+		if elapsed == restart.At+restart.AnnouncementDelay {
+			restarted := *upstream
+			restarted.Incarnation = definer.Incarnation(index + firstIncarnation + 1)
+			simulation.upstreams = slices.Clone(simulation.upstreams)
+			simulation.upstreams[restart.Engine] = &restarted
 		}
 	}
 }
 
-// crash ends the requests at an engine and puts an empty one in its place.
-func (world *world) crash(id definer.UpstreamName) {
-	for _, request := range world.live {
+// crash fails the requests at an engine and replaces it by an empty one.
+func (simulation *simulation) crash(id definer.UpstreamName) {
+	for _, request := range simulation.open {
 		if !request.ended && request.assignment.Upstream().ID == id {
-			request.lose(world.now)
+			request.fail(simulation.now)
 		}
 	}
-	before := world.engines[id]
-	world.engines[id] = newEngine(world.pattern.Settings)
-	world.engines[id].read, world.engines[id].again = before.read, before.again
+	crashed := simulation.engines[id]
+	simulation.engines[id] = newEngine(simulation.scenario.Settings)
+	simulation.engines[id].prefilledTokens, simulation.engines[id].repeatedTokens = crashed.prefilledTokens, crashed.repeatedTokens
 }
 
-// arrive lets new callers come, and those that were refused come back.
-func (world *world) arrive(elapsed time.Duration) {
-	for index := range world.pattern.Classes {
-		class := &world.pattern.Classes[index]
-		rate := class.PerSecond
-		if elapsed >= world.pattern.BurstFrom && elapsed < world.pattern.BurstUntil {
-			rate *= class.Burst
+// sendArrivals sends the new requests of the current tick and the retries that are due.
+func (simulation *simulation) sendArrivals(elapsed time.Duration) {
+	for index := range simulation.scenario.Classes {
+		class := &simulation.scenario.Classes[index]
+		rate := class.RequestsPerSecond
+		if elapsed >= simulation.scenario.BurstFrom && elapsed < simulation.scenario.BurstUntil {
+			rate *= class.BurstFactor
 		}
 		for expected := rate * tick.Seconds(); expected > 0; expected-- {
-			if world.random.Float64() < expected {
-				world.send(world.ask(class))
+			if simulation.random.Float64() < expected {
+				simulation.send(simulation.newRequest(class))
 			}
 		}
 	}
-	for _, request := range world.waiting[world.now] {
-		world.send(request)
+	for _, request := range simulation.retries[simulation.now] {
+		simulation.send(request)
 	}
-	delete(world.waiting, world.now)
+	delete(simulation.retries, simulation.now)
 }
 
-// ask makes a new request.
-func (world *world) ask(class *Class) *request {
-	subject := fmt.Sprintf("%s-%d", class.Name, world.random.IntN(class.Subjects))
+// newRequest returns a new request of a class, with a randomly chosen prefix.
+func (simulation *simulation) newRequest(class *Class) *request {
+	prefix := fmt.Sprintf("%s-%d", class.Name, simulation.random.IntN(class.Prefixes))
 	request := &request{
-		class:    class,
-		parts:    []selector.Part{{ID: subject, Tokens: class.Shared}},
-		prompt:   class.Shared + class.Own,
-		output:   class.Output,
-		came:     world.now,
-		deadline: world.now.Add(class.Patience),
+		class:        class,
+		parts:        []selector.Part{{ID: prefix, Tokens: class.PrefixTokens}},
+		promptTokens: class.PrefixTokens + class.UniqueTokens,
+		outputTokens: class.OutputTokens,
+		arrivedAt:    simulation.now,
+		deadline:     simulation.now.Add(class.Timeout),
 	}
-	world.requests = append(world.requests, request)
+	simulation.requests = append(simulation.requests, request)
 	return request
 }
 
-// send has a node choose an engine for a request.
-func (world *world) send(request *request) {
+// send lets a random node choose an engine for the request, and enqueues the request there.
+func (simulation *simulation) send(request *request) {
 	class := request.class
-	request.node = world.nodes[world.random.IntN(len(world.nodes))]
-	candidates := world.readable()
-	assignment, err := request.node.selector.Choose(world.now, &selector.Demand{
+	request.node = simulation.nodes[simulation.random.IntN(len(simulation.nodes))]
+	candidates := simulation.readableUpstreams()
+	assignment, err := request.node.selector.Choose(simulation.now, &selector.Demand{
 		Service: "pool", Rule: class.Name, Tier: class.Tier, Candidates: candidates, Engine: true, Parts: request.parts,
-		PromptTokens: request.prompt, OutputTokens: request.output, CacheTokens: world.pattern.Settings.CacheTokens,
-		Objective: class.Objective, TimeLeft: request.deadline.Sub(world.now), Idempotent: true,
+		PromptTokens: request.promptTokens, OutputTokens: request.outputTokens, CacheTokens: simulation.scenario.Settings.CacheTokens,
+		Objective: class.Objective, TimeLeft: request.deadline.Sub(simulation.now), Idempotent: true,
 		Deferrable: class.Deferrable,
 	})
 	if err != nil {
-		world.refuse(request, err)
+		simulation.retryOrRefuse(request, err)
 		return
 	}
-	request.assignment, request.urgency = assignment, class.Tier
+	request.assignment, request.priority = assignment, class.Tier
 	if assignment.Deferred() {
-		request.urgency = deferredUrgency
+		request.priority = deferredPriority
 	}
-	world.sent[assignment.Upstream().ID] = append(world.sent[assignment.Upstream().ID], world.now.Sub(world.start))
-	world.engines[assignment.Upstream().ID].take(request)
-	world.live = append(world.live, request)
+	simulation.sentAt[assignment.Upstream().ID] = append(simulation.sentAt[assignment.Upstream().ID], simulation.now.Sub(simulation.start))
+	simulation.engines[assignment.Upstream().ID].enqueue(request)
+	simulation.open = append(simulation.open, request)
 }
 
-// readable returns the engines whose entries can be read.
-func (world *world) readable() []*registrar.Upstream {
-	if len(world.pattern.Unreadable) == 0 {
-		return world.list
+// readableUpstreams returns the engines whose registry entries are readable now.
+func (simulation *simulation) readableUpstreams() []*registrar.Upstream {
+	if len(simulation.scenario.UnreadableEntries) == 0 {
+		return simulation.upstreams
 	}
-	elapsed := world.now.Sub(world.start)
-	hidden := make(map[definer.UpstreamName]bool)
-	for _, unreadable := range world.pattern.Unreadable {
-		if elapsed >= unreadable.From && elapsed < unreadable.Until {
-			hidden[world.list[unreadable.Engine].ID] = true
+	elapsed := simulation.now.Sub(simulation.start)
+	unreadable := make(map[definer.UpstreamName]bool)
+	for _, entry := range simulation.scenario.UnreadableEntries {
+		if elapsed >= entry.From && elapsed < entry.Until {
+			unreadable[simulation.upstreams[entry.Engine].ID] = true
 		}
 	}
-	return slices.DeleteFunc(slices.Clone(world.list), func(upstream *registrar.Upstream) bool { return hidden[upstream.ID] })
+	return slices.DeleteFunc(slices.Clone(simulation.upstreams), func(upstream *registrar.Upstream) bool { return unreadable[upstream.ID] })
 }
 
-// refuse has a caller come back once, when it is told to.
-func (world *world) refuse(request *request, err error) {
+// retryOrRefuse schedules one retry after the RetryAfter of a saturation error. The second refusal
+// and all other errors are final.
+func (simulation *simulation) retryOrRefuse(request *request, err error) {
 	var saturation *selector.Saturation
 	if request.retried || !errors.As(err, &saturation) {
-		world.refused[request] = true
+		simulation.refused[request] = true
 		return
 	}
 	request.retried = true
-	pause := max(saturation.RetryAfter.Round(tick), tick)
-	world.waiting[world.now.Add(pause)] = append(world.waiting[world.now.Add(pause)], request)
+	delay := max(saturation.RetryAfter.Round(tick), tick)
+	simulation.retries[simulation.now.Add(delay)] = append(simulation.retries[simulation.now.Add(delay)], request)
 }
 
-// expire has callers leave whose time is over.
-func (world *world) expire() {
-	kept := world.live[:0]
-	for _, request := range world.live {
-		if !request.ended && world.now.After(request.deadline) {
-			request.leave(world.now)
+// expireRequests abandons requests that are past their deadline and forgets those that have ended.
+func (simulation *simulation) expireRequests() {
+	open := simulation.open[:0]
+	for _, request := range simulation.open {
+		if !request.ended && simulation.now.After(request.deadline) {
+			request.abandon(simulation.now)
 		}
 		if !request.ended {
-			kept = append(kept, request)
+			open = append(open, request)
 		}
 	}
-	world.live = kept
+	simulation.open = open
 }
 
-// result sums up what came of the requests whose callers have had their time.
-func (world *world) result() Result {
-	result := Result{Seconds: make([]Window, int((world.pattern.Length+time.Second-1)/time.Second)), Classes: make(map[string]Window)}
-	for _, request := range world.requests {
-		second := int(request.came.Sub(world.start) / time.Second)
-		class := result.Classes[request.class.Name]
-		for _, window := range []*Window{&class, &result.Seconds[second]} {
-			world.count(window, request)
+// result returns the outcomes of all requests and the totals of all engines.
+func (simulation *simulation) result() Result {
+	result := Result{BySecond: make([]Outcomes, int((simulation.scenario.Duration+time.Second-1)/time.Second)), ByClass: make(map[string]Outcomes)}
+	for _, request := range simulation.requests {
+		second := int(request.arrivedAt.Sub(simulation.start) / time.Second)
+		classOutcomes := result.ByClass[request.class.Name]
+		for _, outcomes := range []*Outcomes{&classOutcomes, &result.BySecond[second]} {
+			simulation.countOutcome(outcomes, request)
 		}
-		result.Classes[request.class.Name] = class
+		result.ByClass[request.class.Name] = classOutcomes
 	}
-	for _, upstream := range world.list {
-		result.Sent = append(result.Sent, world.sent[upstream.ID])
+	for _, upstream := range simulation.upstreams {
+		result.SentAt = append(result.SentAt, simulation.sentAt[upstream.ID])
 	}
-	for _, engine := range world.engines {
-		result.Read += engine.read
-		result.Again += engine.again
+	for _, engine := range simulation.engines {
+		result.PrefilledTokens += engine.prefilledTokens
+		result.RepeatedTokens += engine.repeatedTokens
 	}
 	return result
 }
 
-func (world *world) count(window *Window, request *request) {
-	window.Asked++
+// countOutcome adds the outcome of a request to the counts.
+func (simulation *simulation) countOutcome(outcomes *Outcomes, request *request) {
+	outcomes.Requests++
 	switch {
-	case !request.first.IsZero() && request.first.Sub(request.came) <= request.class.Objective:
-		window.InTime++
-	case !request.first.IsZero():
-		window.Late++
-	case world.refused[request]:
-		window.Refused++
+	case !request.firstEventAt.IsZero() && request.firstEventAt.Sub(request.arrivedAt) <= request.class.Objective:
+		outcomes.InTime++
+	case !request.firstEventAt.IsZero():
+		outcomes.Late++
+	case simulation.refused[request]:
+		outcomes.Refused++
 	default:
-		window.Left++
+		outcomes.Unanswered++
 	}
 }
