--- a/simulator/restart_test.go
+++ b/simulator/restart_test.go
@@ -25,11 +25,11 @@
 		return sumOutcomes(result.BySecond[10:13]), sumOutcomes(result.BySecond[13:15])
 	}
 	during, after := runWithDelay(200 * time.Millisecond)
-	undetected, undetectedAfter := runWithDelay(time.Hour)
-	summary := fmt.Sprintf("announced: %+v, then %+v; not announced: %+v, then %+v", during, after, undetected, undetectedAfter)
+	unannounced, unannouncedAfter := runWithDelay(time.Hour)
+	summary := fmt.Sprintf("announced: %+v, then %+v; not announced: %+v, then %+v", during, after, unannounced, unannouncedAfter)
 	t.Log(summary)
 	assert.Assert(t, after.InTimeShare() > 0.97, summary)
-	assert.Assert(t, during.InTimeShare() > undetected.InTimeShare()+0.1, summary)
+	assert.Assert(t, during.InTimeShare() > unannounced.InTimeShare()+0.1, summary)
 }
 
 // TestUnreadableEntriesInABurst checks that engines get no requests while their registry entries
