--- a/standin/engine/attempt.go
+++ b/standin/engine/attempt.go
@@ -10,7 +10,7 @@
 	"github.com/google/uuid"
 )
 
-// The headers of an attempt and its answer.
+// Headers of requests and responses.
 const (
 	HeaderAttemptID    = "X-Attempt-Id"
 	HeaderPriority     = "X-Priority"
@@ -19,20 +19,20 @@
 	HeaderNotRun       = "X-Not-Run"
 )
 
-// lowestPriority is that of an attempt without the header.
-const lowestPriority = 100
+// defaultPriority applies to a request without HeaderPriority; 0 is the most urgent.
+const defaultPriority = 100
 
-// attempt is one request to compute an answer, as its headers and body ask for
-// it.
+// attempt is a parsed completion request.
 type attempt struct {
 	id          string
 	body        body
 	prompt      string
 	priority    int
 	preemptible bool
-	// offset is the first token wanted; resume says that the header gave it.
-	offset int
-	resume bool
+	// offset is the index of the first requested token; resuming reports whether HeaderResumeOffset
+	// was present.
+	offset   int
+	resuming bool
 }
 
 func newAttempt(header http.Header, raw []byte) (*attempt, error) {
@@ -40,76 +40,76 @@
 	if err != nil {
 		return nil, err
 	}
-	attempt := &attempt{id: header.Get(HeaderAttemptID), body: body, prompt: body.prompt(), priority: lowestPriority}
+	attempt := &attempt{id: header.Get(HeaderAttemptID), body: body, prompt: body.prompt(), priority: defaultPriority}
 	if attempt.id == "" {
 		attempt.id = uuid.NewString()
 	}
 	attempt.preemptible = header.Get(HeaderPreemptible) == "1"
-	if err := readInt(header, HeaderPriority, &attempt.priority); err != nil {
+	if err := parseIntHeader(header, HeaderPriority, &attempt.priority); err != nil {
 		return nil, err
 	}
-	attempt.resume = header.Get(HeaderResumeOffset) != ""
-	if err := readInt(header, HeaderResumeOffset, &attempt.offset); err != nil {
+	attempt.resuming = header.Get(HeaderResumeOffset) != ""
+	if err := parseIntHeader(header, HeaderResumeOffset, &attempt.offset); err != nil {
 		return nil, err
 	}
-	if limit, ok := body.limit(); ok && limit <= 0 {
-		return nil, invalid("the bound on tokens must be positive")
+	if limit, ok := body.maxTokens(); ok && limit <= 0 {
+		return nil, invalidRequest("the token limit must be positive")
 	}
 	return attempt, nil
 }
 
-func readInt(header http.Header, name string, target *int) error {
+func parseIntHeader(header http.Header, name string, target *int) error {
 	text := header.Get(name)
 	if text == "" {
 		return nil
 	}
 	value, err := strconv.Atoi(text)
 	if err != nil || value < 0 {
-		return invalid(name + " must be a whole number from 0")
+		return invalidRequest(name + " must be an integer of 0 or more")
 	}
 	*target = value
 	return nil
 }
 
-func invalid(message string) *Error {
+func invalidRequest(message string) *Error {
 	return &Error{Operation: "parse", Kind: KindInvalid, Err: errors.New(message)}
 }
 
-// sequence returns the attempt as a new sequence.
-func (attempt *attempt) sequence(lengths lengthRule) *sequence {
-	text := newText(attempt.body.Model, attempt.prompt)
-	length := lengths.length(text, attempt.prompt)
-	natural := true
-	if limit, ok := attempt.body.limit(); ok && limit < length {
+// newSequence returns a sequence for the attempt, not yet queued.
+func (attempt *attempt) newSequence(rule lengthRule) *sequence {
+	text := newResponseText(attempt.body.Model, attempt.prompt)
+	length := rule.responseLength(text, attempt.prompt)
+	endsNaturally := true
+	if limit, ok := attempt.body.maxTokens(); ok && limit < length {
 		length = limit
-		natural = false
+		endsNaturally = false
 	}
 	return &sequence{
-		attemptID:    attempt.id,
-		model:        attempt.body.Model,
-		prompt:       attempt.prompt,
-		text:         text,
-		promptTokens: PromptTokens(attempt.prompt),
-		priority:     attempt.priority,
-		preemptible:  attempt.preemptible,
-		first:        attempt.offset,
-		next:         attempt.offset,
-		sent:         attempt.offset,
-		length:       length,
-		natural:      natural,
+		attemptID:     attempt.id,
+		model:         attempt.body.Model,
+		prompt:        attempt.prompt,
+		text:          text,
+		promptTokens:  CountPromptTokens(attempt.prompt),
+		priority:      attempt.priority,
+		preemptible:   attempt.preemptible,
+		first:         attempt.offset,
+		next:          attempt.offset,
+		sent:          attempt.offset,
+		length:        length,
+		endsNaturally: endsNaturally,
 	}
 }
 
-// submit takes the attempt in or refuses it. The returned reader reads its
-// tokens, with the faults that were ordered for it.
-func (engine *Engine) submit(attempt *attempt) (*reader, plan, error) {
+// submit resumes the sequence of the attempt, queues a new one or returns an *Error. It also
+// returns the faults to inject into the response.
+func (engine *Engine) submit(attempt *attempt) (*reader, faultPlan, error) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
-	defer engine.wakeLoop()
-	record, known := engine.records.find(attempt.id)
+	defer engine.notifyLoop()
+	record, known := engine.recorder.find(attempt.id)
 	ran := known && record.Started
-	if take(&engine.faults.FailBefore) {
-		return nil, plan{}, &Error{Operation: "submit", Kind: KindInjected, ran: ran}
+	if consume(&engine.faults.FailBefore) {
+		return nil, faultPlan{}, &Error{Operation: "submit", Kind: KindInjected, ran: ran}
 	}
 	reader, err := engine.resumeLocked(attempt)
 	if reader == nil && err == nil {
@@ -117,35 +117,37 @@
 	}
 	if err != nil {
 		err.ran = ran
-		return nil, plan{}, err
+		return nil, faultPlan{}, err
 	}
-	ordered := engine.faults.plan(attempt, engine.lastAttempt)
+	plan := engine.faults.plan(attempt, engine.lastAttempt)
 	engine.lastAttempt = attempt.id
-	return reader, ordered, nil
+	return reader, plan, nil
 }
 
-// resumeLocked gives a kept sequence its new reader. It returns no reader when
-// none is kept.
+// resumeLocked attaches a new reader to the existing sequence of a resuming attempt. It returns
+// nil, nil if the attempt does not resume or its sequence is gone.
 func (engine *Engine) resumeLocked(attempt *attempt) (*reader, *Error) {
-	kept, found := engine.batch.byAttempt[attempt.id]
-	if !attempt.resume || !found {
+	existing, found := engine.batch.byAttempt[attempt.id]
+	if !attempt.resuming || !found {
 		return nil, nil
 	}
-	if kept.prompt != attempt.prompt || kept.model != attempt.body.Model {
-		return nil, invalid("the kept sequence has another prompt or model")
+	if existing.prompt != attempt.prompt || existing.model != attempt.body.Model {
+		return nil, invalidRequest("the existing sequence has another prompt or model")
 	}
-	if attempt.offset < kept.first || attempt.offset > kept.next {
-		return nil, invalid("the kept sequence does not have the offset")
+	if attempt.offset < existing.first || attempt.offset > existing.next {
+		return nil, invalidRequest("the offset is outside the tokens of the existing sequence")
 	}
-	reader := kept.attach()
-	if kept.state == stateParked {
-		engine.batch.enqueue(kept)
-		engine.fillLocked(time.Now())
+	reader := existing.attach()
+	if existing.state == stateSuspended {
+		engine.batch.enqueue(existing)
+		engine.scheduleLocked(time.Now())
 	}
 	return reader, nil
 }
 
-// admitLocked puts a new sequence in the queue or refuses it.
+// admitLocked queues a new sequence, and starts it if there is room. It refuses an attempt that is
+// invalid, a duplicate or for an unknown model, and any attempt while the engine is leaving or the
+// queue is full.
 func (engine *Engine) admitLocked(attempt *attempt) (*reader, *Error) {
 	if engine.leaving {
 		return nil, &Error{Operation: "submit", Kind: KindLeaving}
@@ -153,25 +155,25 @@
 	if !slices.Contains(engine.models, attempt.body.Model) {
 		return nil, &Error{Operation: "submit", Kind: KindUnknownModel}
 	}
-	if _, known := engine.records.find(attempt.id); known && !attempt.resume {
+	if _, known := engine.recorder.find(attempt.id); known && !attempt.resuming {
 		return nil, &Error{Operation: "submit", Kind: KindDuplicate}
 	}
-	entering := attempt.sequence(engine.lengths)
-	if entering.first > entering.length {
-		return nil, invalid("the offset is past the end of the answer")
+	sequence := attempt.newSequence(engine.lengthRule)
+	if sequence.first > sequence.length {
+		return nil, invalidRequest("the offset is past the end of the response")
 	}
 	now := time.Now()
-	entering.arrival = engine.arrivals
-	entering.record = engine.records.draft(attempt.id, attempt.priority)
-	engine.batch.enqueue(entering)
-	engine.fillLocked(now)
-	if !entering.started && engine.batch.fresh() > engine.options.queueBound {
-		engine.batch.remove(entering)
+	sequence.arrival = engine.nextArrival
+	sequence.record = engine.recorder.findOrCreate(attempt.id, attempt.priority)
+	engine.batch.enqueue(sequence)
+	engine.scheduleLocked(now)
+	if !sequence.started && engine.batch.countUnstarted() > engine.options.maxQueued {
+		engine.batch.remove(sequence)
 		return nil, &Error{Operation: "submit", Kind: KindQueueFull}
 	}
-	engine.arrivals++
-	engine.records.keep(entering.record)
-	engine.batch.byAttempt[attempt.id] = entering
-	engine.publishLocked(now)
-	return entering.attach(), nil
+	engine.nextArrival++
+	engine.recorder.add(sequence.record)
+	engine.batch.byAttempt[attempt.id] = sequence
+	engine.publishLoadLocked(now)
+	return sequence.attach(), nil
 }
--- a/standin/engine/batch.go
+++ b/standin/engine/batch.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// batch is the state table of the sequences. Its owner has the lock.
+// batch holds the running and queued sequences. It has no lock; Engine.mu guards it.
 type batch struct {
 	maxRunning int
-	// running has at most maxRunning sequences, in the order of their start.
+	// running has at most maxRunning sequences, in order of start.
 	running []*sequence
-	// waiting is in order of priority, then arrival.
+	// waiting is ordered by priority, then arrival.
 	waiting []*sequence
-	// byAttempt has every sequence that can still be resumed or cancelled.
+	// byAttempt maps attempt IDs to the sequences that can still be resumed or cancelled.
 	byAttempt map[string]*sequence
 }
 
@@ -21,27 +21,27 @@
 	return &batch{maxRunning: maxRunning, byAttempt: map[string]*sequence{}}
 }
 
-// enqueue puts the sequence in its place in the queue.
-func (batch *batch) enqueue(entering *sequence) {
-	entering.state = stateWaiting
-	place, _ := slices.BinarySearchFunc(batch.waiting, entering, compareUrgency)
-	batch.waiting = slices.Insert(batch.waiting, place, entering)
+// enqueue inserts the sequence into the priority queue.
+func (batch *batch) enqueue(sequence *sequence) {
+	sequence.state = stateWaiting
+	index, _ := slices.BinarySearchFunc(batch.waiting, sequence, compareUrgency)
+	batch.waiting = slices.Insert(batch.waiting, index, sequence)
 }
 
 func compareUrgency(a, b *sequence) int {
 	return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.arrival, b.arrival))
 }
 
-// remove takes the sequence out of the running and the waiting ones.
-func (batch *batch) remove(leaving *sequence) {
-	same := func(other *sequence) bool { return other == leaving }
+// remove deletes the sequence from the running batch and the queue.
+func (batch *batch) remove(removed *sequence) {
+	same := func(other *sequence) bool { return other == removed }
 	batch.running = slices.DeleteFunc(batch.running, same)
 	batch.waiting = slices.DeleteFunc(batch.waiting, same)
 }
 
-// next takes the sequence that is to run now out of the queue, with the one
-// that has to make room for it or nil. It returns nil when nothing may start.
-func (batch *batch) next() (starting, victim *sequence) {
+// dequeue removes and returns the next sequence to start. If the batch is full, it also returns the
+// running sequence to preempt. It returns nil, nil if no sequence can start.
+func (batch *batch) dequeue() (starting, victim *sequence) {
 	if len(batch.waiting) == 0 {
 		return nil, nil
 	}
@@ -56,8 +56,8 @@
 	return head, victim
 }
 
-// victim returns the preemptible running sequence to pause for work of the
-// priority: of the least urgent priority, the youngest.
+// victim returns the running sequence to preempt for one of the given priority, or nil. It selects
+// the least urgent preemptible sequence, and the latest arrival among equals.
 func (batch *batch) victim(priority int) *sequence {
 	var victim *sequence
 	for _, candidate := range batch.running {
@@ -71,23 +71,24 @@
 	return victim
 }
 
-// run starts the sequence or lets it go on.
-func (batch *batch) run(starting *sequence, now time.Time) {
+// start adds a new or preempted sequence to the running batch.
+func (batch *batch) start(starting *sequence, now time.Time) {
 	starting.state = stateRunning
-	starting.readyAt = now.Add(starting.prefill)
+	starting.prefillEndsAt = now.Add(starting.prefill)
 	batch.running = append(batch.running, starting)
 }
 
-// pause puts a running sequence back into the queue; its tokens are kept.
-func (batch *batch) pause(victim *sequence, now time.Time) {
+// preempt moves a running sequence back to the queue. Its computed tokens and the remaining prefill
+// time are preserved.
+func (batch *batch) preempt(victim *sequence, now time.Time) {
 	batch.remove(victim)
-	victim.prefill = max(0, victim.readyAt.Sub(now))
+	victim.prefill = max(0, victim.prefillEndsAt.Sub(now))
 	victim.pauses++
 	batch.enqueue(victim)
 }
 
-// fresh counts the waiting sequences that have not started.
-func (batch *batch) fresh() int {
+// countUnstarted returns the number of queued sequences that have not started.
+func (batch *batch) countUnstarted() int {
 	count := 0
 	for _, waiting := range batch.waiting {
 		if !waiting.started {
--- a/standin/engine/body.go
+++ b/standin/engine/body.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// body is the part of an OpenAI request that the engine reads.
+// body holds the fields of an OpenAI request body that the engine uses.
 type body struct {
 	Model               string          `json:"model"`
 	Prompt              json.RawMessage `json:"prompt"`
@@ -29,9 +29,9 @@
 	Text string `json:"text"`
 }
 
-// PromptOf returns the whole prompt of an OpenAI request body as one string, on which the answer
-// depends: for a chat, each message as its role, a colon, its text and a line end.
-func PromptOf(raw []byte) (string, error) {
+// PromptFromBody returns the prompt of an OpenAI request body as one string, which determines the
+// response. A chat message is rendered as its role, a colon, a space, its text and a newline.
+func PromptFromBody(raw []byte) (string, error) {
 	body, err := parseBody(raw)
 	if err != nil {
 		return "", err
@@ -49,20 +49,21 @@
 
 func (body body) prompt() string {
 	if len(body.Messages) == 0 {
-		return textOf(body.Prompt)
+		return contentText(body.Prompt)
 	}
 	var builder strings.Builder
 	for _, message := range body.Messages {
 		builder.WriteString(message.Role)
 		builder.WriteString(": ")
-		builder.WriteString(textOf(message.Content))
+		builder.WriteString(contentText(message.Content))
 		builder.WriteString("\n")
 	}
 	return builder.String()
 }
 
-// textOf reads a string, a list of strings or a list of content parts.
-func textOf(raw json.RawMessage) string {
+// contentText returns the text of a JSON string, a list of strings joined by newlines, or a list of
+// concatenated content parts. It returns an empty string for any other value.
+func contentText(raw json.RawMessage) string {
 	var text string
 	if json.Unmarshal(raw, &text) == nil {
 		return text
@@ -81,9 +82,9 @@
 	return text
 }
 
-// limit returns the caller's bound on the answer's length, or ok false when
-// there is none.
-func (body body) limit() (tokens int, ok bool) {
+// maxTokens returns the response limit of the request, and whether the request sets one.
+// max_completion_tokens takes precedence over max_tokens.
+func (body body) maxTokens() (tokens int, ok bool) {
 	if body.MaxCompletionTokens != nil {
 		return *body.MaxCompletionTokens, true
 	}
--- a/standin/engine/client_test.go
+++ b/standin/engine/client_test.go
@@ -19,20 +19,21 @@
 
 const model = "m"
 
-// client calls one engine over a loopback socket.
+// client sends requests to one engine over a loopback connection.
 type client struct {
 	t   *testing.T
 	url string
 }
 
-// start runs an engine with tiny token times; opts may change them.
-func start(t *testing.T, opts ...engine.Option) client {
+// startEngine starts an engine with short token and prefill times, which opts can override, and
+// returns a client for it.
+func startEngine(t *testing.T, opts ...engine.Option) client {
 	t.Helper()
-	quick := []engine.Option{
+	defaults := []engine.Option{
 		engine.WithModels(model), engine.WithTokenTime(100*time.Microsecond, 0),
 		engine.WithPrefillTime(time.Millisecond), engine.WithLoadLag(0),
 	}
-	standin := engine.New(append(quick, opts...)...)
+	standin := engine.New(append(defaults, opts...)...)
 	server := httptest.NewServer(standin.Handler())
 	t.Cleanup(func() {
 		assert.NilError(t, standin.Close())
@@ -76,7 +77,8 @@
 	return runs
 }
 
-// await polls until the condition holds; the test's own timeout is the only bound.
+// await polls the record of the attempt until the condition holds, limited only by the test
+// timeout.
 func (client client) await(attempt string, holds func(engine.Record) bool) engine.Record {
 	client.t.Helper()
 	for {
@@ -86,8 +88,8 @@
 	}
 }
 
-// ask is one completion to ask for.
-type ask struct {
+// completionCall holds the parameters of one completion request.
+type completionCall struct {
 	attempt     string
 	prompt      string
 	whole       bool
@@ -100,83 +102,84 @@
 	model       string
 }
 
-// stream is an open answer.
+// stream is a response that is being read.
 type stream struct {
-	client   client
-	response *http.Response
-	reader   *bufio.Reader
-	leave    context.CancelFunc
+	client     client
+	response   *http.Response
+	reader     *bufio.Reader
+	disconnect context.CancelFunc
 }
 
-// result is what a stream showed until it ended.
+// result accumulates what was read from a response.
 type result struct {
-	status    int
-	notRun    bool
-	attempt   string
-	text      string
-	indexes   []int
-	reason    string
-	done      bool
-	cut       bool
-	failure   string
-	usage     *engine.Usage
-	notices   string
-	attemptID string
-}
-
-func (client client) open(ask ask) (*stream, error) {
+	status          int
+	notRun          bool
+	headerAttemptID string
+	text            string
+	indexes         []int
+	finishReason    string
+	done            bool
+	truncated       bool
+	failure         string
+	usage           *engine.Usage
+	events          string
+	chunkAttemptID  string
+}
+
+func (client client) open(call completionCall) (*stream, error) {
 	client.t.Helper()
-	if ask.model == "" {
-		ask.model = model
+	if call.model == "" {
+		call.model = model
 	}
-	body := fmt.Sprintf(`{"model":%q,"messages":[{"role":"user","content":%q}],"stream":%t`, ask.model, ask.prompt, !ask.whole)
-	if ask.maxTokens > 0 {
-		body += fmt.Sprintf(`,"max_tokens":%d`, ask.maxTokens)
+	body := fmt.Sprintf(`{"model":%q,"messages":[{"role":"user","content":%q}],"stream":%t`, call.model, call.prompt, !call.whole)
+	if call.maxTokens > 0 {
+		body += fmt.Sprintf(`,"max_tokens":%d`, call.maxTokens)
 	}
-	body += fmt.Sprintf(`,"stream_options":{"include_usage":%t}}`, ask.usage)
-	ctx, leave := context.WithCancel(context.Background())
-	client.t.Cleanup(leave)
+	body += fmt.Sprintf(`,"stream_options":{"include_usage":%t}}`, call.usage)
+	ctx, disconnect := context.WithCancel(context.Background())
+	client.t.Cleanup(disconnect)
 	request, err := http.NewRequestWithContext(ctx, "POST", client.url+"/v1/chat/completions", strings.NewReader(body))
 	assert.NilError(client.t, err)
-	request.Header.Set(engine.HeaderAttemptID, ask.attempt)
-	request.Header.Set(engine.HeaderPriority, strconv.Itoa(ask.priority))
-	if ask.preemptible {
+	request.Header.Set(engine.HeaderAttemptID, call.attempt)
+	request.Header.Set(engine.HeaderPriority, strconv.Itoa(call.priority))
+	if call.preemptible {
 		request.Header.Set(engine.HeaderPreemptible, "1")
 	}
-	if ask.resume {
-		request.Header.Set(engine.HeaderResumeOffset, strconv.Itoa(ask.offset))
+	if call.resume {
+		request.Header.Set(engine.HeaderResumeOffset, strconv.Itoa(call.offset))
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		leave()
+		disconnect()
 		return nil, err
 	}
-	return &stream{client: client, response: response, reader: bufio.NewReader(response.Body), leave: leave}, nil
+	return &stream{client: client, response: response, reader: bufio.NewReader(response.Body), disconnect: disconnect}, nil
 }
 
-// read takes events in until enough holds or the answer ends.
+// read processes events until enough returns true or the response ends. A nil enough reads to the
+// end.
 func (stream *stream) read(enough func(result) bool) result {
 	result := result{
-		status:  stream.response.StatusCode,
-		notRun:  stream.response.Header.Get(engine.HeaderNotRun) == "1",
-		attempt: stream.response.Header.Get(engine.HeaderAttemptID),
+		status:          stream.response.StatusCode,
+		notRun:          stream.response.Header.Get(engine.HeaderNotRun) == "1",
+		headerAttemptID: stream.response.Header.Get(engine.HeaderAttemptID),
 	}
 	for enough == nil || !enough(result) {
 		line, err := stream.reader.ReadString('\n')
-		result.take(strings.TrimSpace(line))
+		result.parseLine(strings.TrimSpace(line))
 		if err != nil {
-			result.cut = !result.done && result.status == 200 && result.failure == ""
+			result.truncated = !result.done && result.status == 200 && result.failure == ""
 			break
 		}
 	}
 	return result
 }
 
-func (result *result) take(line string) {
+func (result *result) parseLine(line string) {
 	data, isData := strings.CutPrefix(line, "data: ")
 	switch {
 	case strings.HasPrefix(line, "event: "):
-		result.notices += line + ";"
+		result.events += line + ";"
 	case data == "[DONE]":
 		result.done = true
 	case isData || strings.HasPrefix(line, "{"):
@@ -185,13 +188,13 @@
 		result.failure = failure.Error.Type
 		var chunk engine.Chunk
 		_ = json.Unmarshal([]byte(data), &chunk)
-		result.chunk(chunk)
+		result.addChunk(chunk)
 	}
 }
 
-func (result *result) chunk(chunk engine.Chunk) {
+func (result *result) addChunk(chunk engine.Chunk) {
 	if chunk.AttemptID != "" {
-		result.attemptID = chunk.AttemptID
+		result.chunkAttemptID = chunk.AttemptID
 	}
 	if chunk.Usage != nil {
 		result.usage = chunk.Usage
@@ -206,26 +209,26 @@
 			}
 		}
 		if choice.FinishReason != nil {
-			result.reason = *choice.FinishReason
+			result.finishReason = *choice.FinishReason
 		}
 	}
 }
 
-// complete asks and reads the answer to its end.
-func (client client) complete(ask ask) result {
+// complete sends a request and reads the whole response.
+func (client client) complete(call completionCall) result {
 	client.t.Helper()
-	stream, err := client.open(ask)
+	stream, err := client.open(call)
 	assert.NilError(client.t, err)
-	defer stream.leave()
+	defer stream.disconnect()
 	return stream.read(nil)
 }
 
-// answer is the text that the prompt's answer must have between the tokens.
-func answer(prompt string, first, end int) string {
+// expectedText returns the text of tokens [first, end) of the response to the prompt.
+func expectedText(prompt string, first, end int) string {
 	return engine.Answer(model, "user: "+prompt+"\n", first, end)
 }
 
-// tokens lets a read stop after so many tokens.
-func tokens(count int) func(result) bool {
+// untilTokens returns a condition that stops read after count tokens.
+func untilTokens(count int) func(result) bool {
 	return func(result result) bool { return len(result.indexes) >= count }
 }
--- a/standin/engine/completion.go
+++ b/standin/engine/completion.go
@@ -13,22 +13,22 @@
 
 const maxBodyBytes = 8 << 20
 
-// completion is one attempt being answered.
+// completion writes the response to one accepted attempt.
 type completion struct {
 	engine  *Engine
 	attempt *attempt
 	reader  *reader
-	plan    plan
+	plan    faultPlan
 	format  format
 	writer  http.ResponseWriter
 	request *http.Request
-	// text and id are the answer's own, or another's when it is crossed.
-	text    text
+	// text and id belong to the attempt, or to another one if a fault crosses the response.
+	text    responseText
 	id      string
 	created int64
 }
 
-func (engine *Engine) complete(format format) httprouter.Handle {
+func (engine *Engine) handleCompletion(format format) httprouter.Handle {
 	return func(writer http.ResponseWriter, request *http.Request, _ httprouter.Params) {
 		raw, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, maxBodyBytes))
 		if err != nil {
@@ -36,25 +36,25 @@
 			host.Fail(writer, http.StatusRequestEntityTooLarge, string(KindInvalid), err.Error())
 			return
 		}
-		said := engine.announcement()
-		said.Write(writer.Header())
+		announcement := engine.announcement()
+		announcement.Write(writer.Header())
 		attempt, err := newAttempt(request.Header, raw)
 		if err != nil {
-			refuse(writer, "", err, said)
+			writeRefusal(writer, "", err, announcement)
 			return
 		}
 		reader, plan, err := engine.submit(attempt)
 		if err != nil {
-			refuse(writer, attempt.id, err, said)
+			writeRefusal(writer, attempt.id, err, announcement)
 			return
 		}
-		defer engine.leave(reader)
-		newCompletion(engine, attempt, reader, plan, format, writer, request).answer()
+		defer engine.detach(reader)
+		newCompletion(engine, attempt, reader, plan, format, writer, request).respond()
 	}
 }
 
 func newCompletion(
-	engine *Engine, attempt *attempt, reader *reader, plan plan, format format,
+	engine *Engine, attempt *attempt, reader *reader, plan faultPlan, format format,
 	writer http.ResponseWriter, request *http.Request,
 ) *completion {
 	completion := &completion{
@@ -64,22 +64,24 @@
 	}
 	if plan.crossedID != "" {
 		completion.id = plan.crossedID
-		completion.text = newText(attempt.body.Model, plan.crossedID)
+		completion.text = newResponseText(attempt.body.Model, plan.crossedID)
 	}
 	return completion
 }
 
-// announcement returns how the engine wants to be asked; one that was told to leave says so.
+// announcement returns the announcement for response headers. It includes Leaving after POST
+// /admin/leave.
 func (engine *Engine) announcement() host.Announcement {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
-	said := engine.faults.Announcement
-	said.SaysLeaving = said.SaysLeaving || engine.leaving
-	return said
+	announcement := engine.faults.Announcement
+	announcement.Leaving = announcement.Leaving || engine.leaving
+	return announcement
 }
 
-// refuse answers an attempt that was not taken in.
-func refuse(writer http.ResponseWriter, attemptID string, err error, said host.Announcement) {
+// writeRefusal writes the error response to an attempt that was refused. An empty attemptID omits
+// the attempt header.
+func writeRefusal(writer http.ResponseWriter, attemptID string, err error, announcement host.Announcement) {
 	var refusal *Error
 	if !errors.As(err, &refusal) {
 		host.Fail(writer, http.StatusInternalServerError, string(KindInjected), err.Error())
@@ -92,73 +94,73 @@
 		writer.Header().Set(HeaderNotRun, "1")
 	}
 	if refusal.status() == http.StatusServiceUnavailable {
-		said.WriteRetryAfter(writer.Header())
+		announcement.WriteRetryAfter(writer.Header())
 	}
 	host.Fail(writer, refusal.status(), string(refusal.Kind), refusal.Error())
 }
 
-func (completion *completion) answer() {
+func (completion *completion) respond() {
 	if completion.attempt.body.Stream && !completion.plan.failAfter {
 		newStreamer(completion).run()
 		return
 	}
-	completion.answerWhole()
+	completion.respondUnstreamed()
 }
 
-// answerWhole waits for the whole answer and sends it at once.
-func (completion *completion) answerWhole() {
-	view, ok := completion.await(onlyEnd)
+// respondUnstreamed waits for the sequence to end and sends the response in one JSON body.
+func (completion *completion) respondUnstreamed() {
+	snapshot, ok := completion.await(untilEnd)
 	if !ok {
 		return
 	}
-	if view.state == stateCancelled {
-		completion.refuseCancelled(view)
+	if snapshot.state == stateCancelled {
+		completion.writeCancelled(snapshot)
 		return
 	}
 	completion.writer.Header().Set(HeaderAttemptID, completion.id)
 	if completion.plan.failAfter {
-		host.Fail(completion.writer, http.StatusInternalServerError, string(KindInjected), "failed after computing")
+		host.Fail(completion.writer, http.StatusInternalServerError, string(KindInjected), "injected failure after the computation")
 		return
 	}
 	sequence := completion.reader.sequence
-	choice := completion.format.wholeChoice(completion.text.between(completion.attempt.offset, sequence.length))
+	choice := completion.format.responseChoice(completion.text.join(completion.attempt.offset, sequence.length))
 	choice.FinishReason = new(sequence.finishReason())
-	chunk := completion.chunk(completion.format.whole(), choice)
+	chunk := completion.chunk(completion.format.responseObject(), choice)
 	chunk.Usage = completion.usage()
 	host.Answer(completion.writer, http.StatusOK, chunk)
-	completion.engine.sent(completion.reader, sequence.length)
+	completion.engine.recordSent(completion.reader, sequence.length)
 }
 
-// onlyEnd lets await wait for the end.
-func onlyEnd(view) bool { return false }
+// untilEnd makes await wait for the end of the sequence.
+func untilEnd(snapshot) bool { return false }
 
-// await blocks until the sequence has ended or enough holds. It returns false
-// when the client has left, the engine is closed or another reader has the
-// sequence.
-func (completion *completion) await(enough func(view) bool) (view, bool) {
+// await blocks until the sequence ends or enough returns true for a snapshot. It returns false if
+// the client disconnected, the engine was closed or another reader replaced this one; in the last
+// two cases it closes the connection.
+func (completion *completion) await(enough func(snapshot) bool) (snapshot, bool) {
 	for {
-		view := completion.engine.view(completion.reader)
-		if view.replaced {
+		snapshot := completion.engine.snapshot(completion.reader)
+		if snapshot.replaced {
 			host.Cut(completion.writer)
-			return view, false
+			return snapshot, false
 		}
-		if view.state == stateFinished || view.state == stateCancelled || enough(view) {
-			return view, true
+		if snapshot.state == stateFinished || snapshot.state == stateCancelled || enough(snapshot) {
+			return snapshot, true
 		}
 		select {
 		case <-completion.reader.changed:
 		case <-completion.request.Context().Done():
-			return view, false
+			return snapshot, false
 		case <-completion.engine.host.Done():
 			host.Cut(completion.writer)
-			return view, false
+			return snapshot, false
 		}
 	}
 }
 
-func (completion *completion) refuseCancelled(view view) {
+func (completion *completion) writeCancelled(snapshot snapshot) {
 	completion.writer.Header().Set(HeaderAttemptID, completion.id)
-	if !view.started {
+	if !snapshot.started {
 		completion.writer.Header().Set(HeaderNotRun, "1")
 	}
 	host.Fail(completion.writer, http.StatusServiceUnavailable, string(KindCancelled), "the attempt was cancelled")
@@ -175,8 +177,8 @@
 	}
 }
 
-// usage counts the whole answer, also when only a part of it was asked for. The
-// sequence is finished, so its fields no longer change.
+// usage returns the token counts of the whole response, even if the attempt requested only the part
+// from an offset. The sequence is finished, so reading its fields needs no lock.
 func (completion *completion) usage() *Usage {
 	sequence := completion.reader.sequence
 	return &Usage{
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -16,46 +16,47 @@
 )
 
 const (
-	// slow gives a test seconds for what it does during an answer of some hundred tokens.
-	slow = `{"slowFactor":200}`
-	// crawl slows the engine so far that nothing is computed until it is set back.
-	crawl = `{"slowFactor":1e7}`
+	// slowFaults makes a response of some hundred tokens last for seconds, so that a test can act
+	// during it.
+	slowFaults = `{"slowFactor":200}`
+	// crawlFaults effectively stops the computation until the factor is reset.
+	crawlFaults = `{"slowFactor":1e7}`
 )
 
 func TestAnswers(t *testing.T) {
 	prompt := "zips #len=12 #len=3"
 	cases := []struct {
 		name   string
-		ask    ask
+		call   completionCall
 		text   string
 		reason string
 		usage  int
 	}{
-		{"streamed", ask{}, answer(prompt, 0, 12), "stop", 12},
-		{"streamed with a usage chunk", ask{usage: true}, answer(prompt, 0, 12), "stop", 12},
-		{"whole", ask{whole: true}, answer(prompt, 0, 12), "stop", 12},
-		{"bounded", ask{maxTokens: 5}, answer(prompt, 0, 5), "length", 5},
-		{"bounded and whole", ask{maxTokens: 5, whole: true}, answer(prompt, 0, 5), "length", 5},
-		{"from an offset", ask{offset: 7, resume: true}, answer(prompt, 7, 12), "stop", 12},
-		{"from an offset and whole", ask{offset: 7, resume: true, whole: true}, answer(prompt, 7, 12), "stop", 12},
-		{"from the end", ask{offset: 12, resume: true}, "", "stop", 12},
+		{"streamed", completionCall{}, expectedText(prompt, 0, 12), "stop", 12},
+		{"streamed with a usage chunk", completionCall{usage: true}, expectedText(prompt, 0, 12), "stop", 12},
+		{"whole", completionCall{whole: true}, expectedText(prompt, 0, 12), "stop", 12},
+		{"bounded", completionCall{maxTokens: 5}, expectedText(prompt, 0, 5), "length", 5},
+		{"bounded and whole", completionCall{maxTokens: 5, whole: true}, expectedText(prompt, 0, 5), "length", 5},
+		{"from an offset", completionCall{offset: 7, resume: true}, expectedText(prompt, 7, 12), "stop", 12},
+		{"from an offset and whole", completionCall{offset: 7, resume: true, whole: true}, expectedText(prompt, 7, 12), "stop", 12},
+		{"from the end", completionCall{offset: 12, resume: true}, "", "stop", 12},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			client := start(t)
-			test.ask.attempt, test.ask.prompt = "a1", prompt
-			result := client.complete(test.ask)
+			client := startEngine(t)
+			test.call.attempt, test.call.prompt = "a1", prompt
+			result := client.complete(test.call)
 			assert.Equal(t, result.text, test.text)
-			assert.Equal(t, result.reason, test.reason)
-			assert.Equal(t, result.attempt, "a1")
-			assert.Equal(t, result.attemptID, "a1")
-			assert.Equal(t, result.done, !test.ask.whole)
-			if test.ask.offset < 12 || test.ask.usage {
+			assert.Equal(t, result.finishReason, test.reason)
+			assert.Equal(t, result.headerAttemptID, "a1")
+			assert.Equal(t, result.chunkAttemptID, "a1")
+			assert.Equal(t, result.done, !test.call.whole)
+			if test.call.offset < 12 || test.call.usage {
 				assert.Equal(t, result.usage.CompletionTokens, test.usage)
 			}
 			record := client.record("a1")
 			assert.Assert(t, record.Finished && record.Starts == 1)
-			assert.Equal(t, record.Tokens, test.usage-test.ask.offset)
+			assert.Equal(t, record.Tokens, test.usage-test.call.offset)
 		})
 	}
 }
@@ -67,40 +68,40 @@
 		{`{"messages":[{"role":"system","content":"s"},{"role":"user","content":[{"type":"text","text":"u"}]}]}`, "system: s\nuser: u\n"},
 	}
 	for _, test := range cases {
-		prompt, err := engine.PromptOf([]byte(test.body))
+		prompt, err := engine.PromptFromBody([]byte(test.body))
 		assert.NilError(t, err)
 		assert.Equal(t, prompt, test.prompt)
 	}
-	_, err := engine.PromptOf([]byte("{"))
+	_, err := engine.PromptFromBody([]byte("{"))
 	var refusal *engine.Error
 	assert.Assert(t, cmp.ErrorType(err, refusal))
-	client := start(t, engine.WithLengths(3, 4))
-	result := client.complete(ask{attempt: "a1", prompt: "buttons"})
+	client := startEngine(t, engine.WithResponseLengths(3, 4))
+	result := client.complete(completionCall{attempt: "a1", prompt: "buttons"})
 	assert.Assert(t, len(result.indexes) == 3 || len(result.indexes) == 4)
-	assert.Equal(t, result.text, answer("buttons", 0, len(result.indexes)))
+	assert.Equal(t, result.text, expectedText("buttons", 0, len(result.indexes)))
 }
 
 func TestRefusals(t *testing.T) {
 	cases := []struct {
 		name, before, body string
-		ask                ask
+		call               completionCall
 		status             int
 		notRun             bool
 	}{
-		{name: "unknown model", ask: ask{model: "x"}, status: 404, notRun: true},
+		{name: "unknown model", call: completionCall{model: "x"}, status: 404, notRun: true},
 		{name: "leaving", before: "/admin/leave", body: "{}", status: 503, notRun: true},
 		{name: "fault before", before: "/faults", body: `{"failBefore":1}`, status: 503, notRun: true},
 		{name: "fault after", before: "/faults", body: `{"failAfter":1}`, status: 500},
-		{name: "offset past the end", ask: ask{resume: true, offset: 9}, status: 400, notRun: true},
+		{name: "offset past the end", call: completionCall{resume: true, offset: 9}, status: 400, notRun: true},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			client := start(t)
+			client := startEngine(t)
 			if test.before != "" {
 				client.post(test.before, test.body)
 			}
-			test.ask.attempt, test.ask.prompt = "a1", "x #len=8"
-			result := client.complete(test.ask)
+			test.call.attempt, test.call.prompt = "a1", "x #len=8"
+			result := client.complete(test.call)
 			assert.Equal(t, result.status, test.status)
 			assert.Equal(t, result.notRun, test.notRun)
 			assert.Equal(t, client.record("a1").Started, !test.notRun)
@@ -109,36 +110,36 @@
 }
 
 func TestAKnownAttemptDoesNotRunAgain(t *testing.T) {
-	client := start(t)
-	client.complete(ask{attempt: "a1", prompt: "x #len=8"})
-	again := client.complete(ask{attempt: "a1", prompt: "x #len=8"})
+	client := startEngine(t)
+	client.complete(completionCall{attempt: "a1", prompt: "x #len=8"})
+	again := client.complete(completionCall{attempt: "a1", prompt: "x #len=8"})
 	assert.Equal(t, again.status, 409)
-	assert.Assert(t, !again.notRun, "the attempt did run")
+	assert.Assert(t, !again.notRun, "the attempt has run")
 	assert.Equal(t, client.record("a1").Starts, 1)
 	client.post("/admin/leave", "{}")
-	other := client.complete(ask{attempt: "a1", prompt: "another", resume: true})
+	other := client.complete(completionCall{attempt: "a1", prompt: "another", resume: true})
 	assert.Assert(t, other.status == 400 && !other.notRun)
 }
 
 func TestANewReaderReplacesTheOld(t *testing.T) {
-	client := start(t)
-	client.post("/faults", slow)
-	old, err := client.open(ask{attempt: "a1", prompt: "x #len=200"})
+	client := startEngine(t)
+	client.post("/faults", slowFaults)
+	old, err := client.open(completionCall{attempt: "a1", prompt: "x #len=200"})
 	assert.NilError(t, err)
-	seen := old.read(tokens(2))
-	client.post("/faults", crawl)
-	fresh, err := client.open(ask{attempt: "a1", prompt: "x #len=200", resume: true, offset: 1})
+	seen := old.read(untilTokens(2))
+	client.post("/faults", crawlFaults)
+	fresh, err := client.open(completionCall{attempt: "a1", prompt: "x #len=200", resume: true, offset: 1})
 	assert.NilError(t, err)
 	rest := old.read(nil)
-	assert.Assert(t, rest.cut)
-	assert.Equal(t, seen.text+rest.text, answer("x #len=200", 0, len(seen.indexes)+len(rest.indexes)))
+	assert.Assert(t, rest.truncated)
+	assert.Equal(t, seen.text+rest.text, expectedText("x #len=200", 0, len(seen.indexes)+len(rest.indexes)))
 	client.post("/faults", `{"slowFactor":1}`)
-	assert.Equal(t, fresh.read(nil).text, answer("x #len=200", 1, 200))
+	assert.Equal(t, fresh.read(nil).text, expectedText("x #len=200", 1, 200))
 	assert.Equal(t, client.record("a1").Tokens, 200)
 }
 
 func TestTextCompletionsAndModels(t *testing.T) {
-	client := start(t)
+	client := startEngine(t)
 	client.post("/faults", `{"crossed":1}`)
 	for _, crossed := range []bool{true, false} {
 		_, body := client.post("/v1/completions", `{"model":"m","prompt":"x #len=4"}`)
@@ -159,56 +160,56 @@
 		text         string
 		cut, crossed bool
 	}{
-		{"none", `{}`, answer(prompt, 0, 10), false, false},
-		{"stalled and slow", `{"stallMs":5,"slowFactor":2}`, answer(prompt, 0, 10), false, false},
-		{"cut", `{"cutAfterTokens":4,"cutCount":1}`, answer(prompt, 0, 4), true, false},
-		{"cut before the end mark", `{"cutAfterTokens":99,"cutCount":1}`, answer(prompt, 0, 10), true, false},
-		{"doubled", `{"doubled":1}`, answer(prompt, 0, 6) + answer(prompt, 5, 10), false, false},
+		{"none", `{}`, expectedText(prompt, 0, 10), false, false},
+		{"stalled and slow", `{"stallMs":5,"slowFactor":2}`, expectedText(prompt, 0, 10), false, false},
+		{"cut", `{"cutAfterTokens":4,"cutCount":1}`, expectedText(prompt, 0, 4), true, false},
+		{"cut before the end mark", `{"cutAfterTokens":99,"cutCount":1}`, expectedText(prompt, 0, 10), true, false},
+		{"doubled", `{"doubled":1}`, expectedText(prompt, 0, 6) + expectedText(prompt, 5, 10), false, false},
 		{"crossed", `{"crossed":1}`, engine.Answer(model, "other", 0, 10), false, true},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			client := start(t)
-			client.complete(ask{attempt: "other", prompt: "o #len=1"})
+			client := startEngine(t)
+			client.complete(completionCall{attempt: "other", prompt: "o #len=1"})
 			client.post("/faults", test.faults)
-			result := client.complete(ask{attempt: "a1", prompt: prompt})
+			result := client.complete(completionCall{attempt: "a1", prompt: prompt})
 			assert.Equal(t, result.text, test.text)
-			assert.Equal(t, result.cut, test.cut)
+			assert.Equal(t, result.truncated, test.cut)
 			assert.Equal(t, result.done, !test.cut)
-			assert.Equal(t, result.attempt == "other" && result.attemptID == "other", test.crossed)
-			next := client.complete(ask{attempt: "a2", prompt: prompt})
-			assert.Equal(t, next.text, answer(prompt, 0, 10), "the fault is spent")
+			assert.Equal(t, result.headerAttemptID == "other" && result.chunkAttemptID == "other", test.crossed)
+			next := client.complete(completionCall{attempt: "a2", prompt: prompt})
+			assert.Equal(t, next.text, expectedText(prompt, 0, 10), "the fault count is used up")
 		})
 	}
 }
 
 func TestACutStreamResumesWithoutComputingAgain(t *testing.T) {
-	client := start(t, engine.WithResumeGrace(time.Minute))
+	client := startEngine(t, engine.WithResumeGrace(time.Minute))
 	prompt := "x #len=500"
 	client.post("/faults", `{"cutAfterTokens":4,"cutCount":1}`)
-	cut := client.complete(ask{attempt: "a1", prompt: prompt})
-	assert.Assert(t, cut.cut)
+	cut := client.complete(completionCall{attempt: "a1", prompt: prompt})
+	assert.Assert(t, cut.truncated)
 	parked := client.await("a1", func(record engine.Record) bool { return record.Tokens >= 4+64 })
 	assert.Equal(t, parked.Starts, 1)
-	rest := client.complete(ask{attempt: "a1", prompt: prompt, resume: true, offset: 3})
-	assert.Equal(t, rest.text, answer(prompt, 3, 500))
+	rest := client.complete(completionCall{attempt: "a1", prompt: prompt, resume: true, offset: 3})
+	assert.Equal(t, rest.text, expectedText(prompt, 3, 500))
 	record := client.record("a1")
 	assert.Equal(t, record.Tokens, 500)
 	assert.Equal(t, record.Starts, 1)
 	assert.Equal(t, record.Sent, 500)
 
-	elsewhere := start(t)
-	rest = elsewhere.complete(ask{attempt: "a1", prompt: prompt, resume: true, offset: 4})
-	assert.Equal(t, rest.text, answer(prompt, 4, 500))
+	elsewhere := startEngine(t)
+	rest = elsewhere.complete(completionCall{attempt: "a1", prompt: prompt, resume: true, offset: 4})
+	assert.Equal(t, rest.text, expectedText(prompt, 4, 500))
 	assert.Equal(t, elsewhere.record("a1").Tokens, 496)
 }
 
 func TestAClientThatLeftIsGivenUpAfterTheGrace(t *testing.T) {
-	client := start(t, engine.WithResumeGrace(500*time.Millisecond))
-	stream, err := client.open(ask{attempt: "a1", prompt: "x #len=100000"})
+	client := startEngine(t, engine.WithResumeGrace(500*time.Millisecond))
+	stream, err := client.open(completionCall{attempt: "a1", prompt: "x #len=100000"})
 	assert.NilError(t, err)
-	stream.read(tokens(3))
-	stream.leave()
+	stream.read(untilTokens(3))
+	stream.disconnect()
 	record := client.await("a1", func(record engine.Record) bool { return record.Cancelled })
 	assert.Assert(t, record.Discarded > 0 && record.Discarded == record.Tokens-record.Sent)
 	assert.Equal(t, client.runs().DiscardedTokens, int64(record.Discarded))
@@ -227,55 +228,57 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			client := start(t, engine.WithMaxRunning(1), engine.WithPrefillTime(0))
-			client.post("/faults", slow)
-			low, err := client.open(ask{
+			client := startEngine(t, engine.WithMaxRunning(1), engine.WithPrefillTime(0))
+			client.post("/faults", slowFaults)
+			low, err := client.open(completionCall{
 				attempt: "low", prompt: "l #len=400", priority: test.priority, preemptible: test.preemptible,
 			})
 			assert.NilError(t, err)
-			before := low.read(tokens(3))
-			client.post("/faults", crawl)
-			highs := make(chan result, 1)
-			go func() { highs <- client.complete(ask{attempt: "high", prompt: "h #len=20", priority: 1}) }()
+			before := low.read(untilTokens(3))
+			client.post("/faults", crawlFaults)
+			urgentResults := make(chan result, 1)
+			go func() {
+				urgentResults <- client.complete(completionCall{attempt: "high", prompt: "h #len=20", priority: 1})
+			}()
 			client.await("high", func(record engine.Record) bool { return record.AttemptID != "" })
 			assert.Equal(t, client.record("high").Started, test.paused)
 			client.post("/faults", `{"slowFactor":1}`)
-			assert.Equal(t, (<-highs).text, answer("h #len=20", 0, 20))
+			assert.Equal(t, (<-urgentResults).text, expectedText("h #len=20", 0, 20))
 			after := low.read(nil)
-			assert.Equal(t, before.text+after.text, answer("l #len=400", 0, 400))
+			assert.Equal(t, before.text+after.text, expectedText("l #len=400", 0, 400))
 			record := client.record("low")
 			assert.Equal(t, record.Pauses == 1, test.paused)
-			assert.Equal(t, strings.Contains(after.notices, "event: paused;event: resumed;"), test.paused)
+			assert.Equal(t, strings.Contains(after.events, "event: paused;event: resumed;"), test.paused)
 			assert.Equal(t, record.Tokens, 400, "nothing is computed twice")
 		})
 	}
 }
 
 func TestQueueIsBoundedAndInOrderOfPriority(t *testing.T) {
-	client := start(t, engine.WithMaxRunning(1), engine.WithQueueBound(2), engine.WithPrefillTime(0))
-	running, err := client.open(ask{attempt: "running", prompt: "r #len=100000"})
+	client := startEngine(t, engine.WithMaxRunning(1), engine.WithQueueBound(2), engine.WithPrefillTime(0))
+	running, err := client.open(completionCall{attempt: "running", prompt: "r #len=100000"})
 	assert.NilError(t, err)
-	running.read(tokens(1))
+	running.read(untilTokens(1))
 	results := make(chan result, 2)
-	for _, waiting := range []ask{
+	for _, waiting := range []completionCall{
 		{attempt: "w5", prompt: "w #len=1", priority: 5}, {attempt: "w4", prompt: "w #len=20", priority: 4},
 	} {
 		go func() { results <- client.complete(waiting) }()
 		client.await(waiting.attempt, func(record engine.Record) bool { return record.AttemptID != "" })
 	}
-	full := client.complete(ask{attempt: "full", prompt: "f", priority: 9})
+	full := client.complete(completionCall{attempt: "full", prompt: "f", priority: 9})
 	assert.Assert(t, full.status == 503 && full.notRun)
 	assert.Equal(t, client.record("full"), engine.Record{})
-	client.post("/faults", crawl)
+	client.post("/faults", crawlFaults)
 	_, answer := client.post("/cancel", `{"attemptId":"running"}`)
 	assert.Assert(t, strings.Contains(answer, `"state":"cancelled"`), answer)
 	assert.Equal(t, running.read(nil).failure, "cancelled")
 	client.await("w4", func(record engine.Record) bool { return record.Started })
-	assert.Assert(t, !client.record("w5").Started, "the more urgent one is first")
+	assert.Assert(t, !client.record("w5").Started, "the more urgent attempt starts first")
 	_, answer = client.post("/cancel", `{"attemptId":"w5"}`)
 	assert.Equal(t, answer, `{"state":"cancelled","tokens":0}`)
 	cancelled := <-results
-	assert.Assert(t, cancelled.status == 503 && cancelled.notRun, "it never started")
+	assert.Assert(t, cancelled.status == 503 && cancelled.notRun, "the attempt never started")
 	_, answer = client.post("/cancel", `{"attemptId":"none"}`)
 	assert.Equal(t, answer, `{"state":"unknown","tokens":0}`)
 	client.post("/faults", `{"slowFactor":1}`)
@@ -285,15 +288,15 @@
 }
 
 func TestLeavingLetsStreamsGoOn(t *testing.T) {
-	client := start(t)
-	client.post("/faults", slow)
-	stream, err := client.open(ask{attempt: "a1", prompt: "x #len=400"})
+	client := startEngine(t)
+	client.post("/faults", slowFaults)
+	stream, err := client.open(completionCall{attempt: "a1", prompt: "x #len=400"})
 	assert.NilError(t, err)
-	stream.read(tokens(1))
+	stream.read(untilTokens(1))
 	client.post("/admin/leave", "{}")
 	assert.Assert(t, !client.record("a1").Finished)
 	client.post("/faults", `{"slowFactor":1}`)
-	var load engine.Load
+	var load engine.LoadReport
 	client.get("/load", &load)
 	assert.Assert(t, load.Leaving)
 	response, err := http.Get(client.url + "/health")
@@ -305,25 +308,25 @@
 
 func TestLoadLagsAndPrefixIsCached(t *testing.T) {
 	prompt := strings.Repeat("catalogue ", 100) + "#len=2"
-	client := start(t, engine.WithLoadLag(time.Hour))
-	first := client.complete(ask{attempt: "a1", prompt: prompt})
-	second := client.complete(ask{attempt: "a2", prompt: prompt + " and more"})
+	client := startEngine(t, engine.WithLoadLag(time.Hour))
+	first := client.complete(completionCall{attempt: "a1", prompt: prompt})
+	second := client.complete(completionCall{attempt: "a2", prompt: prompt + " and more"})
 	assert.Equal(t, first.usage.PromptDetails.CachedTokens, 0)
 	assert.Assert(t, second.usage.PromptDetails.CachedTokens >= 240)
-	var load engine.Load
+	var load engine.LoadReport
 	client.get("/load", &load)
-	assert.Equal(t, load.CachedBlocks, 0, "the report is an hour old")
+	assert.Equal(t, load.CachedBlocks, 0, "the load report lags by an hour")
 
-	small := start(t, engine.WithCacheBlocks(2))
-	small.complete(ask{attempt: "a1", prompt: prompt})
-	again := small.complete(ask{attempt: "a2", prompt: prompt})
-	assert.Equal(t, again.usage.PromptDetails.CachedTokens, 0, "the memory is limited")
+	small := startEngine(t, engine.WithCacheBlocks(2))
+	small.complete(completionCall{attempt: "a1", prompt: prompt})
+	again := small.complete(completionCall{attempt: "a2", prompt: prompt})
+	assert.Equal(t, again.usage.PromptDetails.CachedTokens, 0, "the cache capacity is 2 blocks")
 	small.get("/load", &load)
 	assert.Equal(t, load.CachedBlocks, 2)
 }
 
 func TestDeadEngineAnswersNothing(t *testing.T) {
-	client := start(t)
+	client := startEngine(t)
 	client.post("/faults", `{"dead":true}`)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
@@ -332,7 +335,7 @@
 	_, err = http.DefaultClient.Do(request)
 	assert.ErrorIs(t, err, context.DeadlineExceeded)
 	client.post("/faults", `{"dead":false}`)
-	assert.Assert(t, client.complete(ask{attempt: "a1", prompt: "x"}).done)
+	assert.Assert(t, client.complete(completionCall{attempt: "a1", prompt: "x"}).done)
 }
 
 func TestCloseEndsStreamsAndTheLoop(t *testing.T) {
@@ -341,12 +344,12 @@
 	running, err := runner.Start(context.Background(), standin, runner.Loopback)
 	assert.NilError(t, err)
 	client := client{t: t, url: "http://" + running.Address()}
-	stream, err := client.open(ask{attempt: "a1", prompt: "x #len=100000"})
+	stream, err := client.open(completionCall{attempt: "a1", prompt: "x #len=100000"})
 	assert.NilError(t, err)
-	stream.read(tokens(2))
+	stream.read(untilTokens(2))
 	assert.NilError(t, standin.Close())
-	assert.Assert(t, stream.read(nil).cut)
-	stream.leave()
+	assert.Assert(t, stream.read(nil).truncated)
+	stream.disconnect()
 	assert.NilError(t, running.Wait())
 	http.DefaultClient.CloseIdleConnections()
 }
--- a/standin/engine/errors.go
+++ b/standin/engine/errors.go
@@ -5,10 +5,10 @@
 	"net/http"
 )
 
-// Kind says why the engine refused or failed.
+// Kind classifies an Error. It is the error type in response bodies.
 type Kind string
 
-// The kinds of refusals and failures.
+// The kinds of errors.
 const (
 	KindInvalid      Kind = "invalid"
 	KindUnknownModel Kind = "unknownModel"
@@ -19,16 +19,16 @@
 	KindInjected     Kind = "injected"
 )
 
-// Error is a refusal of the engine.
+// Error is the reason why the engine refused an attempt.
 type Error struct {
 	Operation string
 	Kind      Kind
 	Err       error
-	// ran is true when the attempt has run here before it was refused.
+	// ran reports whether an earlier request with the same attempt ID has started.
 	ran bool
 }
 
-// Error returns the operation, the kind and the cause.
+// Error returns the operation, the kind and the cause, if any.
 func (err *Error) Error() string {
 	if err.Err == nil {
 		return fmt.Sprintf("engine %s: %s", err.Operation, err.Kind)
@@ -36,7 +36,7 @@
 	return fmt.Sprintf("engine %s: %s: %v", err.Operation, err.Kind, err.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause, or nil.
 func (err *Error) Unwrap() error {
 	return err.Err
 }
@@ -54,8 +54,8 @@
 	}
 }
 
-// notRun returns whether the refusal proves that the attempt never ran. A known attempt id does
-// not: its first arrival may have run, or has.
+// notRun reports whether the error proves that the attempt never ran. A duplicate attempt ID does
+// not prove it, because the first request with that ID may have run.
 func (err *Error) notRun() bool {
 	return err.Kind != KindDuplicate && !err.ran
 }
--- a/standin/engine/faults.go
+++ b/standin/engine/faults.go
@@ -10,60 +10,66 @@
 	"limpetcleat/standin/internal/host"
 )
 
-// Faults is what POST /faults sets; a field that is not given keeps its value.
-// The counts are of what is still to come.
+// Faults is the fault injection state that POST /faults updates; a field that is absent from the
+// request keeps its value. Counts are the remaining number of responses to affect.
 type Faults struct {
-	// StallMs stops all sequences once, for so many milliseconds.
+	// StallMs stalls all sequences once, for this number of milliseconds.
 	StallMs int `json:"stallMs"`
-	// SlowFactor multiplies the time between tokens and the prefill; 1 is as usual.
+	// SlowFactor multiplies the time between tokens and the prefill time; 1 is normal speed, and 0
+	// or less has no effect.
 	SlowFactor float64 `json:"slowFactor"`
-	// CutAfterTokens is how many tokens the next CutCount streams send before
-	// their connection is closed.
+	// CutAfterTokens is the number of tokens that the next CutCount streams send before the engine
+	// closes their connection.
 	CutAfterTokens int `json:"cutAfterTokens"`
 	CutCount       int `json:"cutCount"`
-	// Crossed answers carry another attempt's id and text.
+	// Crossed is the number of responses that carry the ID of another attempt and a text derived
+	// from that ID.
 	Crossed int `json:"crossed"`
-	// Doubled streams send one chunk twice.
+	// Doubled is the number of streams that send one chunk twice.
 	Doubled int `json:"doubled"`
-	// FailBefore answers 503 without running.
+	// FailBefore is the number of attempts refused with status 503 before they run.
 	FailBefore int `json:"failBefore"`
-	// FailAfter answers 500 after computing the whole answer.
+	// FailAfter is the number of attempts that end with status 500 after the whole computation.
 	FailAfter int `json:"failAfter"`
-	// Dead takes connections and never answers; nothing is computed.
+	// Dead accepts connections but sends no response and computes nothing. /runs and /faults still
+	// respond.
 	Dead bool `json:"dead"`
 	host.Announcement
 }
 
-// plan is the faults that one answer gets.
-type plan struct {
-	// cut closes the connection after cutAfter tokens of this stream.
+// faultPlan holds the faults to inject into one response.
+type faultPlan struct {
+	// cut closes the connection after cutAfter tokens of this stream, or at its end if that is
+	// earlier.
 	cut      bool
 	cutAfter int
 	doubled  bool
-	// crossedID is the other attempt's id, empty for an honest answer.
+	// crossedID replaces the attempt ID in the response; empty injects no such fault.
 	crossedID string
 	failAfter bool
 }
 
-// plan takes the faults of one answer off the counts.
-func (faults *Faults) plan(attempt *attempt, otherID string) plan {
-	ordered := plan{failAfter: take(&faults.FailAfter)}
-	if take(&faults.Crossed) {
-		ordered.crossedID = otherID
+// plan returns the faults for the next response and decrements their counts. otherID is the attempt
+// ID for a crossed response; if it is empty or the attempt's own ID, a random one replaces it.
+func (faults *Faults) plan(attempt *attempt, otherID string) faultPlan {
+	plan := faultPlan{failAfter: consume(&faults.FailAfter)}
+	if consume(&faults.Crossed) {
+		plan.crossedID = otherID
 		if otherID == "" || otherID == attempt.id {
-			ordered.crossedID = uuid.NewString()
+			plan.crossedID = uuid.NewString()
 		}
 	}
 	if !attempt.body.Stream {
-		return ordered
+		return plan
 	}
-	ordered.cut = take(&faults.CutCount)
-	ordered.cutAfter = faults.CutAfterTokens
-	ordered.doubled = take(&faults.Doubled)
-	return ordered
+	plan.cut = consume(&faults.CutCount)
+	plan.cutAfter = faults.CutAfterTokens
+	plan.doubled = consume(&faults.Doubled)
+	return plan
 }
 
-func take(count *int) bool {
+// consume decrements a positive count and reports whether it did.
+func consume(count *int) bool {
 	if *count <= 0 {
 		return false
 	}
@@ -74,7 +80,7 @@
 func (engine *Engine) setFaults(writer http.ResponseWriter, request *http.Request, _ httprouter.Params) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
-	defer engine.wakeLoop()
+	defer engine.notifyLoop()
 	faults := engine.faults
 	if !host.Update(writer, request, &faults) {
 		return
@@ -94,8 +100,9 @@
 	host.Answer(writer, http.StatusOK, engine.faults)
 }
 
-// alive puts the dead fault before a call.
-func (engine *Engine) alive(next httprouter.Handle) httprouter.Handle {
+// hangIfDead wraps a handler. While the Dead fault is set, it blocks until the client disconnects
+// or the engine is closed, then closes the connection.
+func (engine *Engine) hangIfDead(next httprouter.Handle) httprouter.Handle {
 	return func(writer http.ResponseWriter, request *http.Request, params httprouter.Params) {
 		engine.mu.Lock()
 		dead := engine.faults.Dead
--- a/standin/engine/format.go
+++ b/standin/engine/format.go
@@ -1,9 +1,9 @@
 package engine
 
-const indexOfChoice = 0
+const choiceIndex = 0
 
-// Chunk is one part of a streamed answer, or a whole answer; the fields that a
-// form of answer does not have are left out.
+// Chunk is one event of a streamed response, or the body of an unstreamed one. Fields that do not
+// apply are omitted from the JSON.
 type Chunk struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -11,13 +11,13 @@
 	Model   string   `json:"model"`
 	Choices []Choice `json:"choices"`
 	Usage   *Usage   `json:"usage,omitempty"`
-	// AttemptID is the attempt whose answer this is.
+	// AttemptID identifies the attempt that this response belongs to.
 	AttemptID string `json:"attemptId"`
-	// TokenIndex is the index of the chunk's token in the whole answer.
+	// TokenIndex is the index of the token in the whole response.
 	TokenIndex *int `json:"tokenIndex,omitempty"`
 }
 
-// Choice is the only choice of an answer.
+// Choice is a completion choice; a response has exactly one.
 type Choice struct {
 	Index        int      `json:"index"`
 	Delta        *Content `json:"delta,omitempty"`
@@ -26,13 +26,13 @@
 	FinishReason *string  `json:"finish_reason"`
 }
 
-// Content is the text of a chat answer.
+// Content is a chat message or message delta.
 type Content struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content"`
 }
 
-// Usage counts the tokens of an answer.
+// Usage is the token count of a request and its response.
 type Usage struct {
 	PromptTokens     int           `json:"prompt_tokens"`
 	CompletionTokens int           `json:"completion_tokens"`
@@ -40,44 +40,45 @@
 	PromptDetails    PromptDetails `json:"prompt_tokens_details"`
 }
 
-// PromptDetails says how much of the prompt was cached.
+// PromptDetails holds the number of prompt tokens found in the prefix cache.
 type PromptDetails struct {
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// format is one of the two forms of answers.
+// format is the response format of an endpoint: chat or text completion.
 type format interface {
-	// whole and part return the object names of a whole answer and of a chunk.
-	whole() string
-	part() string
-	wholeChoice(text string) Choice
-	partChoice(text string) Choice
+	// responseObject and chunkObject return the "object" value of an unstreamed response and of a
+	// chunk.
+	responseObject() string
+	chunkObject() string
+	responseChoice(text string) Choice
+	chunkChoice(text string) Choice
 }
 
 type chatFormat struct{}
 
-func (chatFormat) whole() string { return "chat.completion" }
+func (chatFormat) responseObject() string { return "chat.completion" }
 
-func (chatFormat) part() string { return "chat.completion.chunk" }
+func (chatFormat) chunkObject() string { return "chat.completion.chunk" }
 
-func (chatFormat) wholeChoice(text string) Choice {
-	return Choice{Index: indexOfChoice, Message: &Content{Role: "assistant", Content: text}}
+func (chatFormat) responseChoice(text string) Choice {
+	return Choice{Index: choiceIndex, Message: &Content{Role: "assistant", Content: text}}
 }
 
-func (chatFormat) partChoice(text string) Choice {
-	return Choice{Index: indexOfChoice, Delta: &Content{Role: "assistant", Content: text}}
+func (chatFormat) chunkChoice(text string) Choice {
+	return Choice{Index: choiceIndex, Delta: &Content{Role: "assistant", Content: text}}
 }
 
 type textFormat struct{}
 
-func (textFormat) whole() string { return "text_completion" }
+func (textFormat) responseObject() string { return "text_completion" }
 
-func (textFormat) part() string { return "text_completion" }
+func (textFormat) chunkObject() string { return "text_completion" }
 
-func (textFormat) wholeChoice(text string) Choice {
-	return Choice{Index: indexOfChoice, Text: &text}
+func (textFormat) responseChoice(text string) Choice {
+	return Choice{Index: choiceIndex, Text: &text}
 }
 
-func (format textFormat) partChoice(text string) Choice {
-	return format.wholeChoice(text)
+func (format textFormat) chunkChoice(text string) Choice {
+	return format.responseChoice(text)
 }
--- a/standin/engine/options.go
+++ b/standin/engine/options.go
@@ -3,115 +3,115 @@
 import "time"
 
 const (
-	defaultModel       = "standin"
-	defaultMaxRunning  = 8
-	defaultQueueBound  = 64
-	defaultTokenTime   = 20 * time.Millisecond
-	defaultTokenSlope  = time.Millisecond
-	defaultPrefillTime = 100 * time.Millisecond
-	defaultCacheBlocks = 4096
-	defaultLoadLag     = 500 * time.Millisecond
-	defaultGrace       = 2 * time.Second
-	defaultMinLength   = 8
-	defaultMaxLength   = 256
+	defaultModel              = "standin"
+	defaultMaxRunning         = 8
+	defaultMaxQueued          = 64
+	defaultTokenInterval      = 20 * time.Millisecond
+	defaultTokenIntervalSlope = time.Millisecond
+	defaultPrefillTime        = 100 * time.Millisecond
+	defaultCacheBlocks        = 4096
+	defaultLoadLag            = 500 * time.Millisecond
+	defaultResumeGrace        = 2 * time.Second
+	defaultMinResponseTokens  = 8
+	defaultMaxResponseTokens  = 256
 )
 
 type options struct {
-	models      []string
-	maxRunning  int
-	queueBound  int
-	tokenTime   time.Duration
-	tokenSlope  time.Duration
-	prefillTime time.Duration
-	cacheBlocks int
-	loadLag     time.Duration
-	grace       time.Duration
-	minLength   int
-	maxLength   int
-	clockScale  float64
+	models             []string
+	maxRunning         int
+	maxQueued          int
+	tokenInterval      time.Duration
+	tokenIntervalSlope time.Duration
+	prefillTime        time.Duration
+	cacheBlocks        int
+	loadLag            time.Duration
+	resumeGrace        time.Duration
+	minResponseTokens  int
+	maxResponseTokens  int
+	clockScale         float64
 }
 
 func defaultOptions() options {
 	return options{
-		models:      []string{defaultModel},
-		maxRunning:  defaultMaxRunning,
-		queueBound:  defaultQueueBound,
-		tokenTime:   defaultTokenTime,
-		tokenSlope:  defaultTokenSlope,
-		prefillTime: defaultPrefillTime,
-		cacheBlocks: defaultCacheBlocks,
-		loadLag:     defaultLoadLag,
-		grace:       defaultGrace,
-		minLength:   defaultMinLength,
-		maxLength:   defaultMaxLength,
-		clockScale:  1,
+		models:             []string{defaultModel},
+		maxRunning:         defaultMaxRunning,
+		maxQueued:          defaultMaxQueued,
+		tokenInterval:      defaultTokenInterval,
+		tokenIntervalSlope: defaultTokenIntervalSlope,
+		prefillTime:        defaultPrefillTime,
+		cacheBlocks:        defaultCacheBlocks,
+		loadLag:            defaultLoadLag,
+		resumeGrace:        defaultResumeGrace,
+		minResponseTokens:  defaultMinResponseTokens,
+		maxResponseTokens:  defaultMaxResponseTokens,
+		clockScale:         1,
 	}
 }
 
-// scale makes every time of the options shorter by the clock scale.
-func (options *options) scale() {
+// applyClockScale divides all durations by clockScale; a factor of 0 or less leaves them unchanged.
+func (options *options) applyClockScale() {
 	if options.clockScale <= 0 {
 		return
 	}
-	times := []*time.Duration{
-		&options.tokenTime, &options.tokenSlope, &options.prefillTime, &options.loadLag, &options.grace,
+	durations := []*time.Duration{
+		&options.tokenInterval, &options.tokenIntervalSlope, &options.prefillTime, &options.loadLag, &options.resumeGrace,
 	}
-	for _, duration := range times {
+	for _, duration := range durations {
 		*duration = time.Duration(float64(*duration) / options.clockScale)
 	}
 }
 
-// Option changes one property of an Engine.
+// Option configures an Engine.
 type Option func(*options)
 
-// WithModels sets the models that the engine holds at the start.
+// WithModels sets the names of the models that the engine serves.
 func WithModels(models ...string) Option {
 	return func(options *options) { options.models = models }
 }
 
-// WithMaxRunning sets how many sequences run at once.
+// WithMaxRunning sets the maximum number of sequences in the running batch.
 func WithMaxRunning(sequences int) Option {
 	return func(options *options) { options.maxRunning = sequences }
 }
 
-// WithQueueBound sets how many sequences that have not started may wait.
+// WithQueueBound sets the maximum number of queued sequences that have not started.
 func WithQueueBound(sequences int) Option {
-	return func(options *options) { options.queueBound = sequences }
+	return func(options *options) { options.maxQueued = sequences }
 }
 
-// WithTokenTime sets the time between tokens of one sequence alone, and what
-// each further running sequence adds to it.
+// WithTokenTime sets the time between tokens of a sequence that runs alone, and the time that each
+// additional running sequence adds to it.
 func WithTokenTime(base, slope time.Duration) Option {
-	return func(options *options) { options.tokenTime, options.tokenSlope = base, slope }
+	return func(options *options) { options.tokenInterval, options.tokenIntervalSlope = base, slope }
 }
 
-// WithPrefillTime sets the time for 1,000 prompt tokens that are not in the
-// prefix cache.
+// WithPrefillTime sets the prefill time per 1,000 tokens that are not in the prefix cache.
 func WithPrefillTime(perThousand time.Duration) Option {
 	return func(options *options) { options.prefillTime = perThousand }
 }
 
-// WithCacheBlocks sets how many blocks of prompt prefixes the cache holds.
+// WithCacheBlocks sets the capacity of the prefix cache in blocks of 16 tokens.
 func WithCacheBlocks(blocks int) Option {
 	return func(options *options) { options.cacheBlocks = blocks }
 }
 
-// WithLoadLag sets how old the load report is.
+// WithLoadLag sets the age of the load that GET /load reports.
 func WithLoadLag(lag time.Duration) Option {
 	return func(options *options) { options.loadLag = lag }
 }
 
-// WithResumeGrace sets how long a sequence is kept for a client that has left.
+// WithResumeGrace sets how long a sequence can be resumed after its client disconnected.
 func WithResumeGrace(grace time.Duration) Option {
-	return func(options *options) { options.grace = grace }
+	return func(options *options) { options.resumeGrace = grace }
 }
 
-// WithLengths bounds the natural length of an answer, in tokens.
-func WithLengths(shortest, longest int) Option {
-	return func(options *options) { options.minLength, options.maxLength = shortest, longest }
+// WithResponseLengths sets the range of the natural response length, in tokens. A response has its
+// natural length unless the request sets a lower limit or the prompt fixes the length.
+func WithResponseLengths(shortest, longest int) Option {
+	return func(options *options) { options.minResponseTokens, options.maxResponseTokens = shortest, longest }
 }
 
-// WithClockScale makes all times of the engine shorter by this factor.
+// WithClockScale divides all durations of the engine by factor.
 func WithClockScale(factor float64) Option {
 	return func(options *options) { options.clockScale = factor }
 }
--- a/standin/engine/prefix.go
+++ b/standin/engine/prefixcache.go
@@ -11,23 +11,22 @@
 	blockBytes  = blockTokens * bytesPerToken
 )
 
-// prefixCache holds the blocks of prompt prefixes that were used last. Its
-// owner has the lock.
+// prefixCache is an LRU cache of prompt prefix blocks. It has no lock; Engine.mu guards it.
 type prefixCache struct {
-	bound int
-	// recent has the block hashes, the last used one in front; blocks points into
-	// it.
+	capacity int
+	// recent lists the block hashes, most recently used first; blocks maps each hash to its
+	// element. The hash of a block covers the model and the prompt up to the end of the block.
 	recent *list.List
 	blocks map[uint64]*list.Element
 }
 
 func newPrefixCache(bound int) *prefixCache {
-	return &prefixCache{bound: bound, recent: list.New(), blocks: map[uint64]*list.Element{}}
+	return &prefixCache{capacity: bound, recent: list.New(), blocks: map[uint64]*list.Element{}}
 }
 
-// use returns how many leading tokens of the prompt were cached, and caches all
-// its whole blocks.
-func (cache *prefixCache) use(model, prompt string) int {
+// lookupAndStore returns the number of leading prompt tokens that were cached, and adds all
+// complete blocks of the prompt to the cache.
+func (cache *prefixCache) lookupAndStore(model, prompt string) int {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(model + "\x00")
 	cached := 0
@@ -43,14 +42,15 @@
 	return cached
 }
 
-// touch makes the block the last used one and returns whether it was cached.
+// touch marks the block as the most recently used, adds it if absent, and reports whether it was
+// cached. It evicts the least recently used blocks beyond the capacity.
 func (cache *prefixCache) touch(block uint64) bool {
 	if element, found := cache.blocks[block]; found {
 		cache.recent.MoveToFront(element)
 		return true
 	}
 	cache.blocks[block] = cache.recent.PushFront(block)
-	for cache.recent.Len() > cache.bound {
+	for cache.recent.Len() > cache.capacity {
 		oldest := cache.recent.Back()
 		cache.recent.Remove(oldest)
 		delete(cache.blocks, oldest.Value.(uint64))
--- a/standin/engine/reading.go
+++ b/standin/engine/reader.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// view is what a reader may see of its sequence at one time.
-type view struct {
-	// next is the first token that is not computed.
+// snapshot is the state of a sequence at one time, as one of its readers sees it.
+type snapshot struct {
+	// next is the index of the first token that is not computed yet.
 	next    int
 	pauses  int
 	resumes int
 	state   state
 	started bool
-	// replaced is true once another reader has the sequence.
+	// replaced reports whether the reader is no longer attached to the sequence.
 	replaced bool
 }
 
-func (engine *Engine) view(reader *reader) view {
+func (engine *Engine) snapshot(reader *reader) snapshot {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	sequence := reader.sequence
-	return view{
+	return snapshot{
 		next:     sequence.next,
 		pauses:   sequence.pauses,
 		resumes:  sequence.resumes,
@@ -28,8 +28,8 @@
 	}
 }
 
-// sent records that the client was sent the tokens before end.
-func (engine *Engine) sent(reader *reader, end int) {
+// recordSent records that the tokens before end have been written to the client.
+func (engine *Engine) recordSent(reader *reader, end int) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	sequence := reader.sequence
@@ -40,39 +40,40 @@
 	sequence.sent = end
 }
 
-// leave notes that the reader is gone. Its sequence is kept for the grace, also
-// a finished one, whose last bytes may not have arrived; one that never started
-// is dropped at once.
-func (engine *Engine) leave(reader *reader) {
+// detach ends the reader's use of its sequence. The sequence stays resumable for the resume grace
+// period, even if it is finished, because its last bytes may not have reached the client. A
+// sequence that never started is dropped at once. A replaced reader has no effect.
+func (engine *Engine) detach(reader *reader) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
-	defer engine.wakeLoop()
+	defer engine.notifyLoop()
 	sequence := reader.sequence
 	if sequence.reader != reader {
 		return
 	}
 	now := time.Now()
 	sequence.reader = nil
-	sequence.leftAt = now
+	sequence.detachedAt = now
 	if !sequence.started {
 		engine.dropLocked(sequence, now)
 		return
 	}
-	engine.kept = append(engine.kept, keptSequence{sequence: sequence, leftAt: now})
+	engine.detached = append(engine.detached, detachedSequence{sequence: sequence, detachedAt: now})
 }
 
-// CancelResult is the answer to POST /cancel.
+// CancelResult is the response to POST /cancel.
 type CancelResult struct {
 	// State is cancelled, done or unknown.
-	State  string `json:"state"`
-	Tokens int    `json:"tokens"`
+	State string `json:"state"`
+	// Tokens is the number of tokens computed for the attempt.
+	Tokens int `json:"tokens"`
 }
 
 func (engine *Engine) cancel(attemptID string) CancelResult {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
-	defer engine.wakeLoop()
-	record, found := engine.records.find(attemptID)
+	defer engine.notifyLoop()
+	record, found := engine.recorder.find(attemptID)
 	if !found {
 		return CancelResult{State: "unknown"}
 	}
--- a/standin/engine/routes.go
+++ b/standin/engine/routes.go
@@ -10,14 +10,14 @@
 	"limpetcleat/standin/internal/host"
 )
 
-// Load is the lagging report of GET /load.
-type Load struct {
+// LoadReport is the delayed load report that GET /load returns.
+type LoadReport struct {
 	Running      int      `json:"running"`
 	Queued       int      `json:"queued"`
 	CachedBlocks int      `json:"cachedBlocks"`
 	Leaving      bool     `json:"leaving"`
 	Models       []string `json:"models"`
-	// AtMs is the time that the report shows, in milliseconds since 1970.
+	// AtMs is the time that the report describes, in milliseconds since the Unix epoch.
 	AtMs int64 `json:"atMs"`
 }
 
@@ -37,39 +37,39 @@
 
 func (engine *Engine) routes() http.Handler {
 	router := httprouter.New()
-	router.POST("/v1/chat/completions", engine.alive(engine.complete(chatFormat{})))
-	router.POST("/v1/completions", engine.alive(engine.complete(textFormat{})))
-	router.GET("/v1/models", engine.alive(engine.listModels))
-	router.POST("/cancel", engine.alive(engine.postCancel))
-	router.GET("/load", engine.alive(engine.getLoad))
-	router.GET("/health", engine.alive(engine.getHealth))
-	router.POST("/admin/leave", engine.alive(engine.postLeave))
+	router.POST("/v1/chat/completions", engine.hangIfDead(engine.handleCompletion(chatFormat{})))
+	router.POST("/v1/completions", engine.hangIfDead(engine.handleCompletion(textFormat{})))
+	router.GET("/v1/models", engine.hangIfDead(engine.listModels))
+	router.POST("/cancel", engine.hangIfDead(engine.postCancel))
+	router.GET("/load", engine.hangIfDead(engine.getLoad))
+	router.GET("/health", engine.hangIfDead(engine.getHealth))
+	router.POST("/admin/leave", engine.hangIfDead(engine.postLeave))
 	router.GET("/runs", engine.getRuns)
 	router.GET("/faults", engine.getFaults)
 	router.POST("/faults", engine.setFaults)
 	return router
 }
 
-func (engine *Engine) loadLocked(now time.Time) Load {
-	return Load{
+func (engine *Engine) loadReportLocked(now time.Time) LoadReport {
+	return LoadReport{
 		Running:      len(engine.batch.running),
 		Queued:       len(engine.batch.waiting),
-		CachedBlocks: engine.prefix.len(),
+		CachedBlocks: engine.prefixCache.len(),
 		Leaving:      engine.leaving,
 		Models:       engine.models,
 		AtMs:         now.UnixMilli(),
 	}
 }
 
-// publishLocked makes the present load the one that shows after the lag.
-func (engine *Engine) publishLocked(now time.Time) {
-	engine.load.Put(now, engine.loadLocked(now))
+// publishLoadLocked records the current load, which GET /load reports after the load lag.
+func (engine *Engine) publishLoadLocked(now time.Time) {
+	engine.loadHistory.Put(now, engine.loadReportLocked(now))
 }
 
 func (engine *Engine) getLoad(writer http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	now := time.Now()
 	engine.mu.Lock()
-	load := engine.load.Get(now)
+	load := engine.loadHistory.Get(now)
 	engine.mu.Unlock()
 	load.AtMs = now.Add(-engine.options.loadLag).UnixMilli()
 	host.Answer(writer, http.StatusOK, load)
@@ -89,17 +89,17 @@
 func (engine *Engine) postLeave(writer http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	engine.mu.Lock()
 	engine.leaving = true
-	engine.publishLocked(time.Now())
+	engine.publishLoadLocked(time.Now())
 	engine.mu.Unlock()
 	host.Answer(writer, http.StatusOK, struct{}{})
 }
 
 func (engine *Engine) postCancel(writer http.ResponseWriter, request *http.Request, _ httprouter.Params) {
-	var asked cancelRequest
-	if !host.Update(writer, request, &asked) {
+	var body cancelRequest
+	if !host.Update(writer, request, &body) {
 		return
 	}
-	host.Answer(writer, http.StatusOK, engine.cancel(asked.AttemptID))
+	host.Answer(writer, http.StatusOK, engine.cancel(body.AttemptID))
 }
 
 func (engine *Engine) listModels(writer http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
@@ -116,10 +116,10 @@
 func (engine *Engine) getRuns(writer http.ResponseWriter, request *http.Request, _ httprouter.Params) {
 	id := request.URL.Query().Get("attemptId")
 	engine.mu.Lock()
-	runs := Runs{Attempts: []Record{}, Totals: engine.records.totals}
+	runs := Runs{Attempts: []Record{}, Totals: engine.recorder.totals}
 	if id == "" {
-		runs = engine.records.all()
-	} else if record, found := engine.records.find(id); found {
+		runs = engine.recorder.runs()
+	} else if record, found := engine.recorder.find(id); found {
 		runs.Attempts = append(runs.Attempts, *record)
 	}
 	engine.mu.Unlock()
--- a/standin/engine/scheduler.go
+++ b/standin/engine/scheduler.go
@@ -3,22 +3,24 @@
 import "time"
 
 const (
-	// keptTokens is how many tokens are computed ahead for a client that has left.
-	keptTokens = 64
-	// maxCatchUp is how many steps a late loop makes up for; it drops the rest.
-	maxCatchUp       = 20
-	idleWait         = time.Hour
-	tokensPerUnit    = 1000
-	shortestInterval = 10 * time.Microsecond
+	// maxReadAheadTokens is the number of unsent tokens at which a sequence without a client is
+	// suspended.
+	maxReadAheadTokens = 64
+	// maxCatchUpSteps is the maximum number of overdue steps that one iteration of the loop
+	// computes; it skips the rest.
+	maxCatchUpSteps   = 20
+	idleWait          = time.Hour
+	prefillUnitTokens = 1000
+	minTokenInterval  = 10 * time.Microsecond
 )
 
-// keptSequence remembers when a client left a sequence.
-type keptSequence struct {
-	sequence *sequence
-	leftAt   time.Time
+// detachedSequence records the time at which the client of a sequence disconnected.
+type detachedSequence struct {
+	sequence   *sequence
+	detachedAt time.Time
 }
 
-// run drives the batch until the engine is closed.
+// run is the batching loop. It returns when the engine is closed.
 func (engine *Engine) run() {
 	timer := time.NewTimer(idleWait)
 	defer timer.Stop()
@@ -33,16 +35,16 @@
 	}
 }
 
-// step computes the tokens that are due and returns the time until the next step.
+// step computes the tokens that are due at now and returns the time until the next step.
 func (engine *Engine) step(now time.Time) time.Duration {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	engine.expireLocked(now)
-	if wait := engine.frozenLocked(now); wait > 0 {
+	if wait := engine.stallRemainingLocked(now); wait > 0 {
 		engine.nextStep = time.Time{}
 		return wait
 	}
-	engine.fillLocked(now)
+	engine.scheduleLocked(now)
 	if len(engine.batch.running) == 0 {
 		engine.nextStep = time.Time{}
 		return engine.expiryWaitLocked(now)
@@ -50,12 +52,12 @@
 	if engine.nextStep.IsZero() {
 		engine.nextStep = now.Add(engine.intervalLocked())
 	}
-	for range maxCatchUp {
+	for range maxCatchUpSteps {
 		if now.Before(engine.nextStep) || len(engine.batch.running) == 0 {
 			break
 		}
 		engine.advanceLocked(engine.nextStep)
-		engine.fillLocked(now)
+		engine.scheduleLocked(now)
 		engine.nextStep = engine.nextStep.Add(engine.intervalLocked())
 	}
 	if engine.nextStep.Before(now) {
@@ -64,80 +66,80 @@
 	return engine.nextStep.Sub(now)
 }
 
-// frozenLocked returns how long nothing is computed because of a stall or a
-// dead engine.
-func (engine *Engine) frozenLocked(now time.Time) time.Duration {
+// stallRemainingLocked returns how long computation stays suspended by the StallMs or Dead fault; 0
+// or less means that it is not suspended.
+func (engine *Engine) stallRemainingLocked(now time.Time) time.Duration {
 	if engine.faults.Dead {
 		return idleWait
 	}
 	return engine.stalledUntil.Sub(now)
 }
 
-// intervalLocked returns the time between tokens of the present batch.
+// intervalLocked returns the time between tokens for the current batch size.
 func (engine *Engine) intervalLocked() time.Duration {
 	others := max(0, len(engine.batch.running)-1)
-	interval := engine.options.tokenTime + time.Duration(others)*engine.options.tokenSlope
-	return max(shortestInterval, engine.slowedLocked(interval))
+	interval := engine.options.tokenInterval + time.Duration(others)*engine.options.tokenIntervalSlope
+	return max(minTokenInterval, engine.applySlowFactorLocked(interval))
 }
 
-func (engine *Engine) slowedLocked(duration time.Duration) time.Duration {
+func (engine *Engine) applySlowFactorLocked(duration time.Duration) time.Duration {
 	if engine.faults.SlowFactor <= 0 {
 		return duration
 	}
 	return time.Duration(float64(duration) * engine.faults.SlowFactor)
 }
 
-// advanceLocked gives each running sequence past its prefill one token.
+// advanceLocked computes one token for each running sequence that has completed its prefill.
 func (engine *Engine) advanceLocked(now time.Time) {
 	for index := len(engine.batch.running) - 1; index >= 0; index-- {
 		running := engine.batch.running[index]
-		if now.Before(running.readyAt) {
+		if now.Before(running.prefillEndsAt) {
 			continue
 		}
 		if running.next < running.length {
 			running.next++
-			engine.records.computed(running.record)
+			engine.recorder.recordToken(running.record)
 		}
-		engine.settleLocked(running)
-		running.note()
+		engine.retireLocked(running)
+		running.notify()
 	}
 }
 
-// settleLocked takes a sequence that is complete, or has computed enough ahead,
-// out of the batch.
-func (engine *Engine) settleLocked(running *sequence) {
+// retireLocked removes a sequence from the running batch if it is complete, or if it has no client
+// and its read-ahead is full.
+func (engine *Engine) retireLocked(running *sequence) {
 	switch {
 	case running.next >= running.length:
 		running.state = stateFinished
-		engine.records.finished(running.record)
-	case running.reader == nil && running.unsent() >= keptTokens:
-		running.state = stateParked
+		engine.recorder.recordFinish(running.record)
+	case running.reader == nil && running.unsent() >= maxReadAheadTokens:
+		running.state = stateSuspended
 		running.prefill = 0
 	default:
 		return
 	}
 	engine.batch.remove(running)
-	engine.publishLocked(time.Now())
+	engine.publishLoadLocked(time.Now())
 }
 
-// fillLocked starts waiting sequences while there is room, or work to pause for
-// them. A frozen engine starts none.
-func (engine *Engine) fillLocked(now time.Time) {
-	if engine.frozenLocked(now) > 0 {
+// scheduleLocked starts queued sequences while the batch has room or a running sequence can be
+// preempted. It does nothing during a stall.
+func (engine *Engine) scheduleLocked(now time.Time) {
+	if engine.stallRemainingLocked(now) > 0 {
 		return
 	}
 	for {
-		starting, victim := engine.batch.next()
+		starting, victim := engine.batch.dequeue()
 		if starting == nil {
 			return
 		}
 		if victim != nil {
-			engine.batch.pause(victim, now)
-			engine.records.paused(victim.record)
-			victim.note()
+			engine.batch.preempt(victim, now)
+			engine.recorder.recordPause(victim.record)
+			victim.notify()
 		}
 		engine.startLocked(starting, now)
-		engine.publishLocked(now)
+		engine.publishLoadLocked(now)
 	}
 }
 
@@ -147,40 +149,41 @@
 	}
 	if !starting.started {
 		starting.started = true
-		starting.cachedTokens = engine.prefix.use(starting.model, starting.prompt)
+		starting.cachedTokens = engine.prefixCache.lookupAndStore(starting.model, starting.prompt)
 		toCompute := starting.promptTokens - min(starting.promptTokens, starting.cachedTokens) + starting.first
-		prefill := engine.options.prefillTime * time.Duration(toCompute) / tokensPerUnit
-		starting.prefill = engine.slowedLocked(prefill)
-		engine.records.started(starting.record)
+		prefill := engine.options.prefillTime * time.Duration(toCompute) / prefillUnitTokens
+		starting.prefill = engine.applySlowFactorLocked(prefill)
+		engine.recorder.recordStart(starting.record)
 	}
-	engine.batch.run(starting, now)
-	starting.note()
+	engine.batch.start(starting, now)
+	starting.notify()
 }
 
-// expireLocked gives up the sequences whose client has left for longer than the
-// grace.
+// expireLocked drops the sequences whose client disconnected at least the resume grace period ago
+// and has not resumed.
 func (engine *Engine) expireLocked(now time.Time) {
-	for len(engine.kept) > 0 {
-		oldest := engine.kept[0]
-		if now.Before(oldest.leftAt.Add(engine.options.grace)) {
+	for len(engine.detached) > 0 {
+		oldest := engine.detached[0]
+		if now.Before(oldest.detachedAt.Add(engine.options.resumeGrace)) {
 			return
 		}
-		engine.kept = engine.kept[1:]
-		if oldest.sequence.reader == nil && oldest.sequence.leftAt.Equal(oldest.leftAt) {
+		engine.detached = engine.detached[1:]
+		if oldest.sequence.reader == nil && oldest.sequence.detachedAt.Equal(oldest.detachedAt) {
 			engine.dropLocked(oldest.sequence, now)
 		}
 	}
 }
 
-// expiryWaitLocked returns the time until the next kept sequence expires.
+// expiryWaitLocked returns the time until the next detached sequence expires.
 func (engine *Engine) expiryWaitLocked(now time.Time) time.Duration {
-	if len(engine.kept) == 0 {
+	if len(engine.detached) == 0 {
 		return idleWait
 	}
-	return max(0, engine.kept[0].leftAt.Add(engine.options.grace).Sub(now))
+	return max(0, engine.detached[0].detachedAt.Add(engine.options.resumeGrace).Sub(now))
 }
 
-// dropLocked ends a sequence and counts what it computed for nothing.
+// dropLocked cancels an unfinished sequence, makes it unavailable for resumption and records its
+// unsent tokens as discarded.
 func (engine *Engine) dropLocked(dropped *sequence, now time.Time) {
 	if dropped.state == stateCancelled {
 		return
@@ -188,10 +191,10 @@
 	if dropped.state != stateFinished {
 		engine.batch.remove(dropped)
 		dropped.state = stateCancelled
-		engine.records.cancelled(dropped.record)
+		engine.recorder.recordCancel(dropped.record)
 	}
-	engine.records.discarded(dropped.record, dropped.unsent())
+	engine.recorder.recordDiscard(dropped.record, dropped.unsent())
 	delete(engine.batch.byAttempt, dropped.attemptID)
-	dropped.note()
-	engine.publishLocked(now)
+	dropped.notify()
+	engine.publishLoadLocked(now)
 }
--- a/standin/engine/sequence.go
+++ b/standin/engine/sequence.go
@@ -2,64 +2,65 @@
 
 import "time"
 
-// state is where a sequence stands in the batch.
+// state is the scheduling state of a sequence.
 type state int
 
 const (
-	// stateWaiting is in the queue, not begun or paused.
+	// stateWaiting means queued: not started, preempted or resumed after a suspension.
 	stateWaiting state = iota
 	stateRunning
-	// stateParked has no client and a full buffer.
-	stateParked
+	// stateSuspended means that the sequence has no client and its read-ahead is full.
+	stateSuspended
 	stateFinished
 	stateCancelled
 )
 
-// sequence is one answer being computed.
+// sequence is the computation of one response.
 type sequence struct {
 	attemptID    string
 	model        string
 	prompt       string
-	text         text
+	text         responseText
 	promptTokens int
 	cachedTokens int
 	priority     int
 	preemptible  bool
 	arrival      uint64
-	// first is the first token computed here, next the one to compute; first <=
-	// next <= length.
+	// first is the index of the first token that this engine computes and next the index of the
+	// next one; first <= next <= length.
 	first  int
 	next   int
 	length int
-	// natural is true when the answer ends by itself and not by the caller's bound.
-	natural bool
-	// sent is the first token that no client was sent.
+	// endsNaturally reports whether length is the natural length, within the token limit of the
+	// request.
+	endsNaturally bool
+	// sent is the index of the first token that has not been written to a client.
 	sent    int
 	state   state
 	started bool
-	// prefill is what is left of it while the sequence does not run; readyAt is
-	// its end otherwise.
-	prefill time.Duration
-	readyAt time.Time
-	pauses  int
-	resumes int
-	// reader is the one client that may read, nil when it has left at leftAt.
-	reader *reader
-	leftAt time.Time
-	record *Record
+	// prefill is the remaining prefill time while the sequence is not running; prefillEndsAt is the
+	// end of the prefill while it is.
+	prefill       time.Duration
+	prefillEndsAt time.Time
+	pauses        int
+	resumes       int
+	// reader is the attached reader. It is nil after the client disconnected at detachedAt.
+	reader     *reader
+	detachedAt time.Time
+	record     *Record
 }
 
-// reader is one client's end of a sequence.
+// reader reads a sequence for one client request.
 type reader struct {
 	sequence *sequence
-	// changed holds one note at most.
+	// changed signals a new state of the sequence; it buffers one signal.
 	changed chan struct{}
-	// pauses and resumes are the sequence's at the time of attaching.
+	// pauses and resumes are the counts of the sequence when the reader was attached.
 	pauses  int
 	resumes int
 }
 
-// attach makes a new reader the only one. An earlier one finds itself replaced.
+// attach returns a new reader, which replaces the current one and wakes it.
 func (sequence *sequence) attach() *reader {
 	earlier := sequence.reader
 	sequence.reader = &reader{
@@ -68,27 +69,27 @@
 		pauses:   sequence.pauses,
 		resumes:  sequence.resumes,
 	}
-	sequence.leftAt = time.Time{}
+	sequence.detachedAt = time.Time{}
 	if earlier != nil {
-		earlier.note()
+		earlier.notify()
 	}
 	return sequence.reader
 }
 
-func (reader *reader) note() {
+func (reader *reader) notify() {
 	select {
 	case reader.changed <- struct{}{}:
 	default:
 	}
 }
 
-func (sequence *sequence) note() {
+func (sequence *sequence) notify() {
 	if sequence.reader != nil {
-		sequence.reader.note()
+		sequence.reader.notify()
 	}
 }
 
-// unsent returns how many tokens are computed and not sent.
+// unsent returns the number of computed tokens that have not been written to a client.
 func (sequence *sequence) unsent() int {
 	return max(0, sequence.next-sequence.sent)
 }
@@ -98,7 +99,7 @@
 }
 
 func (sequence *sequence) finishReason() string {
-	if sequence.natural {
+	if sequence.endsNaturally {
 		return "stop"
 	}
 	return "length"
--- a/standin/engine/streamer.go
+++ b/standin/engine/streamer.go
@@ -7,106 +7,107 @@
 	"limpetcleat/standin/internal/host"
 )
 
-// streamer writes one attempt's answer as server-sent events, a token a chunk.
+// streamer writes a response as server-sent events, one token per chunk.
 type streamer struct {
 	*completion
 	controller *http.ResponseController
-	// next is the first token that was not written; written counts those of this
-	// stream.
+	// next is the index of the next token to write; written is the number of distinct tokens
+	// written to this stream.
 	next    int
 	written int
-	// double is the token to send twice, below zero for none.
-	double  int
-	pauses  int
-	resumes int
-	opened  bool
-	failed  bool
+	// duplicateIndex is the index of the token to send twice, or -1.
+	duplicateIndex int
+	pauses         int
+	resumes        int
+	headerWritten  bool
+	writeFailed    bool
 }
 
 func newStreamer(completion *completion) *streamer {
 	first := completion.attempt.offset
 	streamer := &streamer{
-		completion: completion,
-		controller: http.NewResponseController(completion.writer),
-		next:       first,
-		double:     -1,
-		pauses:     completion.reader.pauses,
-		resumes:    completion.reader.resumes,
+		completion:     completion,
+		controller:     http.NewResponseController(completion.writer),
+		next:           first,
+		duplicateIndex: -1,
+		pauses:         completion.reader.pauses,
+		resumes:        completion.reader.resumes,
 	}
 	if completion.plan.doubled {
-		streamer.double = first + (completion.reader.sequence.length-first)/2
+		streamer.duplicateIndex = first + (completion.reader.sequence.length-first)/2
 	}
 	return streamer
 }
 
-// run writes until the answer ends, the client leaves or a fault cuts it.
+// run writes the stream until the response ends, the client disconnects or a fault closes the
+// connection.
 func (streamer *streamer) run() {
 	for {
-		view, ok := streamer.await(streamer.hasNews)
+		snapshot, ok := streamer.await(streamer.hasUpdates)
 		if !ok {
 			return
 		}
-		if view.state == stateCancelled && !streamer.opened {
-			streamer.refuseCancelled(view)
+		if snapshot.state == stateCancelled && !streamer.headerWritten {
+			streamer.writeCancelled(snapshot)
 			return
 		}
-		streamer.notice(view)
-		if streamer.writeTokens(view.next) {
+		streamer.writePauseEvents(snapshot)
+		if streamer.writeTokens(snapshot.next) {
 			host.Cut(streamer.writer)
 			return
 		}
-		if view.state == stateCancelled {
-			streamer.event(host.Failure{Error: host.FailureDetail{
+		if snapshot.state == stateCancelled {
+			streamer.writeEvent(host.Failure{Error: host.FailureDetail{
 				Message: "the attempt was cancelled", Type: string(KindCancelled),
 			}})
 			streamer.flush()
 			return
 		}
-		if view.state == stateFinished {
-			streamer.end()
+		if snapshot.state == stateFinished {
+			streamer.writeEnd()
 			return
 		}
 		streamer.flush()
-		if streamer.failed {
+		if streamer.writeFailed {
 			return
 		}
 	}
 }
 
-func (streamer *streamer) hasNews(view view) bool {
-	return view.next > streamer.next || view.pauses > streamer.pauses || view.resumes > streamer.resumes
+func (streamer *streamer) hasUpdates(snapshot snapshot) bool {
+	return snapshot.next > streamer.next || snapshot.pauses > streamer.pauses || snapshot.resumes > streamer.resumes
 }
 
-// notice tells the client of pauses since the last look.
-func (streamer *streamer) notice(view view) {
-	for streamer.pauses < view.pauses || streamer.resumes < view.resumes {
-		if streamer.pauses < view.pauses {
+// writePauseEvents writes an event for each pause and resumption since the previous snapshot.
+func (streamer *streamer) writePauseEvents(snapshot snapshot) {
+	for streamer.pauses < snapshot.pauses || streamer.resumes < snapshot.resumes {
+		if streamer.pauses < snapshot.pauses {
 			streamer.pauses++
-			streamer.line("event: paused\ndata: {}\n\n")
+			streamer.write("event: paused\ndata: {}\n\n")
 		}
-		if streamer.resumes < view.resumes {
+		if streamer.resumes < snapshot.resumes {
 			streamer.resumes++
-			streamer.line("event: resumed\ndata: {}\n\n")
+			streamer.write("event: resumed\ndata: {}\n\n")
 		}
 	}
 }
 
-// writeTokens writes the tokens before end. It returns true when the stream is
-// to be cut.
+// writeTokens writes the tokens before end, or fewer if a fault cuts the stream. It reports whether
+// the caller must close the connection.
 func (streamer *streamer) writeTokens(end int) (cut bool) {
 	for streamer.next < end {
 		if streamer.plan.cut && streamer.written >= streamer.plan.cutAfter {
 			break
 		}
 		index := streamer.next
-		streamer.token(index)
-		if index == streamer.double {
-			streamer.token(index)
+		streamer.writeToken(index)
+		if index == streamer.duplicateIndex {
+			streamer.writeToken(index)
 		}
 		streamer.next++
 		streamer.written++
 	}
-	streamer.engine.sent(streamer.reader, streamer.next)
+	streamer.engine.recordSent(streamer.reader, streamer.next)
 	atCut := streamer.written >= streamer.plan.cutAfter || streamer.next == streamer.reader.sequence.length
 	if streamer.plan.cut && atCut {
 		streamer.flush()
@@ -115,10 +116,10 @@
 	return false
 }
 
-func (streamer *streamer) token(index int) {
+func (streamer *streamer) writeToken(index int) {
 	sequence := streamer.reader.sequence
-	choice := streamer.format.partChoice(streamer.text.token(index))
-	chunk := streamer.chunk(streamer.format.part(), choice)
+	choice := streamer.format.chunkChoice(streamer.text.token(index))
+	chunk := streamer.chunk(streamer.format.chunkObject(), choice)
 	chunk.TokenIndex = &index
 	if index == sequence.length-1 {
 		chunk.Choices[0].FinishReason = new(sequence.finishReason())
@@ -126,49 +127,50 @@
 			chunk.Usage = streamer.usage()
 		}
 	}
-	streamer.event(chunk)
+	streamer.writeEvent(chunk)
 }
 
-// end writes what follows the last token.
-func (streamer *streamer) end() {
+// writeEnd writes the events after the last token. A stream without tokens gets an empty chunk that
+// carries the finish reason.
+func (streamer *streamer) writeEnd() {
 	if streamer.written == 0 {
-		choice := streamer.format.partChoice("")
+		choice := streamer.format.chunkChoice("")
 		choice.FinishReason = new(streamer.reader.sequence.finishReason())
-		streamer.event(streamer.chunk(streamer.format.part(), choice))
+		streamer.writeEvent(streamer.chunk(streamer.format.chunkObject(), choice))
 	}
 	if streamer.attempt.body.StreamOptions.IncludeUsage {
-		chunk := streamer.chunk(streamer.format.part())
+		chunk := streamer.chunk(streamer.format.chunkObject())
 		chunk.Choices = []Choice{}
 		chunk.Usage = streamer.usage()
-		streamer.event(chunk)
+		streamer.writeEvent(chunk)
 	}
-	streamer.line("data: [DONE]\n\n")
+	streamer.write("data: [DONE]\n\n")
 	streamer.flush()
 }
 
-func (streamer *streamer) event(value any) {
+func (streamer *streamer) writeEvent(value any) {
 	encoded, err := json.Marshal(value)
 	if err != nil {
-		streamer.failed = true
+		streamer.writeFailed = true
 		return
 	}
-	streamer.line("data: " + string(encoded) + "\n\n")
+	streamer.write("data: " + string(encoded) + "\n\n")
 }
 
-func (streamer *streamer) line(text string) {
-	streamer.open()
+func (streamer *streamer) write(text string) {
+	streamer.writeHeader()
 	if _, err := streamer.writer.Write([]byte(text)); err != nil {
-		streamer.failed = true
+		streamer.writeFailed = true
 	}
 }
 
-// open sends the headers, late so that an attempt that never starts can still
-// be refused.
-func (streamer *streamer) open() {
-	if streamer.opened {
+// writeHeader sends the response header on first use. The delay allows an error status for an
+// attempt that is cancelled before its first event.
+func (streamer *streamer) writeHeader() {
+	if streamer.headerWritten {
 		return
 	}
-	streamer.opened = true
+	streamer.headerWritten = true
 	header := streamer.writer.Header()
 	header.Set("Content-Type", "text/event-stream")
 	header.Set("Cache-Control", "no-cache")
@@ -177,7 +179,7 @@
 }
 
 func (streamer *streamer) flush() {
-	if streamer.opened && streamer.controller.Flush() != nil {
-		streamer.failed = true
+	if streamer.headerWritten && streamer.controller.Flush() != nil {
+		streamer.writeFailed = true
 	}
 }
--- a/standin/engine/text.go
+++ b/standin/engine/text.go
@@ -11,45 +11,45 @@
 
 const (
 	bytesPerToken = 4
-	wordMask      = 0xffff
-	// lengthIndex is the index whose hash gives the natural length; no token has it.
-	lengthIndex = -1
-	lengthMark  = `#len=(\d+)`
+	tokenHashMask = 0xffff
+	// lengthHashIndex is the index hashed for the natural length; no token has this index.
+	lengthHashIndex    = -1
+	fixedLengthPattern = `#len=(\d+)`
 )
 
-// Token returns token i of the answer that the model gives to the prompt.
-func Token(model, prompt string, i int) string {
-	return newText(model, prompt).token(i)
+// ResponseToken returns token i of the response of the model to the prompt.
+func ResponseToken(model, prompt string, i int) string {
+	return newResponseText(model, prompt).token(i)
 }
 
-// Answer returns the tokens from first up to, but not with, end as one string.
+// Answer returns the concatenated tokens [first, end) of the response of the model to the prompt.
 func Answer(model, prompt string, first, end int) string {
-	return newText(model, prompt).between(first, end)
+	return newResponseText(model, prompt).join(first, end)
 }
 
-// PromptTokens returns how many tokens the prompt counts.
-func PromptTokens(prompt string) int {
+// CountPromptTokens returns the number of tokens in the prompt, at 4 bytes per token, rounded up.
+func CountPromptTokens(prompt string) int {
 	return (len(prompt) + bytesPerToken - 1) / bytesPerToken
 }
 
-// text is an answer as a function of the token's index.
-type text struct {
+// responseText is a response text whose tokens are a deterministic function of their index.
+type responseText struct {
 	seed uint64
 }
 
-func newText(model, prompt string) text {
-	return text{seed: xxhash.Sum64String(model + "\x00" + prompt)}
+func newResponseText(model, prompt string) responseText {
+	return responseText{seed: xxhash.Sum64String(model + "\x00" + prompt)}
 }
 
-func (text text) hash(i int) uint64 {
+func (text responseText) hash(i int) uint64 {
 	return xxhash.Sum64String(strconv.FormatUint(text.seed, 16) + ":" + strconv.Itoa(i))
 }
 
-func (text text) token(i int) string {
-	return fmt.Sprintf("w%04x ", text.hash(i)&wordMask)
+func (text responseText) token(i int) string {
+	return fmt.Sprintf("w%04x ", text.hash(i)&tokenHashMask)
 }
 
-func (text text) between(first, end int) string {
+func (text responseText) join(first, end int) string {
 	var builder strings.Builder
 	for i := first; i < end; i++ {
 		builder.WriteString(text.token(i))
@@ -57,24 +57,24 @@
 	return builder.String()
 }
 
-// lengthRule gives natural lengths: fixed by the prompt's first mark or else
-// drawn by its hash.
+// lengthRule determines the natural response length in tokens: the number in the first "#len=" mark
+// of the prompt, or else a value between shortest and longest derived from the text's hash.
 type lengthRule struct {
-	mark     *regexp.Regexp
-	shortest int
-	longest  int
+	fixedLength *regexp.Regexp
+	shortest    int
+	longest     int
 }
 
 func newLengthRule(shortest, longest int) lengthRule {
-	return lengthRule{mark: regexp.MustCompile(lengthMark), shortest: shortest, longest: max(shortest, longest)}
+	return lengthRule{fixedLength: regexp.MustCompile(fixedLengthPattern), shortest: shortest, longest: max(shortest, longest)}
 }
 
-func (rule lengthRule) length(text text, prompt string) int {
-	if found := rule.mark.FindStringSubmatch(prompt); found != nil {
+func (rule lengthRule) responseLength(text responseText, prompt string) int {
+	if found := rule.fixedLength.FindStringSubmatch(prompt); found != nil {
 		if length, err := strconv.Atoi(found[1]); err == nil && length > 0 {
 			return length
 		}
 	}
 	span := uint64(rule.longest-rule.shortest) + 1
-	return rule.shortest + int(text.hash(lengthIndex)%span)
+	return rule.shortest + int(text.hash(lengthHashIndex)%span)
 }
--- a/standin/internal/host/announcement.go
+++ b/standin/internal/host/announcement.go
@@ -6,36 +6,36 @@
 	"time"
 )
 
-// The headers in which an upstream says how it wants to be asked.
+// Response headers in which an upstream announces its rate limit, its shutdown and its retry delay.
 const (
 	HeaderLimit      = "Server-Limit"
 	HeaderLeaving    = "Server-Leaving"
 	HeaderRetryAfter = "Retry-After"
 )
 
-// Announcement is what a stand-in says, in all its answers, of how it wants to be asked. It is a
-// part of its faults.
+// Announcement is what a stand-in announces to its callers in response headers. It is part of the
+// faults that a test sets.
 type Announcement struct {
-	// LimitPerSecond is how many requests a second it takes from all nodes together, as it
-	// stands in the header; empty names no limit.
+	// LimitPerSecond is the HeaderLimit value: the number of requests per second that the upstream
+	// accepts from all nodes together. An empty value omits the header.
 	LimitPerSecond string `json:"limitPerSecond"`
-	// SaysLeaving says that it is about to end.
-	SaysLeaving bool `json:"saysLeaving"`
-	// RetryAfterMs is the backoff that its refusals ask for, in milliseconds; 0 is a second.
+	// Leaving announces that the upstream is about to shut down.
+	Leaving bool `json:"saysLeaving"`
+	// RetryAfterMs is the retry delay in refusals, in milliseconds; 0 or less means 1 second.
 	RetryAfterMs int `json:"retryAfterMs"`
 }
 
-// Write sets the headers of an answer.
+// Write sets HeaderLimit and HeaderLeaving in a response header.
 func (announcement Announcement) Write(header http.Header) {
 	if announcement.LimitPerSecond != "" {
 		header.Set(HeaderLimit, announcement.LimitPerSecond)
 	}
-	if announcement.SaysLeaving {
+	if announcement.Leaving {
 		header.Set(HeaderLeaving, "1")
 	}
 }
 
-// WriteRetryAfter sets the header of a refusal that names the backoff.
+// WriteRetryAfter sets HeaderRetryAfter in the response header of a refusal, in decimal seconds.
 func (announcement Announcement) WriteRetryAfter(header http.Header) {
 	backoff := time.Second
 	if announcement.RetryAfterMs > 0 {
--- a/standin/internal/host/host.go
+++ b/standin/internal/host/host.go
@@ -1,5 +1,5 @@
-// Package host serves the HTTP side that all stand-ins share: listening,
-// closing, JSON answers and connections that are cut on purpose.
+// Package host provides the HTTP server functions that the stand-ins share. It covers the server
+// lifecycle, JSON requests and responses, and deliberately closed connections.
 package host
 
 import (
@@ -16,54 +16,55 @@
 	"github.com/sourcegraph/conc"
 )
 
-const headerTimeout = 10 * time.Second
+const readHeaderTimeout = 10 * time.Second
 
-// Host owns the done channel of one stand-in and the servers that run for it.
+// Host manages the HTTP servers of one stand-in and the channel that signals its shutdown. Its
+// methods are safe for concurrent use.
 type Host struct {
-	done chan struct{}
-	once sync.Once
+	done      chan struct{}
+	closeOnce sync.Once
 }
 
-// New returns an open Host.
+// New returns an open Host. The caller must call Close.
 func New() *Host {
 	return &Host{done: make(chan struct{})}
 }
 
-// Done returns the channel that Close closes.
+// Done returns a channel that is closed by Close.
 func (host *Host) Done() <-chan struct{} {
 	return host.done
 }
 
-// Close ends every Serve and every Wait of this host.
+// Close makes all calls of Serve, Wait and Hang return. It is idempotent and does not wait for
+// them.
 func (host *Host) Close() {
-	host.once.Do(func() { close(host.done) })
+	host.closeOnce.Do(func() { close(host.done) })
 }
 
-// Serve answers HTTP on the listener until the context ends or the host is
-// closed. It returns nil after such an end.
+// Serve serves HTTP on the listener until ctx is done or the host is closed, then closes all
+// connections and returns nil. It closes the listener, and returns any other error of the server.
 func (host *Host) Serve(ctx context.Context, listener net.Listener, handler http.Handler) error {
 	server := &http.Server{
 		Handler:           handler,
-		ReadHeaderTimeout: headerTimeout,
+		ReadHeaderTimeout: readHeaderTimeout,
 		ErrorLog:          log.New(io.Discard, "", 0),
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	var closer conc.WaitGroup
-	closer.Go(func() {
+	var tasks conc.WaitGroup
+	tasks.Go(func() {
 		host.Hang(ctx)
 		_ = server.Close()
 	})
 	err := server.Serve(listener)
 	cancel()
-	closer.Wait()
+	tasks.Wait()
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
 	return err
 }
 
-// Wait sleeps for the duration. It returns false when the context or the host
-// ended first.
+// Wait sleeps for the duration. It returns false if ctx is done or the host is closed first.
 func (host *Host) Wait(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
 		return true
@@ -80,8 +81,8 @@
 	}
 }
 
-// Hang blocks until the context ends, as it does when the client gives up, or
-// the host is closed.
+// Hang blocks until ctx is done or the host is closed. The context of a request is done when its
+// client disconnects.
 func (host *Host) Hang(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -89,31 +90,31 @@
 	}
 }
 
-// Answer writes the value as JSON with the status.
+// Answer writes a response with the status and the value as its JSON body.
 func Answer(writer http.ResponseWriter, status int, value any) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
 	_ = json.NewEncoder(writer).Encode(value)
 }
 
-// Failure is the body of every plain error of a stand-in.
+// Failure is the body of an error response, in the form of an OpenAI error.
 type Failure struct {
 	Error FailureDetail `json:"error"`
 }
 
-// FailureDetail has the form of an OpenAI error.
+// FailureDetail is the error object in a Failure.
 type FailureDetail struct {
 	Message string `json:"message"`
 	Type    string `json:"type"`
 }
 
-// Fail writes an error body of the kind.
+// Fail writes an error response with the status, whose error type is kind.
 func Fail(writer http.ResponseWriter, status int, kind, message string) {
 	Answer(writer, status, Failure{Error: FailureDetail{Message: message, Type: kind}})
 }
 
-// Cut sends what was written so far and closes the TCP connection without an
-// end mark.
+// Cut closes the TCP connection of a response without completing the response. The caller must
+// flush what the client is to receive. Cut has no effect if the connection cannot be hijacked.
 func Cut(writer http.ResponseWriter) {
 	controller := http.NewResponseController(writer)
 	connection, _, err := controller.Hijack()
@@ -123,9 +124,9 @@
 	_ = connection.Close()
 }
 
-// Update decodes the request's JSON body over the value, so that fields which
-// are not given keep what they were. It answers 400 and returns false for a
-// body that is not such JSON.
+// Update decodes the JSON body of the request into value, a pointer; fields that are absent from
+// the body keep their value. For malformed JSON or an unknown field it responds with status 400 and
+// returns false; value may then be partly updated.
 func Update(writer http.ResponseWriter, request *http.Request, value any) bool {
 	decoder := json.NewDecoder(request.Body)
 	decoder.DisallowUnknownFields()
