--- a/standin/engine/attempt.go
+++ b/standin/engine/attempt.go
@@ -53,7 +53,7 @@
 		return nil, err
 	}
 	if limit, ok := body.maxTokens(); ok && limit <= 0 {
-		return nil, invalidRequest("the token limit must be positive")
+		return nil, invalidRequest("the bound on tokens must be positive")
 	}
 	return attempt, nil
 }
@@ -65,7 +65,7 @@
 	}
 	value, err := strconv.Atoi(text)
 	if err != nil || value < 0 {
-		return invalidRequest(name + " must be an integer of 0 or more")
+		return invalidRequest(name + " must be a whole number from 0")
 	}
 	*target = value
 	return nil
@@ -132,10 +132,10 @@
 		return nil, nil
 	}
 	if existing.prompt != attempt.prompt || existing.model != attempt.body.Model {
-		return nil, invalidRequest("the existing sequence has another prompt or model")
+		return nil, invalidRequest("the kept sequence has another prompt or model")
 	}
 	if attempt.offset < existing.first || attempt.offset > existing.next {
-		return nil, invalidRequest("the offset is outside the tokens of the existing sequence")
+		return nil, invalidRequest("the kept sequence does not have the offset")
 	}
 	reader := existing.attach()
 	if existing.state == stateSuspended {
@@ -160,7 +160,7 @@
 	}
 	sequence := attempt.newSequence(engine.lengthRule)
 	if sequence.first > sequence.length {
-		return nil, invalidRequest("the offset is past the end of the response")
+		return nil, invalidRequest("the offset is past the end of the answer")
 	}
 	now := time.Now()
 	sequence.arrival = engine.nextArrival
--- a/standin/engine/completion.go
+++ b/standin/engine/completion.go
@@ -119,7 +119,7 @@
 	}
 	completion.writer.Header().Set(HeaderAttemptID, completion.id)
 	if completion.plan.failAfter {
-		host.Fail(completion.writer, http.StatusInternalServerError, string(KindInjected), "injected failure after the computation")
+		host.Fail(completion.writer, http.StatusInternalServerError, string(KindInjected), "failed after computing")
 		return
 	}
 	sequence := completion.reader.sequence
