--- a/endtoend/crashing_request_test.go
+++ b/endtoend/crashing_request_test.go
@@ -16,45 +16,47 @@
 )
 
 const (
-	// crashNodes and crashUpstreams are those of the test; a third of the upstreams is away
-	// at any moment while the crashing request gets through.
+	// crashNodes and crashUpstreams are the numbers of nodes and upstreams. A third of the
+	// upstreams is down at any moment while the crashing request is being forwarded.
 	crashNodes     = 4
 	crashUpstreams = 12
-	// crashingBody is the request that ends each upstream that runs it, crashAfter later;
-	// the upstream is back after crashedFor.
+	// crashingBody is the body of the request that crashes each upstream that runs it, after
+	// crashDelay; the upstream restarts after restartDelay.
 	crashingBody = "crashing"
-	crashAfter   = 40 * time.Millisecond
-	crashedFor   = 1500 * time.Millisecond
-	// crashingEvery is the time between two of its attempts, at each node in turn.
-	crashingEvery = 150 * time.Millisecond
-	// crashingSpan is how long it comes.
-	crashingSpan = 9 * time.Second
-	// crashedEnough is from which upstream on, and knownWithin how much later, it counts
-	// that more sends follow, of which sendsAllowed are allowed: the users' bounds.
-	crashedEnough = 3
-	knownWithin   = 3 * time.Second
-	sendsAllowed  = 3
-	// othersCallers ask beside it, each othersEvery, with work of otherWork.
-	othersCallers = 6
-	othersEvery   = 10 * time.Millisecond
+	crashDelay   = 40 * time.Millisecond
+	restartDelay = 1500 * time.Millisecond
+	// crashingInterval is the time between two sends of the crashing request, which go to the nodes
+	// in turn.
+	crashingInterval = 150 * time.Millisecond
+	// crashingDuration is the total time for which the crashing request is sent.
+	crashingDuration = 9 * time.Second
+	// After crashesUntilDetection upstreams have crashed and detectionTimeout has passed, at most
+	// allowedLateSends more sends may reach an upstream. All three are the users' bounds.
+	crashesUntilDetection = 3
+	detectionTimeout      = 3 * time.Second
+	allowedLateSends      = 3
+	// otherCallers callers send other requests at the same time, each with a pause of otherInterval
+	// between requests; an upstream needs otherWork for each.
+	otherCallers  = 6
+	otherInterval = 10 * time.Millisecond
 	otherWork     = 50 * time.Millisecond
-	// othersServed is the part of their requests that is served from knownWithin behind the
-	// third end on: the aim of the users' order desk.
-	othersServed = 0.99
+	// otherServedShare is the share of the other requests that must be served after the detection
+	// timeout; it is the target of the users' order desk.
+	otherServedShare = 0.99
 )
 
-// asked is one request of another caller.
-type asked struct {
-	at  time.Time
-	got reply
+// exchange is one request of a caller with its reply.
+type exchange struct {
+	sentAt time.Time
+	reply  reply
 }
 
-// askBeside has callers ask at all nodes until the time, half of them always the same, and
-// returns what came of each request.
-func askBeside(nodes []*node, until time.Time) []asked {
-	replies := make([][]asked, othersCallers)
+// sendBesideCrashing sends requests of other callers to all nodes until the given time and returns
+// the exchanges. Half of the callers repeat the same body.
+func sendBesideCrashing(nodes []*node, until time.Time) []exchange {
+	replies := make([][]exchange, otherCallers)
 	var callers conc.WaitGroup
-	for number := range othersCallers {
+	for number := range otherCallers {
 		callers.Go(func() {
 			client := newClient(nodes[0].t)
 			for count := 0; time.Now().Before(until); count++ {
@@ -64,17 +66,17 @@
 				}
 				at := time.Now()
 				got := client.send(withBody(nodes[(number+count)%len(nodes)].request("/safe/"), body))
-				replies[number] = append(replies[number], asked{at: at, got: got})
-				<-time.After(othersEvery)
+				replies[number] = append(replies[number], exchange{sentAt: at, reply: got})
+				<-time.After(otherInterval)
 			}
 		})
 	}
 	callers.Wait()
-	var all []asked
+	var exchanges []exchange
 	for _, each := range replies {
-		all = append(all, each...)
+		exchanges = append(exchanges, each...)
 	}
-	return all
+	return exchanges
 }
 
 // withBody returns the request with a body.
@@ -83,81 +85,82 @@
 	return request
 }
 
-// TestRequestThatEndsItsUpstreams has one request end each upstream that runs it. Its caller
-// sends it again and again, at each node in turn, as clients do after a failure.
+// TestRequestThatEndsItsUpstreams sends a request that crashes each upstream that runs it. Its
+// caller retries after each failure, at each node in turn.
 //
-// Seen: it was sent to an upstream each time, 20 ended in half a minute, and a quarter of the
-// other callers' answers on them broke off. Every node took each end for that upstream's own
-// failure: nothing remembered the request itself, neither at a node across its attempts nor
-// between nodes. That the identity in the log was the same for all sends, and each send found
-// its upstream refusing connections, proved it.
-func TestRequestThatEndsItsUpstreams(t *testing.T) { inBothWays(t, requestThatEndsItsUpstreams) }
+// It guards against nodes that attribute each crash to the upstream and keep no record of the
+// request, either across a node's attempts or between nodes. Every retry then reached another
+// upstream: 20 upstreams crashed within half a minute, and a quarter of the other callers'
+// responses from them were cut off. The log showed the same request identity for all sends.
+func TestRequestThatEndsItsUpstreams(t *testing.T) {
+	withAndWithoutDelegation(t, requestThatCrashesUpstreams)
+}
 
-func requestThatEndsItsUpstreams(t *testing.T, fleet *fleet) {
+func requestThatCrashesUpstreams(t *testing.T, fleet *fleet) {
 	rule := unsafeRule("/safe/")
 	rule["route_type"], rule["max_attempts"] = "safe", 2
 	fleet.configure(rule)
-	fragile := startFragile(t, fleet)
+	upstreams := startCrashingUpstreams(t, fleet)
 	var nodes []*node
 	for number := range crashNodes {
-		nodes = append(nodes, fleet.join(fmt.Sprintf("entry-%d", number)))
+		nodes = append(nodes, fleet.startNode(fmt.Sprintf("entry-%d", number)))
 	}
 	for _, node := range nodes {
 		node.awaitReady()
 	}
 
-	until := time.Now().Add(crashingSpan)
+	until := time.Now().Add(crashingDuration)
 	var crashing []reply
 	var callers conc.WaitGroup
 	callers.Go(func() {
 		client := newClient(t)
 		for count := 0; time.Now().Before(until); count++ {
 			crashing = append(crashing, client.send(withBody(nodes[count%len(nodes)].request("/safe/"), crashingBody)))
-			<-time.After(crashingEvery)
+			<-time.After(crashingInterval)
 		}
 	})
-	others := askBeside(nodes, until)
+	others := sendBesideCrashing(nodes, until)
 	callers.Wait()
 
-	from, late := fragile.known()
-	assert.Assert(t, !from.IsZero(), "only %d upstreams ended", len(fragile.ends))
-	assert.Check(t, late <= sendsAllowed, "%d upstreams ended; %d more sends", len(fragile.ends), late)
+	from, late := upstreams.lateSends()
+	assert.Assert(t, !from.IsZero(), "only %d upstreams crashed", len(upstreams.crashes))
+	assert.Check(t, late <= allowedLateSends, "%d upstreams crashed; %d later sends", len(upstreams.crashes), late)
 	counted, served := 0, 0
 	for _, request := range others {
-		assert.Check(t, !strings.Contains(request.got.text, "heldOff"), "another request was held off: %v", request.got)
-		if request.at.Before(from) {
+		assert.Check(t, !strings.Contains(request.reply.text, "heldOff"), "another request was quarantined: %v", request.reply)
+		if request.sentAt.Before(from) {
 			continue
 		}
 		counted++
-		if request.got.status == http.StatusOK {
+		if request.reply.status == http.StatusOK {
 			served++
 		}
 	}
-	t.Logf("%d sends, %d ends, %d late; %d of %d others served from then on", len(fragile.sends), len(fragile.ends), late, served, counted)
-	assert.Check(t, float64(served) >= othersServed*float64(counted), "%d of %d others were served", served, counted)
+	t.Logf("%d sends, %d crashes, %d late sends; %d of %d other requests served after the detection timeout", len(upstreams.sends), len(upstreams.crashes), late, served, counted)
+	assert.Check(t, float64(served) >= otherServedShare*float64(counted), "%d of %d other requests were served", served, counted)
 	for _, got := range crashing {
 		assert.Check(t, got.status == http.StatusBadGateway || got.status == http.StatusServiceUnavailable, "%v", got)
 	}
 	last := crashing[len(crashing)-1]
-	assert.Check(t, last.status == http.StatusServiceUnavailable && last.pause > 0, "the last answer is %v", last)
-	fragile.lift(nodes, last)
+	assert.Check(t, last.status == http.StatusServiceUnavailable && last.retryAfter > 0, "the last reply is %v", last)
+	upstreams.checkLift(nodes, last)
 }
 
-// lift has an operator lift the request at one node, after the upstreams were mended: all
-// nodes send it again.
-func (fragile *fragile) lift(nodes []*node, refused reply) {
-	t := fragile.fleet.t
+// checkLift lifts the request's quarantine at one node with the operator's command, after the
+// request has become harmless, and checks that all nodes forward the request again.
+func (upstreams *crashingUpstreams) checkLift(nodes []*node, refused reply) {
+	t := upstreams.fleet.t
 	t.Helper()
-	fragile.mended.Store(true)
-	var told struct{ Identity string }
-	assert.NilError(t, json.Unmarshal([]byte(refused.text), &told), refused.text)
-	for _, shown := range [][]string{{}, {"-lift", told.Identity}} {
-		output, err := exec.Command(os.Getenv(binaryVariable), append([]string{"heldOff", "-nodes", nodes[0].operators}, shown...)...).CombinedOutput()
+	upstreams.harmless.Store(true)
+	var refusal struct{ Identity string }
+	assert.NilError(t, json.Unmarshal([]byte(refused.text), &refusal), refused.text)
+	for _, arguments := range [][]string{{}, {"-lift", refusal.Identity}} {
+		output, err := exec.Command(os.Getenv(binaryVariable), append([]string{"heldOff", "-nodes", nodes[0].operatorAddress}, arguments...)...).CombinedOutput()
 		assert.NilError(t, err, string(output))
-		assert.Assert(t, strings.Contains(string(output), told.Identity), string(output))
+		assert.Assert(t, strings.Contains(string(output), refusal.Identity), string(output))
 	}
 	for _, node := range nodes {
-		eventually(t, knownWithin, node.name+" sends the request again", func() bool {
+		eventually(t, detectionTimeout, node.name+" forwards the request again", func() bool {
 			return newClient(t).send(withBody(node.request("/safe/"), crashingBody)).status == http.StatusOK
 		})
 	}
--- /dev/null
+++ b/endtoend/crashing_upstreams_test.go
@@ -0,0 +1,123 @@
+package endtoend_test
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/sourcegraph/conc"
+	"gotest.tools/v3/assert"
+)
+
+// crashingUpstreams are upstreams that the crashing request crashes, with a record of its sends and
+// the crashes.
+type crashingUpstreams struct {
+	fleet *fleet
+	// mutex guards the fields below; no other lock is acquired while it is held.
+	mutex sync.Mutex
+	// sends are the times at which the crashing request reached an upstream, crashes those at which
+	// an upstream crashed.
+	sends   []time.Time
+	crashes []time.Time
+	// harmless is set once the crashing request runs like any other.
+	harmless atomic.Bool
+	// closed is set once crashed upstreams must no longer restart.
+	closed  bool
+	servers []*http.Server
+	group   conc.WaitGroup
+}
+
+// startCrashingUpstreams starts and lists the upstreams.
+func startCrashingUpstreams(t *testing.T, fleet *fleet) *crashingUpstreams {
+	t.Helper()
+	upstreams := &crashingUpstreams{fleet: fleet}
+	for number := range crashUpstreams {
+		listener, err := net.Listen("tcp", loopback+":0")
+		assert.NilError(t, err)
+		upstreams.serve(fmt.Sprintf("u%02d", number), listener, 1000)
+	}
+	t.Cleanup(upstreams.close)
+	return upstreams
+}
+
+// serve runs an upstream until it crashes, and lists it with its start number.
+func (upstreams *crashingUpstreams) serve(name string, listener net.Listener, start int) {
+	var once sync.Once
+	server := &http.Server{}
+	crash := func() { once.Do(func() { upstreams.crash(name, listener.Addr().String(), server, start) }) }
+	server.Handler = http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
+		body, err := io.ReadAll(request.Body)
+		if err == nil && string(body) == crashingBody && !upstreams.harmless.Load() {
+			upstreams.recordTime(&upstreams.sends)
+			<-time.After(crashDelay)
+			crash()
+			return
+		}
+		<-time.After(otherWork)
+		writeAttemptHeaders(writer, request)
+		_, _ = io.WriteString(writer, "served") // A caller that has left needs no answer.
+	})
+	upstreams.mutex.Lock()
+	defer upstreams.mutex.Unlock()
+	if upstreams.closed {
+		assert.Check(upstreams.fleet.t, listener.Close())
+		return
+	}
+	upstreams.servers = append(upstreams.servers, server)
+	upstreams.group.Go(func() { _ = server.Serve(listener) }) // It ends by being closed.
+	assert.Check(upstreams.fleet.t, upstreams.fleet.store.Put("servers", name, map[string]any{
+		"service": "desk", "address": listener.Addr().String(), "zone": west, "state": "ready", "born": start,
+	}))
+}
+
+// crash closes an upstream with all its running requests, and restarts it after restartDelay.
+func (upstreams *crashingUpstreams) crash(name, address string, server *http.Server, start int) {
+	upstreams.recordTime(&upstreams.crashes)
+	upstreams.group.Go(func() {
+		_ = server.Close() // What runs there is to break off.
+		<-time.After(restartDelay)
+		listener, err := net.Listen("tcp", address)
+		if assert.Check(upstreams.fleet.t, err) {
+			upstreams.serve(name, listener, start+1)
+		}
+	})
+}
+
+func (upstreams *crashingUpstreams) recordTime(times *[]time.Time) {
+	upstreams.mutex.Lock()
+	defer upstreams.mutex.Unlock()
+	*times = append(*times, time.Now())
+}
+
+func (upstreams *crashingUpstreams) close() {
+	upstreams.mutex.Lock()
+	upstreams.closed = true
+	servers := upstreams.servers
+	upstreams.mutex.Unlock()
+	for _, server := range servers {
+		_ = server.Close() // Some have ended before.
+	}
+	upstreams.group.Wait()
+}
+
+// lateSends returns the number of sends after the detection timeout, and the time from which they
+// count. The time is zero if too few upstreams have crashed.
+func (upstreams *crashingUpstreams) lateSends() (from time.Time, sends int) {
+	upstreams.mutex.Lock()
+	defer upstreams.mutex.Unlock()
+	if len(upstreams.crashes) < crashesUntilDetection {
+		return time.Time{}, 0
+	}
+	from = upstreams.crashes[crashesUntilDetection-1].Add(detectionTimeout)
+	for _, sent := range upstreams.sends {
+		if sent.After(from) {
+			sends++
+		}
+	}
+	return from, sends
+}
--- a/endtoend/document_test.go
+++ b/endtoend/document_test.go
@@ -8,22 +8,23 @@
 )
 
 const (
-	modelName   = "model-a"
-	buttonsKey  = "key-of-the-buttons-organisation"
-	repliesKey  = "key-of-the-replies-organisation"
-	serviceSlot = 4
-	engineSlots = 4
-	deadlineMs  = 8000
+	modelName     = "model-a"
+	buttonsAPIKey = "key-of-the-buttons-organisation"
+	repliesAPIKey = "key-of-the-replies-organisation"
+	serviceSlots  = 4
+	engineSlots   = 4
+	deadlineMs    = 8000
 )
 
-// document returns the configuration with every upstream behind its relay.
-func (system *system) document() definer.Document {
+// configurationDocument returns the configuration, in which every upstream is reached through its
+// relay.
+func (system *system) configurationDocument() definer.Document {
 	models := definer.PoolDocument{Name: "models", Kind: string(definer.Engine)}
 	for _, engine := range system.engines {
 		models.Upstreams = append(models.Upstreams, definer.UpstreamDocument{Name: engine.name, DataCentre: engine.dataCentre, Address: engine.relay.Address(), Models: []string{modelName}, Slots: engineSlots})
 	}
 	stock := definer.PoolDocument{Name: "stock", Kind: string(definer.Service), Upstreams: []definer.UpstreamDocument{
-		{Name: system.service.name, DataCentre: system.service.dataCentre, Address: system.service.relay.Address(), Slots: serviceSlot},
+		{Name: system.service.name, DataCentre: system.service.dataCentre, Address: system.service.relay.Address(), Slots: serviceSlots},
 	}}
 	return definer.Document{
 		Classes: []definer.ClassDocument{
@@ -33,8 +34,8 @@
 		},
 		Pools: []definer.PoolDocument{models, stock},
 		Organisations: []definer.OrganisationDocument{
-			{Name: "buttons", KeyHashes: []string{keyHash(buttonsKey)}},
-			{Name: "replies", KeyHashes: []string{keyHash(repliesKey)}},
+			{Name: "buttons", KeyHashes: []string{keyHash(buttonsAPIKey)}},
+			{Name: "replies", KeyHashes: []string{keyHash(repliesAPIKey)}},
 		},
 		Rules: []definer.RuleDocument{
 			{Name: "order desk", When: `service == "stock"`, Then: definer.ActionDocument{Class: "orderDesk", Pool: "stock", Repeat: string(definer.Keyed), DeadlineMs: deadlineMs, LocalKeys: true}},
--- a/endtoend/duties_test.go
+++ b/endtoend/duties_test.go
@@ -19,30 +19,31 @@
 	dutyLease    = time.Second
 	dutyWindow   = time.Second
 	dutyDeadline = 6 * time.Second
-	// usageTolerance is how far what is told may be from what began.
-	usageTolerance = 0.05
-	dutyNodes      = 4
+	// usageErrorTolerance is the allowed relative difference between the reported number of
+	// requests and the number that started.
+	usageErrorTolerance = 0.05
+	dutyNodes           = 4
 )
 
-// began counts the requests that begin at it, by window.
-type began struct {
+// startCounter counts the requests that start at an upstream, by usage window.
+type startCounter struct {
 	mutex  sync.Mutex
 	counts map[uint64]uint64
 }
 
 func windowOf(at time.Time) uint64 { return uint64(time.Duration(at.UnixNano()) / dutyWindow) }
 
-func (began *began) count() {
-	began.mutex.Lock()
-	defer began.mutex.Unlock()
-	began.counts[windowOf(time.Now())]++
+func (counter *startCounter) add() {
+	counter.mutex.Lock()
+	defer counter.mutex.Unlock()
+	counter.counts[windowOf(time.Now())]++
 }
 
-// dutyFleet is a fleet before a platform that has duties.
+// dutyFleet is a fleet on a platform that assigns duties.
 type dutyFleet struct {
 	*fleet
-	office *office.Office
-	began  *began
+	office  *office.Office
+	started *startCounter
 }
 
 func newDutyFleet(t *testing.T) *dutyFleet {
@@ -54,64 +55,65 @@
 		server.CloseClientConnections()
 		server.Close()
 	})
-	fleet.duties = fmt.Sprintf("cloud_api: {address: %q, duties: [usage]}\n", server.Listener.Addr().String())
-	fleet.dutyBounds = fmt.Sprintf(", lease_ms: %d, usage_window_s: %g, usage_late_s: %g", dutyLease.Milliseconds(), dutyWindow.Seconds(), dutyDeadline.Seconds())
-	duties := &dutyFleet{fleet: fleet, office: office, began: &began{counts: make(map[uint64]uint64)}}
+	fleet.dutySettings = fmt.Sprintf("cloud_api: {address: %q, duties: [usage]}\n", server.Listener.Addr().String())
+	fleet.dutyBoundSettings = fmt.Sprintf(", lease_ms: %d, usage_window_s: %g, usage_late_s: %g", dutyLease.Milliseconds(), dutyWindow.Seconds(), dutyDeadline.Seconds())
+	duties := &dutyFleet{fleet: fleet, office: office, started: &startCounter{counts: make(map[uint64]uint64)}}
 	fleet.configure(unsafeRule("/desk/"))
-	fleet.upstream("u1", func(writer http.ResponseWriter, request *http.Request) {
-		duties.began.count()
-		sign(writer, request)
+	fleet.startUpstream("u1", func(writer http.ResponseWriter, request *http.Request) {
+		duties.started.add()
+		writeAttemptHeaders(writer, request)
 	})
 	return duties
 }
 
-// startAll starts the nodes, each over a way to the store of its own.
-func (duties *dutyFleet) startAll() (ways []*way) {
+// startNodes starts the nodes, each with its own link to the store.
+func (duties *dutyFleet) startNodes() (links []*storeLink) {
 	for number := range dutyNodes {
-		way := &way{handler: duties.store.Handler()}
-		server := httptest.NewServer(way)
+		link := &storeLink{handler: duties.store.Handler()}
+		server := httptest.NewServer(link)
 		duties.t.Cleanup(func() {
-			way.cut(false)
+			link.setCut(false)
 			server.CloseClientConnections()
 			server.Close()
 		})
 		duties.storeAddress = server.Listener.Addr().String()
-		duties.join(fmt.Sprintf("entry-%d", number))
-		ways = append(ways, way)
+		duties.startNode(fmt.Sprintf("entry-%d", number))
+		links = append(links, link)
 	}
-	for _, node := range duties.all() {
+	for _, node := range duties.startedNodes() {
 		node.awaitReady()
 	}
-	return ways
+	return links
 }
 
-// way is a node's way to the store, which may be cut.
-type way struct {
+// storeLink is a node's link to the store, which a test can cut.
+type storeLink struct {
 	handler http.Handler
 
-	// mutex guards severed, which is closed when the way is there again; nil while it is.
-	mutex   sync.Mutex
-	severed chan struct{}
+	// mutex guards restored, which is nil while the link works and otherwise a channel that is
+	// closed when the link is restored.
+	mutex    sync.Mutex
+	restored chan struct{}
 }
 
-// cut cuts the way, or mends it.
-func (way *way) cut(cut bool) {
-	way.mutex.Lock()
-	defer way.mutex.Unlock()
+// setCut cuts or restores the link.
+func (link *storeLink) setCut(cut bool) {
+	link.mutex.Lock()
+	defer link.mutex.Unlock()
 	switch {
-	case cut && way.severed == nil:
-		way.severed = make(chan struct{})
-	case !cut && way.severed != nil:
-		close(way.severed)
-		way.severed = nil
+	case cut && link.restored == nil:
+		link.restored = make(chan struct{})
+	case !cut && link.restored != nil:
+		close(link.restored)
+		link.restored = nil
 	}
 }
 
-// ServeHTTP passes a call on, or none while the way is cut.
-func (way *way) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	way.mutex.Lock()
-	severed := way.severed
-	way.mutex.Unlock()
+// ServeHTTP forwards a call to the store. While the link is cut, it blocks and then fails.
+func (link *storeLink) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+	link.mutex.Lock()
+	severed := link.restored
+	link.mutex.Unlock()
 	if severed != nil {
 		select {
 		case <-severed:
@@ -120,14 +122,13 @@
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	way.handler.ServeHTTP(writer, request)
+	link.handler.ServeHTTP(writer, request)
 }
 
-// askAll asks at all nodes again and again until the time; nodes that are away are asked
-// for nothing.
-func (duties *dutyFleet) askAll(until time.Time) {
+// sendLoadToAll sends requests to all nodes until the given time; failed requests are ignored.
+func (duties *dutyFleet) sendLoadToAll(until time.Time) {
 	var callers conc.WaitGroup
-	for _, node := range duties.all() {
+	for _, node := range duties.startedNodes() {
 		callers.Go(func() {
 			client := newClient(duties.t)
 			for time.Now().Before(until) {
@@ -139,86 +140,87 @@
 	callers.Wait()
 }
 
-// checkTold holds that every window between two times was told in time, and returns how
-// many are off by more than the tolerance.
-func (duties *dutyFleet) checkTold(from, until time.Time) (off int) {
+// checkReports checks that every window between two times was reported before its deadline, and
+// returns the number of windows whose report differs by more than the tolerance.
+func (duties *dutyFleet) checkReports(from, until time.Time) (off int) {
 	duties.t.Helper()
-	told := make(map[uint64]office.Report)
+	reported := make(map[uint64]office.Report)
 	for _, report := range duties.office.Reports() {
-		told[report.Window] = report
+		reported[report.Window] = report
 	}
 	for window := windowOf(from); window < windowOf(until); window++ {
-		report, is := told[window]
+		report, found := reported[window]
 		end := time.Unix(0, int64(time.Duration(window+1)*dutyWindow))
-		assert.Assert(duties.t, is && report.At.Sub(end) <= dutyDeadline, "window %d: told %t, %v after its end", window, is, report.At.Sub(end))
-		truth := float64(duties.began.counts[window])
-		if diff := float64(report.Counts["guild"]) - truth; max(diff, -diff) > max(usageTolerance*truth, 1) {
-			duties.t.Logf("window %d: told %v, began %v", window, report.Counts, truth)
+		assert.Assert(duties.t, found && report.At.Sub(end) <= dutyDeadline, "window %d: reported %t, %v after its end", window, found, report.At.Sub(end))
+		started := float64(duties.started.counts[window])
+		if diff := float64(report.Counts["guild"]) - started; max(diff, -diff) > max(usageErrorTolerance*started, 1) {
+			duties.t.Logf("window %d: reported %v, started %v", window, report.Counts, started)
 			off++
 		}
 	}
 	return off
 }
 
-// TestUsageIsToldByProcesses has real processes tell usage while the holder is killed, is
-// frozen, or loses its way to the store: each window is told in time and once, and all but
-// those in which a process took counts with it are right.
+// TestUsageIsToldByProcesses lets real processes report usage while the holder of the duty is
+// killed, is frozen, or is disconnected from the store. Each window is reported once and before its
+// deadline, and the counts are correct except for windows in which a failed process lost its
+// counts.
 func TestUsageIsToldByProcesses(t *testing.T) {
 	cases := []struct {
 		name    string
-		trouble func(holder *node, way *way) (end func())
-		// off is how many windows may miss what a process took with it.
+		trouble func(holder *node, link *storeLink) (end func())
+		// off is the number of windows that may miss the counts of a failed process.
 		off int
 	}{
-		{"calm", func(*node, *way) func() { return func() {} }, 0},
-		{"killed", func(holder *node, _ *way) func() { holder.Kill(); return func() {} }, 1},
-		{"frozen", func(holder *node, _ *way) func() { holder.Freeze(); return holder.Thaw }, 2},
-		{"cut from the store", func(_ *node, way *way) func() { way.cut(true); return func() { way.cut(false) } }, 0},
+		{"calm", func(*node, *storeLink) func() { return func() {} }, 0},
+		{"killed", func(holder *node, _ *storeLink) func() { holder.Kill(); return func() {} }, 1},
+		{"frozen", func(holder *node, _ *storeLink) func() { holder.Freeze(); return holder.Thaw }, 2},
+		{"cut from the store", func(_ *node, link *storeLink) func() { link.setCut(true); return func() { link.setCut(false) } }, 0},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			duties := newDutyFleet(t)
-			ways := duties.startAll()
+			links := duties.startNodes()
 			began := time.Now()
-			over := began.Add(11 * time.Second)
-			var asking conc.WaitGroup
-			asking.Go(func() { duties.askAll(over) })
+			until := began.Add(11 * time.Second)
+			var load conc.WaitGroup
+			load.Go(func() { duties.sendLoadToAll(until) })
 			<-time.After(4500 * time.Millisecond)
 			reports := duties.office.Reports()
-			assert.Assert(t, len(reports) > 0, "nothing was told yet")
+			assert.Assert(t, len(reports) > 0, "no usage has been reported")
 			holder := reports[len(reports)-1].Holder
-			for place, node := range duties.all() {
+			for place, node := range duties.startedNodes() {
 				if node.name == holder {
-					end := test.trouble(node, ways[place])
+					end := test.trouble(node, links[place])
 					defer end()
 					<-time.After(2500 * time.Millisecond)
 					end()
 				}
 			}
-			asking.Wait()
+			load.Wait()
 			<-time.After(dutyDeadline / 2)
-			off := duties.checkTold(began.Add(dutyWindow), over.Add(-dutyWindow))
-			assert.Assert(t, off <= test.off, "%d windows are off", off)
+			off := duties.checkReports(began.Add(dutyWindow), until.Add(-dutyWindow))
+			assert.Assert(t, off <= test.off, "%d windows have wrong counts", off)
 			assert.DeepEqual(t, duties.office.Breaches(), []string(nil))
 		})
 	}
 }
 
-// TestUsageThatThePlatformTakesLate has reports get no answer and be carried out seconds
-// later: each window is told as it was settled, once.
+// TestUsageThatThePlatformTakesLate leaves reports without a response while the platform applies
+// them seconds later: each window is reported once, with its settled counts.
 func TestUsageThatThePlatformTakesLate(t *testing.T) {
 	duties := newDutyFleet(t)
-	duties.startAll()
+	duties.startNodes()
 	began := time.Now()
-	over := began.Add(11 * time.Second)
-	var asking conc.WaitGroup
-	asking.Go(func() { duties.askAll(over) })
+	until := began.Add(11 * time.Second)
+	var load conc.WaitGroup
+	load.Go(func() { duties.sendLoadToAll(until) })
 	<-time.After(5 * time.Second)
 	duties.office.Delay(3 * time.Second)
 	<-time.After(3 * time.Second)
 	duties.office.Delay(0)
-	asking.Wait()
+	load.Wait()
 	<-time.After(dutyDeadline / 2)
-	assert.Equal(t, duties.checkTold(began.Add(dutyWindow), over.Add(-dutyWindow)), 0)
+	assert.Equal(t, duties.checkReports(began.Add(dutyWindow), until.Add(-dutyWindow)), 0)
 	assert.DeepEqual(t, duties.office.Breaches(), []string(nil))
 }
--- a/endtoend/fault_test.go
+++ b/endtoend/fault_test.go
@@ -14,59 +14,58 @@
 const (
 	stockPool  = "stock"
 	modelsPool = "models"
-	// parallelSystems bounds the systems of a test that run at once.
+	// parallelSystems limits the systems of a test that run concurrently.
 	parallelSystems = 3
 )
 
-// fault is one fault and what mends it.
+// fault is a fault that a test injects and heals.
 type fault struct {
 	name   string
-	inject func(scene *scene)
-	heal   func(scene *scene)
-	// silent faults end or stop the entry that the caller talks to.
-	silent bool
+	inject func(scenario *scenario)
+	heal   func(scenario *scenario)
+	// hitsCaller marks faults that kill or freeze the entry to which the caller is connected.
+	hitsCaller bool
 }
 
-// reservationFaults returns the faults that meet a call of the service.
+// reservationFaults returns the faults that are injected into a call of the service.
 func reservationFaults() []fault {
 	return []fault{
-		// The longest row is first, so that the others run beside it.
-		{name: "platformAway", inject: func(scene *scene) { scene.platformFaults(map[string]any{"outage": true}) }, heal: func(scene *scene) { scene.platformFaults(map[string]any{"outage": false}) }},
-		{name: "entryKilled", silent: true, inject: func(scene *scene) { scene.entry.process.Kill() }, heal: func(scene *scene) { scene.entry.start() }},
-		{name: "entryFrozen", silent: true, inject: func(scene *scene) { scene.entry.process.Freeze() }, heal: func(scene *scene) { scene.entry.process.Thaw() }},
-		{name: "ownerKilled", inject: func(scene *scene) { scene.owner.process.Kill() }, heal: func(scene *scene) { scene.owner.start() }},
-		{name: "ownerFrozen", inject: func(scene *scene) { scene.owner.process.Freeze() }, heal: func(scene *scene) { scene.owner.process.Thaw() }},
-		{name: "ownerCut", inject: func(scene *scene) { scene.isolate(scene.owner, relay.Cutting) }, heal: func(scene *scene) { scene.isolate(scene.owner, relay.Passing) }},
-		{name: "serviceKilled", inject: (*scene).killService, heal: func(scene *scene) { scene.service.restart(scene.system) }},
-		{name: "serviceFrozen", inject: func(scene *scene) { scene.service.process.Freeze() }, heal: func(scene *scene) { scene.service.process.Thaw() }},
-		{name: "serviceCut", inject: func(scene *scene) { scene.service.relay.Set(relay.Everyone, relay.Cutting) }, heal: func(scene *scene) { scene.service.relay.Set(relay.Everyone, relay.Passing) }},
-		{name: "platformCut", inject: func(scene *scene) { scene.entry.outer.Set(relay.Everyone, relay.Cutting) }, heal: func(scene *scene) { scene.entry.outer.Set(relay.Everyone, relay.Passing) }},
-		{name: "answerLost", inject: func(scene *scene) {
-			scene.platformFaults(map[string]any{"loseAnswers": 2, "loseAnswersKind": "claims"})
-		}, heal: func(scene *scene) { scene.platformFaults(map[string]any{"loseAnswers": 0}) }},
+		// The slowest fault is first, so that the others run in parallel with it.
+		{name: "platformAway", inject: func(scenario *scenario) { scenario.setPlatformFaults(map[string]any{"outage": true}) }, heal: func(scenario *scenario) { scenario.setPlatformFaults(map[string]any{"outage": false}) }},
+		{name: "entryKilled", hitsCaller: true, inject: func(scenario *scenario) { scenario.entry.process.Kill() }, heal: func(scenario *scenario) { scenario.entry.start() }},
+		{name: "entryFrozen", hitsCaller: true, inject: func(scenario *scenario) { scenario.entry.process.Freeze() }, heal: func(scenario *scenario) { scenario.entry.process.Thaw() }},
+		{name: "ownerKilled", inject: func(scenario *scenario) { scenario.owner.process.Kill() }, heal: func(scenario *scenario) { scenario.owner.start() }},
+		{name: "ownerFrozen", inject: func(scenario *scenario) { scenario.owner.process.Freeze() }, heal: func(scenario *scenario) { scenario.owner.process.Thaw() }},
+		{name: "ownerCut", inject: func(scenario *scenario) { scenario.isolate(scenario.owner, relay.Cutting) }, heal: func(scenario *scenario) { scenario.isolate(scenario.owner, relay.Passing) }},
+		{name: "serviceKilled", inject: (*scenario).killService, heal: func(scenario *scenario) { scenario.service.restart(scenario.system) }},
+		{name: "serviceFrozen", inject: func(scenario *scenario) { scenario.service.process.Freeze() }, heal: func(scenario *scenario) { scenario.service.process.Thaw() }},
+		{name: "serviceCut", inject: func(scenario *scenario) { scenario.service.relay.Set(relay.Everyone, relay.Cutting) }, heal: func(scenario *scenario) { scenario.service.relay.Set(relay.Everyone, relay.Passing) }},
+		{name: "platformCut", inject: func(scenario *scenario) { scenario.entry.platformRelay.Set(relay.Everyone, relay.Cutting) }, heal: func(scenario *scenario) { scenario.entry.platformRelay.Set(relay.Everyone, relay.Passing) }},
+		{name: "answerLost", inject: func(scenario *scenario) {
+			scenario.setPlatformFaults(map[string]any{"loseAnswers": 2, "loseAnswersKind": "claims"})
+		}, heal: func(scenario *scenario) { scenario.setPlatformFaults(map[string]any{"loseAnswers": 0}) }},
 	}
 }
 
-// killService kills the service and keeps what it had recorded.
-func (scene *scene) killService() {
-	for key, count := range scene.record("").Keys {
-		scene.witnessed[key] += count
+// killService kills the service after saving its recorded run counts.
+func (scenario *scenario) killService() {
+	for key, count := range scenario.runsSinceStart("").Keys {
+		scenario.runsBeforeKill[key] += count
 	}
-	scene.service.process.Kill()
+	scenario.service.process.Kill()
 }
 
-// isolate sets the mode of every link between an entry and its peers.
-func (scene *scene) isolate(entry *entry, mode relay.Mode) {
-	entry.inner.Set(relay.Everyone, mode)
-	for _, peer := range scene.entries {
+// isolate sets the mode of every relay between an entry and its peers.
+func (scenario *scenario) isolate(entry *entry, mode relay.Mode) {
+	entry.peerRelay.Set(relay.Everyone, mode)
+	for _, peer := range scenario.entries {
 		if peer != entry {
-			peer.inner.Set(entry.name, mode)
+			peer.peerRelay.Set(entry.name, mode)
 		}
 	}
 }
 
-// TestReservationFaults meets every step of a call that may run at most once
-// with every fault.
+// TestReservationFaults injects every fault at every step of a call that may run at most once.
 func TestReservationFaults(t *testing.T) {
 	slots := make(chan struct{}, parallelSystems)
 	for _, fault := range reservationFaults() {
@@ -74,106 +73,106 @@
 			t.Parallel()
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			system := startShape(t, shape{entries: []string{west, west, west}})
+			system := startTopology(t, topology{entries: []string{west, west, west}})
 			for index, step := range reservationSteps() {
-				system.play(fmt.Sprintf("%s-%d-%s", fault.name, index, step.name), fault, step)
+				system.runCell(fmt.Sprintf("%s-%d-%s", fault.name, index, step.name), fault, step)
 			}
 		})
 	}
 }
 
-// play runs one cell of the matrix and leaves the system whole.
-func (system *system) play(key string, fault fault, step step) {
+// runCell runs one cell of the matrix and leaves the system healthy.
+func (system *system) runCell(key string, fault fault, step step) {
 	t := system.t
 	t.Helper()
-	scene := system.newScene(key, stockPool)
-	scene.upstreams, scene.slots = []*upstream{system.service}, serviceSlot
-	scene.make = func() caller.Call { return reservation(key) }
-	scene.filler = func(index int) caller.Call { return reservation(fmt.Sprintf("%s-filler-%d", key, index)) }
-	first, during := scene.meet(fault, step)
-	system.serviceFaults(map[string]any{"slowMs": 0})
-	last := scene.other.settle(key)
+	scenario := system.newScenario(key, stockPool)
+	scenario.upstreams, scenario.slots = []*upstream{system.service}, serviceSlots
+	scenario.newCall = func() caller.Call { return reservation(key) }
+	scenario.newFiller = func(index int) caller.Call { return reservation(fmt.Sprintf("%s-filler-%d", key, index)) }
+	first, during := scenario.injectAt(fault, step)
+	system.setServiceFaults(map[string]any{"slowMs": 0})
+	last := scenario.other.sendUntilSettled(key)
 	t.Logf("%s: first %v; during %v; last %v", key, first, during, last)
-	scene.judge(first, during, last)
-	for index, filler := range scene.fillers {
+	scenario.checkOutcomes(first, during, last)
+	for index, filler := range scenario.fillers {
 		<-filler
-		runs := system.runs(fmt.Sprintf("%s-filler-%d", key, index))
+		runs := system.runCount(fmt.Sprintf("%s-filler-%d", key, index))
 		assert.Assert(t, runs <= 1, "filler %d of %s ran %d times", index, key, runs)
 	}
 	for _, entry := range system.entries {
 		fresh := fmt.Sprintf("%s-after-%s", key, entry.name)
-		got := entry.settle(fresh)
-		assert.Assert(t, got.Whole && system.runs(fresh) == 1, "%s: %v", fresh, got)
+		got := entry.sendUntilSettled(fresh)
+		assert.Assert(t, got.Whole && system.runCount(fresh) == 1, "%s: %v", fresh, got)
 	}
 }
 
-// newScene returns a scene whose entry does not own the pool.
-func (system *system) newScene(key, pool string) *scene {
+// newScenario returns a scenario whose entry does not own the pool.
+func (system *system) newScenario(key, pool string) *scenario {
 	system.t.Helper()
-	scene := &scene{system: system, key: key, pool: pool}
-	scene.owner = system.owner(west, pool)
-	scene.entry = system.other(west, scene.owner)
+	scenario := &scenario{system: system, key: key, pool: pool}
+	scenario.owner = system.owner(west, pool)
+	scenario.entry = system.otherEntry(west, scenario.owner)
 	for _, entry := range system.entries {
-		if entry != scene.owner && entry != scene.entry {
-			scene.other = entry
+		if entry != scenario.owner && entry != scenario.entry {
+			scenario.other = entry
 		}
 	}
-	return scene
+	return scenario
 }
 
-// meet brings the request to the step, lets the fault happen and returns what
-// the caller got, and what a repeat got while the fault lasted.
-func (scene *scene) meet(fault fault, step step) (first, during caller.Reply) {
-	scene.t.Helper()
-	release := step.reach(scene)
-	fault.inject(scene)
+// injectAt brings the request to the step and injects the fault. It returns the caller's reply and
+// the reply to a repeat of the request during the fault.
+func (scenario *scenario) injectAt(fault fault, step step) (first, during caller.Reply) {
+	scenario.t.Helper()
+	release := step.reach(scenario)
+	fault.inject(scenario)
 	release()
-	if fault.silent {
-		during = scene.repeat()
-		fault.heal(scene)
-		first = scene.firstReply()
+	if fault.hitsCaller {
+		during = scenario.repeat()
+		fault.heal(scenario)
+		first = scenario.firstReply()
 	} else {
-		first = scene.firstReply()
-		during = scene.repeat()
-		fault.heal(scene)
+		first = scenario.firstReply()
+		during = scenario.repeat()
+		fault.heal(scenario)
 	}
-	scene.awaitReady()
+	scenario.awaitReady()
 	return first, during
 }
 
-// firstReply returns what the caller's first sending got.
-func (scene *scene) firstReply() caller.Reply {
-	if scene.answered != nil {
-		return *scene.answered
+// firstReply returns the reply to the caller's first send.
+func (scenario *scenario) firstReply() caller.Reply {
+	if scenario.earlyReply != nil {
+		return *scenario.earlyReply
 	}
-	return <-scene.first
+	return <-scenario.first
 }
 
 // repeat sends the request again through another entry while the fault lasts.
-func (scene *scene) repeat() caller.Reply {
-	return scene.other.send(scene.make())
+func (scenario *scenario) repeat() caller.Reply {
+	return scenario.other.send(scenario.newCall())
 }
 
-// judge checks the told outcomes against the service's own record.
-func (scene *scene) judge(replies ...caller.Reply) {
-	t := scene.t
+// checkOutcomes checks the outcomes in the replies against the service's own record of runs.
+func (scenario *scenario) checkOutcomes(replies ...caller.Reply) {
+	t := scenario.t
 	t.Helper()
-	runs := scene.runs(scene.key)
-	assert.Assert(t, runs <= 1, "%s ran %d times: %v", scene.key, runs, replies)
+	runs := scenario.runCount(scenario.key)
+	assert.Assert(t, runs <= 1, "%s ran %d times: %v", scenario.key, runs, replies)
 	for _, reply := range replies {
-		assert.Assert(t, reply.Took < hangLimit, "%s hung: %v", scene.key, reply)
+		assert.Assert(t, reply.Took < hangTimeout, "%s hung: %v", scenario.key, reply)
 		if reply.Failed {
-			assert.Equal(t, reply.Header.Get("X-Outcome"), reply.Outcome, "%s: %v", scene.key, reply)
+			assert.Equal(t, reply.Header.Get("X-Outcome"), reply.Outcome, "%s: %v", scenario.key, reply)
 		}
 		switch {
 		case reply.Whole:
-			assert.Equal(t, runs, 1, "%s: %v", scene.key, reply)
-			assert.Equal(t, gjson.Get(reply.Body, "key").String(), scene.key)
+			assert.Equal(t, runs, 1, "%s: %v", scenario.key, reply)
+			assert.Equal(t, gjson.Get(reply.Body, "key").String(), scenario.key)
 		case reply.NotRun():
-			assert.Assert(t, !scene.ranFor(scene.key, reply.RequestID()), "%s: told notRun and ran: %v", scene.key, reply)
+			assert.Assert(t, !scenario.ranAttemptOf(scenario.key, reply.RequestID()), "%s: reported notRun although it ran: %v", scenario.key, reply)
 		case reply.Status != 0:
-			assert.Assert(t, reply.Outcome == "unknown" || reply.Outcome == "ran", "%s: %v", scene.key, reply)
-			assert.Assert(t, reply.Code != "", "%s: %v", scene.key, reply)
+			assert.Assert(t, reply.Outcome == "unknown" || reply.Outcome == "ran", "%s: %v", scenario.key, reply)
+			assert.Assert(t, reply.Code != "", "%s: %v", scenario.key, reply)
 		}
 	}
 }
--- a/endtoend/fleet_test.go
+++ b/endtoend/fleet_test.go
@@ -21,56 +21,57 @@
 )
 
 const (
-	// settingsVariable names the one that holds the path of a node's settings.
+	// settingsVariable names the environment variable that holds the path of a node's settings.
 	settingsVariable = "LIMPETCLEAT_SETTINGS"
-	// fleetHost is the host of every rule, fleetKey the key of the one organisation.
+	// fleetHost is the host of every rule, fleetKey the API key of the only Organisation.
 	fleetHost = "h.example"
 	fleetKey  = "key"
-	// ruleTimeout is the longest time that a rule's requests may take.
+	// ruleTimeout is the timeout of a rule's requests.
 	ruleTimeout = 2 * time.Second
 )
 
-// fleet is a set of nodes on the users' platform, each a process of its own, before a
-// stand-in store and upstreams in the test's process.
+// fleet is a set of nodes on the users' platform. Each node is a separate process; the stand-in
+// store and the upstreams run in the test's process.
 type fleet struct {
 	t         *testing.T
 	directory string
 	store     *store.Store
-	// storeAddress is where the nodes reach the store.
+	// storeAddress is the address at which the nodes reach the store.
 	storeAddress string
-	// duties and dutyBounds are what the settings say of duties, nothing where there are none.
-	duties     string
-	dutyBounds string
-	// arguments are those of each node.
+	// dutySettings and dutyBoundSettings are the duty sections of the node settings; they are empty
+	// if the platform assigns no duties.
+	dutySettings      string
+	dutyBoundSettings string
+	// arguments are additional command-line arguments of each node.
 	arguments []string
 
-	// mutex guards the rest; no other lock is taken under it.
+	// mutex guards the fields below; no other lock is acquired while it is held.
 	mutex sync.Mutex
 	nodes []*node
-	// version is that of the configuration that the operator wrote last.
+	// version is the version of the configuration that was written last.
 	version int
-	// padding is how many bytes without a meaning make a configuration larger.
-	padding int
+	// paddingBytes is the size of the filler that enlarges a configuration.
+	paddingBytes int
 }
 
 // node is one node of a fleet.
 type node struct {
 	*child
-	callers string
-	ready   string
-	// operators is where operators see and lift what is held off.
-	operators string
-	// began is when the process was started.
-	began time.Time
+	callerAddress string
+	readyAddress  string
+	// operatorAddress serves the operators' commands, such as listing and lifting quarantines.
+	operatorAddress string
+	// startedAt is the time at which the process was started.
+	startedAt time.Time
 }
 
 func newFleet(t *testing.T) *fleet {
 	t.Helper()
-	return newFleetOver(t, store.NewLink(0))
+	return newFleetWithLink(t, store.NewLink(0))
 }
 
-// newFleetOver returns a fleet that reaches the store over the link.
-func newFleetOver(t *testing.T, link *store.Link) *fleet {
+// newFleetWithLink returns a fleet that reaches the store over the link.
+func newFleetWithLink(t *testing.T, link *store.Link) *fleet {
 	t.Helper()
 	fleet := &fleet{t: t, directory: t.TempDir(), store: store.New()}
 	server := httptest.NewServer(link.Over(fleet.store.Handler()))
@@ -82,9 +83,9 @@
 	return fleet
 }
 
-// inBothWays runs a test with nodes that each ask the store, and with nodes of which few
-// ask and tell the others.
-func inBothWays(t *testing.T, test func(t *testing.T, fleet *fleet)) {
+// withAndWithoutDelegation runs a test twice: with nodes that each watch the store themselves, and
+// with nodes of which a few watch the store and forward changes to the others.
+func withAndWithoutDelegation(t *testing.T, test func(t *testing.T, fleet *fleet)) {
 	t.Helper()
 	for name, arguments := range map[string][]string{"alone": nil, "delegated": {"-delegation"}} {
 		t.Run(name, func(t *testing.T) {
@@ -95,8 +96,8 @@
 	}
 }
 
-// configure writes the next version of the configuration, with the rules given, and
-// returns when the store had it.
+// configure writes the next version of the configuration, with the given rules, and returns the
+// time at which the store had accepted it.
 func (fleet *fleet) configure(rules ...map[string]any) time.Time {
 	fleet.t.Helper()
 	fleet.mutex.Lock()
@@ -105,7 +106,7 @@
 	fleet.mutex.Unlock()
 	assert.NilError(fleet.t, fleet.store.Put("config", "main", map[string]any{
 		"version":  version,
-		"padding":  strings.Repeat("x", fleet.padding),
+		"padding":  strings.Repeat("x", fleet.paddingBytes),
 		"routes":   rules,
 		"services": []map[string]any{{"name": "desk"}},
 		"tenants":  []map[string]any{{"name": "guild", "api_keys": []string{fleetKey}}},
@@ -113,7 +114,7 @@
 	return time.Now()
 }
 
-// unsafeRule returns a rule whose requests may not be repeated.
+// unsafeRule returns a rule whose requests must not be repeated.
 func unsafeRule(prefix string) map[string]any {
 	return map[string]any{
 		"name": "rule" + prefix, "host": fleetHost, "path_prefix": prefix, "route_type": "unsafe",
@@ -121,66 +122,67 @@
 	}
 }
 
-// list writes an upstream's entry.
-func (fleet *fleet) list(name, address, state string) {
+// listUpstream writes an upstream's entry to the store.
+func (fleet *fleet) listUpstream(name, address, state string) {
 	fleet.t.Helper()
 	assert.NilError(fleet.t, fleet.store.Put("servers", name, map[string]any{"service": "desk", "address": address, "zone": west, "state": state}))
 }
 
-// upstream starts an upstream in the test's process and lists it.
-func (fleet *fleet) upstream(name string, serve http.HandlerFunc) *httptest.Server {
+// startUpstream starts an upstream in the test's process and lists it.
+func (fleet *fleet) startUpstream(name string, serve http.HandlerFunc) *httptest.Server {
 	fleet.t.Helper()
 	server := httptest.NewServer(serve)
 	fleet.t.Cleanup(func() {
 		server.CloseClientConnections()
 		server.Close()
 	})
-	fleet.list(name, server.Listener.Addr().String(), "ready")
+	fleet.listUpstream(name, server.Listener.Addr().String(), "ready")
 	return server
 }
 
-// sign writes what marks an answer as the upstream's to the request.
-func sign(writer http.ResponseWriter, request *http.Request) {
+// writeAttemptHeaders sets the headers that identify the response as the upstream's response to
+// this attempt.
+func writeAttemptHeaders(writer http.ResponseWriter, request *http.Request) {
 	writer.Header().Set("X-Attempt-Id", request.Header.Get("X-Attempt-Id"))
 	writer.Header().Set("X-Response-Seal", "signed")
 }
 
-// join starts a node; it is not waited for.
-func (fleet *fleet) join(name string) *node {
+// startNode starts a node without waiting until it is ready.
+func (fleet *fleet) startNode(name string) *node {
 	t := fleet.t
 	t.Helper()
-	joined := &node{callers: freeAddress(t), ready: freeAddress(t), operators: freeAddress(t)}
-	_, operators, err := net.SplitHostPort(joined.operators)
+	node := &node{callerAddress: freeAddress(t), readyAddress: freeAddress(t), operatorAddress: freeAddress(t)}
+	_, operators, err := net.SplitHostPort(node.operatorAddress)
 	assert.NilError(t, err)
 	_, inner, err := net.SplitHostPort(freeAddress(t))
 	assert.NilError(t, err)
 	settings := fmt.Sprintf("node: %[6]s\nip: %[1]s\nzone: west\nlisten:\n  frontend: %[2]s\n  ready: %[3]s\n"+
 		"internal_ports: [%[4]s, %[4]s]\nlimits: {memory_mb: 256}\nbounds: {grace_s: 8, revoke_ms: 5000, retry_ratio: 0.2, retry_window_s: 10, retry_slack: 630%[7]s}\n"+
-		"platform: {address: %[5]q}\n%[8]s", loopback, joined.callers, joined.ready, inner, fleet.storeAddress, name, fleet.dutyBounds, fleet.duties)
+		"platform: {address: %[5]q}\n%[8]s", loopback, node.callerAddress, node.readyAddress, inner, fleet.storeAddress, name, fleet.dutyBoundSettings, fleet.dutySettings)
 	path := filepath.Join(fleet.directory, name+".yaml")
 	assert.NilError(t, os.WriteFile(path, []byte(settings), 0o600))
 	t.Setenv(settingsVariable, path)
-	joined.began = time.Now()
-	joined.child = startChild(t, fleet.directory, name, append([]string{"platform", "-operatorsPort", operators}, fleet.arguments...)...)
-	t.Cleanup(func() { show(t, joined.child) })
+	node.startedAt = time.Now()
+	node.child = startChild(t, fleet.directory, name, append([]string{"platform", "-operatorsPort", operators}, fleet.arguments...)...)
+	t.Cleanup(func() { logOutput(t, node.child) })
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
-	fleet.nodes = append(fleet.nodes, joined)
-	return joined
+	fleet.nodes = append(fleet.nodes, node)
+	return node
 }
 
-// all returns the nodes that were started so far.
-func (fleet *fleet) all() []*node {
+// startedNodes returns the nodes that have been started.
+func (fleet *fleet) startedNodes() []*node {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
 	return append([]*node(nil), fleet.nodes...)
 }
 
-// awaitReady waits until the node tells the balancer that it is ready.
+// awaitReady waits until the node's readiness check for the balancer succeeds.
 func (node *node) awaitReady() {
 	node.t.Helper()
-	eventually(node.t, startLimit, node.name+" is ready", func() bool {
-		answer, err := http.Get("http://" + node.ready + "/readyz")
+	eventually(node.t, startTimeout, node.name+" is ready", func() bool {
+		answer, err := http.Get("http://" + node.readyAddress + "/readyz")
 		if err != nil {
 			return false
 		}
@@ -188,19 +190,19 @@
 	})
 }
 
-// reply is what came of one request.
+// reply is the result of one request.
 type reply struct {
-	// status is 0 when no whole answer came.
+	// status is 0 if no complete response was received.
 	status int
 	text   string
-	// untaken is set when not even a connection came about, so that nothing was sent.
-	untaken bool
-	// pause is after what time the caller is asked to come again.
-	pause time.Duration
-	took  time.Duration
+	// notConnected is set if the connection could not be established, so that nothing was sent.
+	notConnected bool
+	// retryAfter is the delay that the response requests before a retry.
+	retryAfter time.Duration
+	took       time.Duration
 }
 
-// client sends requests to the nodes of a fleet over connections that it keeps.
+// client sends requests to the nodes of a fleet over persistent connections.
 type client struct {
 	transport *http.Transport
 }
@@ -212,9 +214,9 @@
 	return &client{transport: transport}
 }
 
-// request returns a request to the node with an attempt's id of its own.
+// request returns a request to the node with an attempt ID of its own.
 func (node *node) request(path string) *http.Request {
-	request, err := http.NewRequest(http.MethodPost, "http://"+node.callers+path, http.NoBody)
+	request, err := http.NewRequest(http.MethodPost, "http://"+node.callerAddress+path, http.NoBody)
 	assert.NilError(node.t, err)
 	request.Host = fleetHost
 	request.Header.Set("X-Attempt-Id", fmt.Sprint(time.Now().UnixNano()))
@@ -223,12 +225,12 @@
 	return request
 }
 
-// send sends a request and reads its answer whole.
+// send sends a request and reads the complete response.
 func (client *client) send(request *http.Request) reply {
 	began := time.Now()
 	answer, err := client.transport.RoundTrip(request)
 	if err != nil {
-		return reply{text: err.Error(), untaken: isUntaken(err), took: time.Since(began)}
+		return reply{text: err.Error(), notConnected: isDialError(err), took: time.Since(began)}
 	}
 	defer answer.Body.Close()
 	text, err := io.ReadAll(answer.Body)
@@ -237,13 +239,13 @@
 	}
 	got := reply{status: answer.StatusCode, text: string(text), took: time.Since(began)}
 	if seconds, err := strconv.ParseFloat(answer.Header.Get("Retry-After"), 64); err == nil {
-		got.pause = time.Duration(seconds * float64(time.Second))
+		got.retryAfter = time.Duration(seconds * float64(time.Second))
 	}
 	return got
 }
 
-// isUntaken tells whether no connection could be made.
-func isUntaken(err error) bool {
+// isDialError reports whether the connection could not be established.
+func isDialError(err error) bool {
 	var failure *net.OpError
 	return errors.As(err, &failure) && failure.Op == "dial"
 }
--- a/endtoend/joining_test.go
+++ b/endtoend/joining_test.go
@@ -14,60 +14,61 @@
 )
 
 const (
-	// bookers is how many callers book at the same time: more than one for each node,
-	// and as many as the machines of CI serve with ease.
-	bookers = 12
-	// bookingTries is how often a caller who is told that a booking has not run sends it.
-	bookingTries = 4
-	// longestPause is the longest that a caller waits before it comes again.
-	longestPause = 300 * time.Millisecond
-	// noticed is how long after SIGTERM the balancer takes a node out: two questions a
-	// second apart.
-	noticed = 2 * time.Second
-	// inForceWithin is how long a change may take until every node goes by it, the
-	// users' bound for hundreds of nodes.
-	inForceWithin = 4 * time.Second
-	// leavingWithin is how long after an upstream is listed as leaving it may still get
-	// requests, the users' bound for hundreds of nodes.
-	leavingWithin = 4 * time.Second
+	// bookingCallers is the number of concurrent callers: more than one for each node, and few
+	// enough for the CI machines.
+	bookingCallers = 12
+	// bookingAttempts is the number of times a caller sends a booking whose responses report that
+	// it has not run.
+	bookingAttempts = 4
+	// maxPause limits the time that a caller waits before a retry.
+	maxPause = 300 * time.Millisecond
+	// balancerDelay is the time after SIGTERM at which the balancer removes a node: two health
+	// checks a second apart.
+	balancerDelay = 2 * time.Second
+	// configurationTimeout is the time within which every node must apply a change, the users'
+	// bound for hundreds of nodes.
+	configurationTimeout = 4 * time.Second
+	// leavingTimeout is the time for which an upstream may still receive requests after it is
+	// listed as leaving, the users' bound for hundreds of nodes.
+	leavingTimeout = 4 * time.Second
 )
 
-// desk is what upstreams witness of bookings.
-type desk struct {
-	// mutex guards the rest; no other lock is taken under it.
+// bookingRecorder records the bookings that reach the upstreams.
+type bookingRecorder struct {
+	// mutex guards the fields below; no other lock is acquired while it is held.
 	mutex sync.Mutex
 	// runs counts the runs of each booking.
 	runs map[string]int
-	// lastByNode is when a request of a node reached each upstream last.
+	// lastByNode is the time of the last request from each node, by upstream and node.
 	lastByNode map[string]map[string]time.Time
 }
 
-func newDesk() *desk {
-	return &desk{runs: make(map[string]int), lastByNode: make(map[string]map[string]time.Time)}
+func newBookingRecorder() *bookingRecorder {
+	return &bookingRecorder{runs: make(map[string]int), lastByNode: make(map[string]map[string]time.Time)}
 }
 
-// serve returns an upstream's handler, which takes its time and confirms the booking.
-func (desk *desk) serve(upstream string) http.HandlerFunc {
+// serve returns an upstream's handler, which confirms the booking after a short delay.
+func (recorder *bookingRecorder) serve(upstream string) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		booking := request.Header.Get("X-Booking")
-		desk.note(upstream, request.Header.Get("X-Node"), booking)
+		recorder.recordArrival(upstream, request.Header.Get("X-Node"), booking)
 		<-time.After(10 * time.Millisecond)
-		sign(writer, request)
+		writeAttemptHeaders(writer, request)
 		_, _ = io.WriteString(writer, booking) // A caller that has left needs no answer.
 	}
 }
 
-func (desk *desk) note(upstream, node, booking string) {
-	desk.mutex.Lock()
-	defer desk.mutex.Unlock()
-	desk.runs[booking]++
-	if desk.lastByNode[upstream] == nil {
-		desk.lastByNode[upstream] = make(map[string]time.Time)
+func (recorder *bookingRecorder) recordArrival(upstream, node, booking string) {
+	recorder.mutex.Lock()
+	defer recorder.mutex.Unlock()
+	recorder.runs[booking]++
+	if recorder.lastByNode[upstream] == nil {
+		recorder.lastByNode[upstream] = make(map[string]time.Time)
 	}
-	desk.lastByNode[upstream][node] = time.Now()
+	recorder.lastByNode[upstream][node] = time.Now()
 }
 
-// outcome is what a caller knows of a booking in the end.
+// outcome is the result of a booking as far as its caller can determine it.
 type outcome string
 
 const (
@@ -76,165 +77,166 @@
 	unknown   outcome = "unknown"
 )
 
-// booking is one booking as its caller saw it.
+// booking is one booking from its caller's point of view.
 type booking struct {
 	id      string
 	outcome outcome
-	// node is the one that was asked last.
-	node string
-	// longest is the longest that an answer took.
-	longest time.Duration
-	text    string
+	// lastNode is the node to which the last attempt was sent.
+	lastNode string
+	// longestResponse is the duration of the slowest attempt.
+	longestResponse time.Duration
+	text            string
 }
 
-// counter is the callers of a fleet, who book until they are told to stop.
-type counter struct {
+// bookingClients are the callers of a fleet, which send bookings until they are stopped.
+type bookingClients struct {
 	fleet *fleet
-	// over is closed when the callers are to stop.
-	over chan struct{}
+	// stop is closed to stop the callers.
+	stop chan struct{}
 
-	// mutex guards the rest; no other lock is taken under it.
+	// mutex guards the fields below; no other lock is acquired while it is held.
 	mutex    sync.Mutex
 	bookings []booking
-	// out holds the nodes that the balancer has taken out.
-	out map[string]bool
+	// removed holds the nodes that the balancer has removed.
+	removed map[string]bool
 }
 
-// open lets the callers begin; the group ends after over is closed.
-func (counter *counter) open(group *conc.WaitGroup) {
-	for number := range bookers {
-		draw := rand.New(rand.NewPCG(1, uint64(number)))
-		caller := newClient(counter.fleet.t)
+// start starts the callers; the group finishes after stop is closed.
+func (clients *bookingClients) start(group *conc.WaitGroup) {
+	for number := range bookingCallers {
+		random := rand.New(rand.NewPCG(1, uint64(number)))
+		caller := newClient(clients.fleet.t)
 		group.Go(func() {
-			for made := 0; !counter.closed(); made++ {
-				counter.keep(counter.book(caller, draw, fmt.Sprintf("%d-%d", number, made)))
+			for count := 0; !clients.stopped(); count++ {
+				clients.add(clients.book(caller, random, fmt.Sprintf("%d-%d", number, count)))
 			}
 		})
 	}
 }
 
-func (counter *counter) closed() bool {
+func (clients *bookingClients) stopped() bool {
 	select {
-	case <-counter.over:
+	case <-clients.stop:
 		return true
 	default:
 		return false
 	}
 }
 
-func (counter *counter) keep(booking booking) {
-	counter.mutex.Lock()
-	defer counter.mutex.Unlock()
-	counter.bookings = append(counter.bookings, booking)
+func (clients *bookingClients) add(booking booking) {
+	clients.mutex.Lock()
+	defer clients.mutex.Unlock()
+	clients.bookings = append(clients.bookings, booking)
 }
 
-// takeOut takes a node out of those that callers turn to.
-func (counter *counter) takeOut(node *node) {
-	counter.mutex.Lock()
-	defer counter.mutex.Unlock()
-	counter.out[node.name] = true
+// remove removes a node from the balancer.
+func (clients *bookingClients) remove(node *node) {
+	clients.mutex.Lock()
+	defer clients.mutex.Unlock()
+	clients.removed[node.name] = true
 }
 
-// pick draws one of the nodes that the balancer turns callers to, ready or not.
-func (counter *counter) pick(draw *rand.Rand) *node {
-	var open []*node
-	counter.mutex.Lock()
-	defer counter.mutex.Unlock()
-	for _, node := range counter.fleet.all() {
-		if !counter.out[node.name] {
-			open = append(open, node)
+// pickNode returns a random node among those that the balancer has not removed, ready or not.
+func (clients *bookingClients) pickNode(random *rand.Rand) *node {
+	var candidates []*node
+	clients.mutex.Lock()
+	defer clients.mutex.Unlock()
+	for _, node := range clients.fleet.startedNodes() {
+		if !clients.removed[node.name] {
+			candidates = append(candidates, node)
 		}
 	}
-	return open[draw.IntN(len(open))]
+	return candidates[random.IntN(len(candidates))]
 }
 
-// book sends a booking until it is confirmed or nobody can tell whether it ran: as the
-// users' callers do, again only on a promise that it has not run.
-func (counter *counter) book(caller *client, draw *rand.Rand, id string) booking {
-	made := booking{id: id, outcome: refused}
-	for range bookingTries {
-		node := counter.pick(draw)
+// book sends a booking until it is confirmed or its outcome is unknown. Like the users' callers, it
+// retries only when the booking is known not to have run.
+func (clients *bookingClients) book(caller *client, random *rand.Rand, id string) booking {
+	result := booking{id: id, outcome: refused}
+	for range bookingAttempts {
+		node := clients.pickNode(random)
 		request := node.request("/book/")
 		request.Header.Set("X-Booking", id)
 		got := caller.send(request)
-		made.node, made.text = node.name, got.text
-		made.longest = max(made.longest, got.took)
+		result.lastNode, result.text = node.name, got.text
+		result.longestResponse = max(result.longestResponse, got.took)
 		switch {
 		case got.status == http.StatusOK && got.text == id:
-			made.outcome = confirmed
-			return made
-		case got.status == http.StatusServiceUnavailable || got.status == http.StatusTooManyRequests || got.untaken:
-			<-time.After(min(got.pause, longestPause))
+			result.outcome = confirmed
+			return result
+		case got.status == http.StatusServiceUnavailable || got.status == http.StatusTooManyRequests || got.notConnected:
+			<-time.After(min(got.retryAfter, maxPause))
 		default:
-			made.outcome = unknown
-			return made
+			result.outcome = unknown
+			return result
 		}
 	}
-	return made
+	return result
 }
 
-// check holds every booking to what the upstreams witnessed, and returns how many each
-// node confirmed. Only at the node that was killed may a caller be left without word.
-func (counter *counter) check(desk *desk, killed *node) map[string]int {
-	t := counter.fleet.t
-	served := make(map[string]int)
-	for _, booking := range counter.bookings {
-		runs := desk.runs[booking.id]
-		assert.Assert(t, booking.longest < ruleTimeout+quickLimit, "%+v hung", booking)
+// checkBookings checks every booking against the upstreams' record and returns the number of
+// bookings that each node confirmed. Only the killed node may leave a caller with an unknown
+// outcome.
+func (clients *bookingClients) checkBookings(recorder *bookingRecorder, killed *node) map[string]int {
+	t := clients.fleet.t
+	confirmedBy := make(map[string]int)
+	for _, booking := range clients.bookings {
+		runs := recorder.runs[booking.id]
+		assert.Assert(t, booking.longestResponse < ruleTimeout+quickTimeout, "%+v hung", booking)
 		switch booking.outcome {
 		case confirmed:
-			served[booking.node]++
+			confirmedBy[booking.lastNode]++
 			assert.Equal(t, runs, 1, "%+v", booking)
 		case refused:
 			assert.Equal(t, runs, 0, "%+v", booking)
 		case unknown:
 			assert.Assert(t, runs <= 1, "%+v ran %d times", booking, runs)
-			assert.Equal(t, booking.node, killed.name, "%+v", booking)
+			assert.Equal(t, booking.lastNode, killed.name, "%+v", booking)
 		}
 	}
-	return served
+	return confirmedBy
 }
 
-// TestBookingsWhileNodesJoin holds what callers of an order desk are owed while a fleet
-// triples under load and loses nodes: a booking is confirmed or refused in time, runs at
-// most once, however often and wherever it is sent, and never once refused for good.
-// Joined nodes are turned to from the moment at which their processes start. One of the
-// first nodes is stopped as planned, one killed.
+// TestBookingsWhileNodesJoin checks the guarantees to an order desk while a fleet triples under
+// load and loses nodes: a booking is confirmed or refused in time, runs at most once, however often
+// and wherever it is sent, and never runs if it was finally refused. Joined nodes receive requests
+// as soon as their processes start. One of the first nodes is stopped as planned, another is
+// killed.
 //
-// The users saw a confirmation hang when machines joined, and its reservation twice.
-func TestBookingsWhileNodesJoin(t *testing.T) { inBothWays(t, bookingsWhileNodesJoin) }
+// It guards against confirmations that hang when nodes join, and against bookings that run twice.
+func TestBookingsWhileNodesJoin(t *testing.T) { withAndWithoutDelegation(t, bookingsWhileNodesJoin) }
 
 func bookingsWhileNodesJoin(t *testing.T, fleet *fleet) {
-	desk := newDesk()
+	recorder := newBookingRecorder()
 	fleet.configure(unsafeRule("/book/"))
-	fleet.upstream("u1", desk.serve("u1"))
-	fleet.upstream("u2", desk.serve("u2"))
-	stopped, killed, kept := fleet.join("entry-1"), fleet.join("entry-2"), fleet.join("entry-3")
+	fleet.startUpstream("u1", recorder.serve("u1"))
+	fleet.startUpstream("u2", recorder.serve("u2"))
+	stopped, killed, kept := fleet.startNode("entry-1"), fleet.startNode("entry-2"), fleet.startNode("entry-3")
 	for _, node := range []*node{stopped, killed, kept} {
 		node.awaitReady()
 	}
 
-	counter := &counter{fleet: fleet, over: make(chan struct{}), out: make(map[string]bool)}
+	clients := &bookingClients{fleet: fleet, stop: make(chan struct{}), removed: make(map[string]bool)}
 	var callers conc.WaitGroup
-	counter.open(&callers)
+	clients.start(&callers)
 	var joined []*node
 	for number := range 6 {
-		joined = append(joined, fleet.join(fmt.Sprintf("joined-%d", number)))
+		joined = append(joined, fleet.startNode(fmt.Sprintf("joined-%d", number)))
 	}
 	for _, node := range joined {
 		node.awaitReady()
 	}
 	stopped.Stop()
 	killed.Kill()
-	counter.takeOut(killed)
-	<-time.After(noticed)
-	counter.takeOut(stopped)
-	assert.Equal(t, stopped.exitCode(hangLimit), 0)
-	close(counter.over)
+	clients.remove(killed)
+	<-time.After(balancerDelay)
+	clients.remove(stopped)
+	assert.Equal(t, stopped.exitCode(hangTimeout), 0)
+	close(clients.stop)
 	callers.Wait()
 
-	served := counter.check(desk, killed)
-	t.Logf("confirmed by node: %v of %d", served, len(counter.bookings))
+	served := clients.checkBookings(recorder, killed)
+	t.Logf("confirmed by node: %v of %d", served, len(clients.bookings))
 	for _, node := range append(joined, kept) {
 		assert.Assert(t, served[node.name] > 0, "%s confirmed nothing", node.name)
 	}
--- a/endtoend/leaving_test.go
+++ b/endtoend/leaving_test.go
@@ -11,92 +11,94 @@
 )
 
 const (
-	// leftAloneAfter is how long after a node has passed on an answer that says so a request
-	// that it is sent may still reach an upstream that leaves: the users' bound.
-	leftAloneAfter = 2 * time.Second
-	// storeAwayAfter is how long after that word the store fails, for storeAwayFor.
-	storeAwayAfter = 500 * time.Millisecond
-	storeAwayFor   = 3 * time.Second
+	// leavingGrace is the time after a node has forwarded the first response that announces an
+	// upstream's leaving. Requests sent to that node later must not reach the upstream: the users'
+	// bound.
+	leavingGrace = 2 * time.Second
+	// storeOutageDelay is the time from the announcement to the store's outage, which lasts for
+	// storeOutageDuration.
+	storeOutageDelay    = 500 * time.Millisecond
+	storeOutageDuration = 3 * time.Second
 )
 
-// saysLeaving says that the upstream leaves.
-func saysLeaving(header http.Header) (said, refuses bool) {
+// announceLeaving is a script that announces that the upstream is leaving.
+func announceLeaving(header http.Header) (announces, refuses bool) {
 	header.Set("Server-Leaving", "1")
 	return true, false
 }
 
-// late counts the requests that were sent to nodes too long after the upstream had told them
-// that it leaves.
-func (talker *talker) late() int {
-	talker.mutex.Lock()
-	defer talker.mutex.Unlock()
+// lateArrivals counts the requests that were sent to a node more than leavingGrace after the
+// upstream had announced its leaving to that node.
+func (upstream *scriptedUpstream) lateArrivals() int {
+	upstream.mutex.Lock()
+	defer upstream.mutex.Unlock()
 	count := 0
-	for _, arrival := range talker.arrivals {
-		if told, known := talker.told[arrival.node]; known && arrival.sentAt.After(told.Add(leftAloneAfter)) {
+	for _, arrival := range upstream.arrivals {
+		if announced, known := upstream.announcedAt[arrival.node]; known && arrival.sentAt.After(announced.Add(leavingGrace)) {
 			count++
 		}
 	}
 	return count
 }
 
-// TestUpstreamThatSaysItLeavesIsLeftAlone has an upstream say so in its answers. Half a second
-// later the store fails, and the upstream's entry stays as it was.
+// TestUpstreamThatSaysItLeavesIsLeftAlone lets an upstream announce in its responses that it is
+// leaving. Half a second later the store fails, so the upstream's entry in the store is unchanged.
 //
-// Seen: 653 requests sent later than 2 s after the word reached it. Nodes went by the entry
-// alone.
-func TestUpstreamThatSaysItLeavesIsLeftAlone(t *testing.T) { inBothWays(t, oneLeaves) }
+// It guards against nodes that go by the entry in the store alone: 653 requests that were sent more
+// than 2 s after the announcement reached the upstream.
+func TestUpstreamThatSaysItLeavesIsLeftAlone(t *testing.T) { withAndWithoutDelegation(t, oneLeaves) }
 
 func oneLeaves(t *testing.T, fleet *fleet) {
-	upstreams := startTalkers(fleet, 4)
-	nodes := startAsked(t, fleet, 4)
-	assert.Assert(t, len(ask(nodes, 150, time.Second)) > 0)
+	upstreams := startAllScripted(fleet, 4)
+	nodes := startSafeNodes(t, fleet, 4)
+	assert.Assert(t, len(sendLoad(nodes, 150, time.Second)) > 0)
 	leaving := upstreams[0]
-	assert.Assert(t, leaving.since(time.Time{}) > 0, "it had no requests before")
-	leaving.say(saysLeaving)
-	var trouble conc.WaitGroup
-	trouble.Go(func() {
-		<-time.After(storeAwayAfter)
+	assert.Assert(t, leaving.arrivalsSince(time.Time{}) > 0, "the upstream had received no requests before")
+	leaving.setScript(announceLeaving)
+	var outage conc.WaitGroup
+	outage.Go(func() {
+		<-time.After(storeOutageDelay)
 		fleet.store.Refuse(http.StatusServiceUnavailable)
-		<-time.After(storeAwayFor)
+		<-time.After(storeOutageDuration)
 		fleet.store.Refuse(0)
 	})
-	replies := ask(nodes, 150, storeAwayAfter+storeAwayFor+2*time.Second)
-	trouble.Wait()
-	assert.Equal(t, leaving.late(), 0)
-	served, refused := count(t, replies)
-	t.Logf("%d requests at the upstream since it began to leave, %d late; %d served, %d refused", len(leaving.said), leaving.late(), served, refused)
+	replies := sendLoad(nodes, 150, storeOutageDelay+storeOutageDuration+2*time.Second)
+	outage.Wait()
+	assert.Equal(t, leaving.lateArrivals(), 0)
+	served, refused := countOutcomes(t, replies)
+	t.Logf("%d announcements of the leaving upstream, %d late requests; %d served, %d refused", len(leaving.announcements), leaving.lateArrivals(), served, refused)
 	for _, request := range replies {
-		// Without the store, keys are honoured for 5 s only.
-		unconfirmed := strings.Contains(request.got.text, "unconfirmed")
-		assert.Check(t, request.got.status == http.StatusOK || unconfirmed, "the others could serve all: %v", request.got)
+		// Without the store, API keys are accepted for 5 s only.
+		unconfirmed := strings.Contains(request.reply.text, "unconfirmed")
+		assert.Check(t, request.reply.status == http.StatusOK || unconfirmed, "the other upstreams could serve all requests: %v", request.reply)
 	}
 
-	// What has its address by now is used.
+	// A new upstream at the same address receives requests.
 	fleet.store.Remove("servers", leaving.name)
-	leaving.say(nil)
-	fleet.list("u9", leaving.address, "ready")
+	leaving.setScript(nil)
+	fleet.listUpstream("u9", leaving.address, "ready")
 	from := time.Now()
-	ask(nodes, 150, 3*time.Second)
-	assert.Assert(t, leaving.since(from) > 10, "%d requests", leaving.since(from))
+	sendLoad(nodes, 150, 3*time.Second)
+	assert.Assert(t, leaving.arrivalsSince(from) > 10, "%d requests", leaving.arrivalsSince(from))
 }
 
-// TestAllUpstreamsSayTheyLeave has them all say so: callers are refused at once, as nothing has
-// run, and served again once another is listed.
+// TestAllUpstreamsSayTheyLeave lets all upstreams announce that they are leaving: callers are
+// refused at once, as nothing has run, and served again once another upstream is listed.
 func TestAllUpstreamsSayTheyLeave(t *testing.T) {
 	fleet := newFleet(t)
-	upstreams := startTalkers(fleet, 2)
-	nodes := startAsked(t, fleet, 2)
+	upstreams := startAllScripted(fleet, 2)
+	nodes := startSafeNodes(t, fleet, 2)
 	for _, upstream := range upstreams {
-		upstream.say(saysLeaving)
+		upstream.setScript(announceLeaving)
 	}
-	replies := ask(nodes, 40, 4*time.Second)
+	replies := sendLoad(nodes, 40, 4*time.Second)
 	for _, upstream := range upstreams {
-		assert.Equal(t, upstream.late(), 0)
+		assert.Equal(t, upstream.lateArrivals(), 0)
 	}
-	_, refused := count(t, replies)
+	_, refused := countOutcomes(t, replies)
 	assert.Assert(t, refused > 40, "%d of %d were refused", refused, len(replies))
-	startTalker(fleet, "u9")
-	eventually(t, startLimit, "the new upstream is used", func() bool {
+	startScripted(fleet, "u9")
+	eventually(t, startTimeout, "the new upstream is used", func() bool {
 		return newClient(t).send(nodes[0].request("/safe/")).status == http.StatusOK
 	})
 }
--- a/endtoend/limited_test.go
+++ b/endtoend/limited_test.go
@@ -18,105 +18,105 @@
 )
 
 const (
-	// limitWindow, limitFactor and limitSlack make the users' bound on the requests that
-	// an upstream with a limit gets; it holds from limitSettles after the limit was first
-	// named, for nodes that were answered with it limitKnown before.
-	limitWindow  = 4 * time.Second
-	limitFactor  = 1.5
-	limitSlack   = 5
-	limitSettles = 3 * time.Second
-	limitKnown   = 500 * time.Millisecond
-	// limitSpan is how long callers ask.
-	limitSpan = 9 * time.Second
-	// limitUsed is the part of what an upstream allows that is to be used where more is
-	// asked for.
-	limitUsed = 0.6
-	// refusedWithin is how soon a request that no limit leaves room for is refused, which may
-	// take 2 s in all.
-	refusedWithin = time.Second
-	// sentAtHeader holds when a caller sent its request.
+	// limitWindow, limitFactor and limitSlack define the users' bound on the requests that reach an
+	// upstream with a limit. The bound holds from limitSettleTime after the first announcement of
+	// the limit, for nodes that received an announcement at least limitGrace before.
+	limitWindow     = 4 * time.Second
+	limitFactor     = 1.5
+	limitSlack      = 5
+	limitSettleTime = 3 * time.Second
+	limitGrace      = 500 * time.Millisecond
+	// limitLoadDuration is the time for which callers send requests.
+	limitLoadDuration = 9 * time.Second
+	// minLimitUse is the share of an upstream's limit that must be used while demand exceeds the
+	// limit.
+	minLimitUse = 0.6
+	// refusalTimeout is the time within which a request must be refused if no limit has capacity
+	// for it; the request itself may take 2 s.
+	refusalTimeout = time.Second
+	// sentAtHeader holds the time at which a caller sent its request.
 	sentAtHeader = "X-Sent-At"
 )
 
-// limited is an upstream that names a limit, none when it is 0.
-type limited struct {
-	*talker
+// limitedUpstream is an upstream that announces a limit, or none if the limit is 0.
+type limitedUpstream struct {
+	*scriptedUpstream
 	perSecond float64
 }
 
-// startLimited starts and lists upstreams with the limits.
-func startLimited(fleet *fleet, perSecond ...float64) []limited {
-	var all []limited
+// startLimited starts and lists upstreams with the given limits.
+func startLimited(fleet *fleet, perSecond ...float64) []limitedUpstream {
+	var upstreams []limitedUpstream
 	for number, rate := range perSecond {
-		upstream := limited{talker: startTalker(fleet, fmt.Sprintf("u%d", number)), perSecond: rate}
+		upstream := limitedUpstream{scriptedUpstream: startScripted(fleet, fmt.Sprintf("u%d", number)), perSecond: rate}
 		if rate > 0 {
-			upstream.say(func(header http.Header) (said, refuses bool) {
+			upstream.setScript(func(header http.Header) (announces, refuses bool) {
 				header.Set("Server-Limit", strconv.FormatFloat(rate, 'f', -1, 64))
 				return true, false
 			})
 		}
-		all = append(all, upstream)
+		upstreams = append(upstreams, upstream)
 	}
-	return all
+	return upstreams
 }
 
-// most returns the most requests that reached the upstream within a window from nodes that
-// knew its limit.
-func (limited limited) most() int {
-	limited.mutex.Lock()
-	defer limited.mutex.Unlock()
-	if len(limited.said) == 0 {
+// mostInWindow returns the largest number of requests that reached the upstream within a window
+// from nodes that had received its limit.
+func (upstream limitedUpstream) mostInWindow() int {
+	upstream.mutex.Lock()
+	defer upstream.mutex.Unlock()
+	if len(upstream.announcements) == 0 {
 		return 0
 	}
-	named := limited.said[0].at
-	var counted []time.Time
-	for _, arrival := range limited.arrivals {
-		told, known := limited.told[arrival.node]
-		if known && arrival.at.After(told.Add(limitKnown)) && arrival.at.After(named.Add(limitSettles)) {
-			counted = append(counted, arrival.at)
+	firstAnnounced := upstream.announcements[0].at
+	var times []time.Time
+	for _, arrival := range upstream.arrivals {
+		announced, known := upstream.announcedAt[arrival.node]
+		if known && arrival.at.After(announced.Add(limitGrace)) && arrival.at.After(firstAnnounced.Add(limitSettleTime)) {
+			times = append(times, arrival.at)
 		}
 	}
-	return measurer.Busiest(counted, limitWindow)
+	return measurer.Busiest(times, limitWindow)
 }
 
-// ask has callers send so many requests a second, evenly over the nodes, and returns what
-// came of each.
-func ask(nodes []*node, perSecond float64, span time.Duration) []asked {
+// sendLoad sends requests at the given rate, evenly distributed over the nodes, and returns the
+// exchanges.
+func sendLoad(nodes []*node, perSecond float64, span time.Duration) []exchange {
 	const callers = 16
-	replies := make([][]asked, callers)
-	began, every := time.Now(), time.Duration(callers/perSecond*float64(time.Second))
+	replies := make([][]exchange, callers)
+	began, interval := time.Now(), time.Duration(callers/perSecond*float64(time.Second))
 	var group conc.WaitGroup
 	for number := range callers {
 		group.Go(func() {
 			client := newClient(nodes[0].t)
-			due := began.Add(every * time.Duration(number) / callers)
-			for count := 0; due.Before(began.Add(span)); count++ {
-				<-time.After(time.Until(due))
+			dueAt := began.Add(interval * time.Duration(number) / callers)
+			for count := 0; dueAt.Before(began.Add(span)); count++ {
+				<-time.After(time.Until(dueAt))
 				at := time.Now()
 				request := nodes[(number+count)%len(nodes)].request("/safe/")
 				request.Header.Set(sentAtHeader, at.Format(time.RFC3339Nano))
-				replies[number] = append(replies[number], asked{at: at, got: client.send(request)})
-				due = due.Add(every)
+				replies[number] = append(replies[number], exchange{sentAt: at, reply: client.send(request)})
+				dueAt = dueAt.Add(interval)
 			}
 		})
 	}
 	group.Wait()
-	var all []asked
+	var exchanges []exchange
 	for _, each := range replies {
-		all = append(all, each...)
+		exchanges = append(exchanges, each...)
 	}
-	return all
+	return exchanges
 }
 
-// startAsked starts nodes that send what they may repeat to the upstreams.
-func startAsked(t *testing.T, fleet *fleet, count int) []*node {
+// startSafeNodes starts nodes with a rule whose requests may be repeated.
+func startSafeNodes(t *testing.T, fleet *fleet, count int) []*node {
 	t.Helper()
 	rule := unsafeRule("/safe/")
 	rule["route_type"], rule["max_attempts"] = "safe", 2
 	fleet.configure(rule)
 	var nodes []*node
 	for number := range count {
-		nodes = append(nodes, fleet.join(fmt.Sprintf("entry-%d", number)))
+		nodes = append(nodes, fleet.startNode(fmt.Sprintf("entry-%d", number)))
 	}
 	for _, node := range nodes {
 		node.awaitReady()
@@ -124,29 +124,29 @@
 	return nodes
 }
 
-// TestLimitOfAnUpstreamIsKept has upstreams name how many requests a second they take from
-// all nodes together, in two patterns: one upstream of six, so that all callers can be
-// served elsewhere, and all six, below what is asked.
+// TestLimitOfAnUpstreamIsKept lets upstreams announce the number of requests a second that they
+// accept from all nodes together, in two cases: one upstream of six, so that the others can serve
+// all callers, and all six, with limits below the demand.
 //
-// Seen: 232 requests in 4 s at an upstream that took 18, and all callers of the second
-// pattern served. No node read the limit.
+// It guards against nodes that ignore the limit: an upstream that accepted 18 requests in 4 s
+// received 232, and all callers of the second case were served.
 func TestLimitOfAnUpstreamIsKept(t *testing.T) {
-	t.Run("one of six", func(t *testing.T) { inBothWays(t, oneIsLimited) })
+	t.Run("one of six", func(t *testing.T) { withAndWithoutDelegation(t, oneIsLimited) })
 	t.Run("all", func(t *testing.T) { allAreLimited(t, newFleet(t)) })
 }
 
 func oneIsLimited(t *testing.T, fleet *fleet) {
 	upstreams := startLimited(fleet, 2.2, 0, 0, 0, 0, 0)
-	nodes := startAsked(t, fleet, 4)
+	nodes := startSafeNodes(t, fleet, 4)
 	began := time.Now()
-	replies := ask(nodes, 150, limitSpan)
+	replies := sendLoad(nodes, 150, limitLoadDuration)
 	checkLimits(t, upstreams, began)
 	for _, request := range replies {
-		assert.Check(t, request.got.status == http.StatusOK, "%v", request.got)
+		assert.Check(t, request.reply.status == http.StatusOK, "%v", request.reply)
 	}
 	issuers, shown := 0, ""
 	for _, node := range nodes {
-		output, err := exec.Command(os.Getenv(binaryVariable), "announced", "-nodes", node.operators).CombinedOutput()
+		output, err := exec.Command(os.Getenv(binaryVariable), "announced", "-nodes", node.operatorAddress).CombinedOutput()
 		assert.NilError(t, err, string(output))
 		assert.Check(t, strings.Contains(string(output), "2.2/s") && strings.Contains(string(output), "u0"), string(output))
 		issuers += strings.Count(string(output), "0 nodes before")
@@ -157,45 +157,46 @@
 
 func allAreLimited(t *testing.T, fleet *fleet) {
 	upstreams := startLimited(fleet, 0.5, 2.2, 3, 4, 5.3, 6)
-	nodes := startAsked(t, fleet, 4)
+	nodes := startSafeNodes(t, fleet, 4)
 	began := time.Now()
-	replies := ask(nodes, 110, limitSpan)
+	replies := sendLoad(nodes, 110, limitLoadDuration)
 	checkLimits(t, upstreams, began)
-	served, refused := count(t, replies)
+	served, refused := countOutcomes(t, replies)
 	t.Logf("%d served, %d refused", served, refused)
 }
 
-// count counts the callers that were served and refused, at once and with the time to come
-// again; there are no others.
-func count(t *testing.T, replies []asked) (served, refused int) {
+// countOutcomes counts the served and the refused callers. It checks that refusals are fast and
+// have a retry delay, and that there is no other outcome.
+func countOutcomes(t *testing.T, replies []exchange) (served, refused int) {
 	t.Helper()
 	for _, request := range replies {
-		switch request.got.status {
+		switch request.reply.status {
 		case http.StatusOK:
 			served++
 		case http.StatusServiceUnavailable:
 			refused++
-			assert.Check(t, request.got.pause > 0 && request.got.took < refusedWithin, "%v", request.got)
+			assert.Check(t, request.reply.retryAfter > 0 && request.reply.took < refusalTimeout, "%v", request.reply)
 		default:
-			t.Errorf("a caller got %v", request.got)
+			t.Errorf("unexpected reply %v", request.reply)
 		}
 	}
 	return served, refused
 }
 
-// checkLimits holds the upstreams to their bounds, and to how much of them is used.
-func checkLimits(t *testing.T, upstreams []limited, began time.Time) {
+// checkLimits checks that the requests to each upstream stay within its bound and use enough of its
+// limit.
+func checkLimits(t *testing.T, upstreams []limitedUpstream, began time.Time) {
 	t.Helper()
-	from := began.Add(limitSettles)
+	from := began.Add(limitSettleTime)
 	for _, upstream := range upstreams {
-		used := upstream.since(from)
-		t.Logf("%s: limit %v, %d requests in %v, at most %d in %v", upstream.name, upstream.perSecond, used, time.Since(from), upstream.most(), limitWindow)
+		used := upstream.arrivalsSince(from)
+		t.Logf("%s: limit %v, %d requests in %v, at most %d in %v", upstream.name, upstream.perSecond, used, time.Since(from), upstream.mostInWindow(), limitWindow)
 		if upstream.perSecond == 0 {
 			continue
 		}
 		allowed := int(math.Floor(limitFactor*upstream.perSecond*limitWindow.Seconds())) + limitSlack
-		assert.Check(t, upstream.most() <= allowed, "%s got %d requests in %v; allowed are %d", upstream.name, upstream.most(), limitWindow, allowed)
-		wanted := math.Floor(limitUsed * upstream.perSecond * time.Since(from).Seconds())
-		assert.Check(t, float64(used) >= wanted, "%s got %d requests; it takes %.0f", upstream.name, used, wanted)
+		assert.Check(t, upstream.mostInWindow() <= allowed, "%s received %d requests in %v; the limit is %d", upstream.name, upstream.mostInWindow(), limitWindow, allowed)
+		wanted := math.Floor(minLimitUse * upstream.perSecond * time.Since(from).Seconds())
+		assert.Check(t, float64(used) >= wanted, "%s received %d requests, want at least %.0f", upstream.name, used, wanted)
 	}
 }
--- a/endtoend/main_test.go
+++ b/endtoend/main_test.go
@@ -1,5 +1,5 @@
-// Package endtoend_test runs the system as separate processes on loopback and
-// checks it by what the stand-ins witnessed.
+// Package endtoend_test runs the system as separate processes on loopback. It checks the results
+// against what the stand-ins for the platform and the upstreams recorded.
 package endtoend_test
 
 import (
@@ -13,11 +13,11 @@
 // binaryVariable names the environment variable that holds the binary's path.
 const binaryVariable = "LIMPETCLEAT_TEST_BINARY"
 
-// TestMain builds the binary once, without the race detector.
-// As an upstream it serves until it is killed.
+// TestMain builds the binary once, without the race detector. With upstreamVariable set, the
+// process instead serves as an upstream until it is killed.
 func TestMain(m *testing.M) {
-	if word := os.Getenv(upstreamVariable); word != "" {
-		fmt.Fprintln(os.Stderr, serveUpstream(word))
+	if answer := os.Getenv(upstreamVariable); answer != "" {
+		fmt.Fprintln(os.Stderr, serveUpstream(answer))
 		os.Exit(1)
 	}
 	os.Exit(buildAndRun(m))
--- a/endtoend/matrix_test.go
+++ b/endtoend/matrix_test.go
@@ -10,11 +10,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// row is one fault of a matrix; test is what fills its cells.
+// row is one fault of a matrix, with the name of the test that covers its cells.
 type row struct{ fault, test string }
 
-// matrixText returns the matrices as Markdown tables, made from the tables that
-// the tests run.
+// matrixText returns the matrices as Markdown tables, generated from the tests' tables.
 func matrixText() string {
 	var reservations, streams, changes []row
 	for _, fault := range reservationFaults() {
@@ -26,9 +25,9 @@
 	for _, fault := range changeFaults() {
 		changes = append(changes, row{fault.name, "TestConfigurationFaults"})
 	}
-	return table("A call that may run at most once", stepNames(reservationSteps()), reservations) +
-		table("A streamed answer", stepNames(streamSteps()), streams) +
-		table("A change of the configuration", []string{stepWriting, stepWritten, stepSpreading}, changes)
+	return markdownTable("A call that may run at most once", stepNames(reservationSteps()), reservations) +
+		markdownTable("A streamed answer", stepNames(streamSteps()), streams) +
+		markdownTable("A change of the configuration", []string{stepWriting, stepWritten, stepSpreading}, changes)
 }
 
 func stepNames(steps []step) []string {
@@ -39,7 +38,7 @@
 	return names
 }
 
-func table(title string, steps []string, rows []row) string {
+func markdownTable(title string, steps []string, rows []row) string {
 	var text strings.Builder
 	text.WriteString("### " + title + "\n\n| test | " + strings.Join(steps, " | ") + " |\n|---" + strings.Repeat("|---", len(steps)) + "|\n")
 	for _, row := range rows {
@@ -48,8 +47,8 @@
 	return text.String() + "\n"
 }
 
-// TestFaultsPage holds docs/FAULTS.md to the tables that the tests run; with
-// -args -update it writes the page's tables anew.
+// TestFaultsPage checks that docs/FAULTS.md contains the generated tables; with -args update it
+// rewrites the tables on the page.
 func TestFaultsPage(t *testing.T) {
 	const begin, end = "<!-- matrices begin -->\n", "<!-- matrices end -->\n"
 	path := filepath.Join("..", "docs", "FAULTS.md")
--- a/endtoend/path_test.go
+++ b/endtoend/path_test.go
@@ -25,9 +25,9 @@
 		first := entry.send(reservation(key))
 		assert.Assert(t, first.Whole && gjson.Get(first.Body, "runs").Int() == 1, "%s: %v %s", entry.name, first, first.Body)
 		for _, again := range system.entries {
-			assert.Equal(t, again.settle(key).Body, first.Body)
+			assert.Equal(t, again.sendUntilSettled(key).Body, first.Body)
 		}
-		assert.Equal(t, system.runs(key), 1)
+		assert.Equal(t, system.runCount(key), 1)
 
 		wrong := completion("x", 2, false)
 		wrong.APIKey = "a-key-of-nobody"
@@ -41,14 +41,14 @@
 	}
 	for _, entry := range system.entries {
 		entry.process.Stop()
-		assert.Equal(t, entry.process.exitCode(hangLimit), 0)
+		assert.Equal(t, entry.process.exitCode(hangTimeout), 0)
 	}
 }
 
 // models returns the models that an entry offers.
 func (entry *entry) models(t *testing.T) []string {
 	t.Helper()
-	got := entry.send(caller.Call{Method: http.MethodGet, Path: "/v1/models", APIKey: buttonsKey, Body: http.NoBody})
+	got := entry.send(caller.Call{Method: http.MethodGet, Path: "/v1/models", APIKey: buttonsAPIKey, Body: http.NoBody})
 	assert.Equal(t, got.Status, http.StatusOK, "%v", got)
 	var names []string
 	for _, item := range gjson.Get(got.Body, "data.#.id").Array() {
--- a/endtoend/process_test.go
+++ b/endtoend/process_test.go
@@ -19,8 +19,8 @@
 	name string
 }
 
-// startChild starts the binary with its output in a file that is shown when
-// the test fails. The child is killed at the end of the test.
+// startChild starts the binary and writes its output to a log file. The child is killed at the end
+// of the test.
 func startChild(t *testing.T, directory, name string, args ...string) *child {
 	t.Helper()
 	started, err := process.Start(filepath.Join(directory, name+".log"), os.Getenv(binaryVariable), args...)
@@ -29,28 +29,28 @@
 	return &child{Process: started, t: t, name: name}
 }
 
-// exitCode waits for the child's end and returns its exit code.
-func (child *child) exitCode(limit time.Duration) int {
+// exitCode waits until the child exits and returns its exit code.
+func (child *child) exitCode(timeout time.Duration) int {
 	child.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	code, err := child.ExitCode(ctx)
-	assert.NilError(child.t, err, "%s has not ended after %v", child.name, limit)
+	assert.NilError(child.t, err, "%s has not exited after %v", child.name, timeout)
 	return code
 }
 
-// listening returns the address that a stand-in says it listens on.
-func (child *child) listening() string {
+// listenAddress returns the address on which a stand-in reports that it is listening.
+func (child *child) listenAddress() string {
 	child.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), startLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 	address, err := child.Listening(ctx)
 	assert.NilError(child.t, err, child.name)
 	return address
 }
 
-// show writes the ends of the children's logs to the test's when it failed.
-func show(t *testing.T, children ...*child) {
+// logOutput logs the last part of each child's output if the test has failed.
+func logOutput(t *testing.T, children ...*child) {
 	const shown = 3000
 	if !t.Failed() {
 		return
--- a/endtoend/link_test.go
+++ b/endtoend/relay_test.go
@@ -10,19 +10,19 @@
 	"limpetcleat/standin/runner"
 )
 
-// link is a relay that runs.
-type link struct {
+// runningRelay is a relay that has been started.
+type runningRelay struct {
 	*relay.Relay
 	*runner.Runner
 }
 
-// startLink relays a free port of the host to the target. Names are those of the peers
-// whose connections can be told apart.
-func startLink(t *testing.T, host, target string, names ...string) *link {
+// startRelay relays connections from a free port of the host to the target. Names are the peers
+// whose connections the relay can distinguish.
+func startRelay(t *testing.T, host, target string, names ...string) *runningRelay {
 	t.Helper()
 	relay := relay.New(relay.WithTarget(target), relay.WithPeers(names...), relay.WithCounted("POST /v1/"))
 	running, err := runner.Start(context.Background(), relay, host+":0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { assert.NilError(t, running.Stop()) })
-	return &link{Relay: relay, Runner: running}
+	return &runningRelay{Relay: relay, Runner: running}
 }
--- a/endtoend/restart_test.go
+++ b/endtoend/restart_test.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	// upstreamVariable names the environment variable that makes the test's own binary an
-	// upstream of the users' platform; it holds the word that it answers with.
+	// upstreamVariable names the environment variable that makes the test binary serve as an
+	// upstream of the users' platform; its value is the upstream's response body.
 	upstreamVariable = "LIMPETCLEAT_TEST_UPSTREAM"
-	// longWork is how long an upstream works on a request for /long/, far above what the
-	// test waits.
+	// longWork is the time that an upstream needs for a request to /long/, far longer than the test
+	// waits.
 	longWork = 30 * time.Second
 )
 
-// serveUpstream answers as an upstream of the users' platform does, until it is killed.
-func serveUpstream(word string) error {
+// serveUpstream serves as an upstream of the users' platform until it is killed.
+func serveUpstream(answer string) error {
 	listener, err := net.Listen("tcp", loopback+":0")
 	if err != nil {
 		return err
@@ -39,46 +39,47 @@
 		}
 		writer.Header().Set("X-Attempt-Id", request.Header.Get("X-Attempt-Id"))
 		writer.Header().Set("X-Response-Seal", "signed")
-		_, _ = io.WriteString(writer, word) // A caller that has left needs no answer.
+		_, _ = io.WriteString(writer, answer) // A caller that has left needs no answer.
 	}))
 }
 
-// startAs starts the test's own binary as an upstream, and returns it with its address.
-func startAs(t *testing.T, directory, word string) (*child, string) {
+// startTestUpstream starts the test binary as an upstream and returns it with its address.
+func startTestUpstream(t *testing.T, directory, answer string) (*child, string) {
 	t.Helper()
-	t.Setenv(upstreamVariable, word)
-	started, err := process.Start(filepath.Join(directory, word+".log"), os.Args[0])
+	t.Setenv(upstreamVariable, answer)
+	started, err := process.Start(filepath.Join(directory, answer+".log"), os.Args[0])
 	assert.NilError(t, err)
 	assert.NilError(t, os.Unsetenv(upstreamVariable))
 	t.Cleanup(started.Kill)
-	upstream := &child{Process: started, t: t, name: word}
-	return upstream, upstream.listening()
+	upstream := &child{Process: started, t: t, name: answer}
+	return upstream, upstream.listenAddress()
 }
 
-// TestUpstreamStartsAgainUnderItsName has an upstream killed, and one frozen, while each
-// works on a request that may not be repeated, and started again under its name, in
-// separate processes and beside a foreign writer's entry in the store: each request is
-// answered at once that it may have run, and the next one is served by the later start.
+// TestUpstreamStartsAgainUnderItsName kills an upstream, and freezes another, while each runs a
+// request that must not be repeated, and starts a successor under the same name. The upstreams are
+// separate processes, and the store also contains a malformed entry of another writer. Each request
+// is answered at once with the status for an unknown outcome, and the next one is served by the
+// successor.
 func TestUpstreamStartsAgainUnderItsName(t *testing.T) {
 	fleet := newFleet(t)
 	rule := unsafeRule("/")
 	rule["timeout_ms"] = 20000
 	fleet.configure(rule)
-	list := func(address string, born int) {
+	listFirst := func(address string, born int) {
 		assert.NilError(t, fleet.store.Put("servers", "u1", map[string]any{"service": "desk", "address": address, "zone": "west", "state": "ready", "born": born}))
 	}
 	assert.NilError(t, fleet.store.Put("servers", "foreign", map[string]any{"service": 7, "state": "ready"}))
-	first, address := startAs(t, fleet.directory, "first")
-	list(address, 1000)
-	entry, caller := fleet.join("entry-1"), newClient(t)
-	t.Cleanup(func() { show(t, first) })
-	served := func(word string) func() bool {
+	first, address := startTestUpstream(t, fleet.directory, "first")
+	listFirst(address, 1000)
+	entry, caller := fleet.startNode("entry-1"), newClient(t)
+	t.Cleanup(func() { logOutput(t, first) })
+	served := func(answer string) func() bool {
 		return func() bool {
 			got := caller.send(entry.request("/short/"))
-			return got.status == http.StatusOK && got.text == word
+			return got.status == http.StatusOK && got.text == answer
 		}
 	}
-	eventually(t, startLimit, "the first start serves", served("first"))
+	eventually(t, startTimeout, "the first process serves", served("first"))
 
 	working := first
 	for index, end := range []func(){first.Kill, func() { working.Freeze() }} {
@@ -86,18 +87,18 @@
 		go func() {
 			status <- caller.send(entry.request("/long/")).status
 		}()
-		eventually(t, startLimit, "the request is being worked on", func() bool {
+		eventually(t, startTimeout, "the request is running", func() bool {
 			text, err := working.Text()
 			return err == nil && strings.Contains(text, "works")
 		})
 		end()
-		word := fmt.Sprintf("later-%d", index)
-		later, address := startAs(t, fleet.directory, word)
-		list(address, 2000+index)
+		answer := fmt.Sprintf("later-%d", index)
+		later, address := startTestUpstream(t, fleet.directory, answer)
+		listFirst(address, 2000+index)
 		began := time.Now()
 		assert.Equal(t, <-status, http.StatusBadGateway)
-		assert.Assert(t, time.Since(began) < quickLimit, "the answer took %v", time.Since(began))
-		eventually(t, startLimit, word+" serves", served(word))
+		assert.Assert(t, time.Since(began) < quickTimeout, "the response took %v", time.Since(began))
+		eventually(t, startTimeout, answer+" serves", served(answer))
 		working = later
 	}
 }
