--- a/endtoend/backoff_test.go
+++ b/endtoend/backoff_test.go
@@ -90,7 +90,7 @@
 // its backoff has ended, and that callers are served.
 func checkUsedAgain(t *testing.T, nodes []*node, backoff time.Duration, upstreams ...*scriptedUpstream) {
 	t.Helper()
-	from := time.Now()
+	resumedAt := time.Now()
 	for _, upstream := range upstreams {
 		upstream.setScript(nil)
 	}
@@ -98,6 +98,6 @@
 	_, refused := countOutcomes(t, sendLoad(nodes, 150, time.Second))
 	assert.Check(t, refused == 0, "%d were refused after the backoff", refused)
 	for _, upstream := range upstreams {
-		assert.Check(t, upstream.arrivalsSince(from) > 0, "%s is no longer used", upstream.name)
+		assert.Check(t, upstream.arrivalsSince(resumedAt) > 0, "%s is no longer used", upstream.name)
 	}
 }
--- a/endtoend/calls_test.go
+++ b/endtoend/calls_test.go
@@ -42,12 +42,12 @@
 // does that respects Retry-After, and returns the last reply.
 func (entry *entry) sendUntilSettled(key string) caller.Reply {
 	entry.system.t.Helper()
-	var got caller.Reply
+	var reply caller.Reply
 	eventually(entry.system.t, hangTimeout, key+" is settled", func() bool {
-		got = entry.send(reservation(key))
-		return got.Status != 0 && got.RetryAfter() == ""
+		reply = entry.send(reservation(key))
+		return reply.Status != 0 && reply.RetryAfter() == ""
 	})
-	return got
+	return reply
 }
 
 // sendAsync sends a call in the background; the channel receives its reply.
--- a/endtoend/configuration_test.go
+++ b/endtoend/configuration_test.go
@@ -255,7 +255,7 @@
 	system.entries = append(system.entries, fresh)
 	eventually(t, startTimeout, "the new node is ready", fresh.ready)
 	system.awaitVersion(version, system.entries, "during the outage")
-	asked := completion("by the new node", 6, true)
-	got := fresh.send(asked)
-	assert.Assert(t, got.Whole && got.Own(asked), "%v", got)
+	call := completion("by the new node", 6, true)
+	reply := fresh.send(call)
+	assert.Assert(t, reply.Whole && reply.Own(call), "%v", reply)
 }
--- a/endtoend/crashing_request_test.go
+++ b/endtoend/crashing_request_test.go
@@ -54,7 +54,7 @@
 // sendBesideCrashing sends requests of other callers to all nodes until the given time and returns
 // the exchanges. Half of the callers repeat the same body.
 func sendBesideCrashing(nodes []*node, until time.Time) []exchange {
-	replies := make([][]exchange, otherCallers)
+	byClient := make([][]exchange, otherCallers)
 	var callers conc.WaitGroup
 	for number := range otherCallers {
 		callers.Go(func() {
@@ -65,16 +65,16 @@
 					body = fmt.Sprintf("%d of caller %d", count, number)
 				}
 				at := time.Now()
-				got := client.send(withBody(nodes[(number+count)%len(nodes)].request("/safe/"), body))
-				replies[number] = append(replies[number], exchange{sentAt: at, reply: got})
+				reply := client.send(withBody(nodes[(number+count)%len(nodes)].request("/safe/"), body))
+				byClient[number] = append(byClient[number], exchange{sentAt: at, reply: reply})
 				<-time.After(otherInterval)
 			}
 		})
 	}
 	callers.Wait()
 	var exchanges []exchange
-	for _, each := range replies {
-		exchanges = append(exchanges, each...)
+	for _, clientExchanges := range byClient {
+		exchanges = append(exchanges, clientExchanges...)
 	}
 	return exchanges
 }
@@ -91,7 +91,8 @@
 // It guards against nodes that attribute each crash to the upstream and keep no record of the
 // request, either across a node's attempts or between nodes. Every retry then reached another
 // upstream: 20 upstreams crashed within half a minute, and a quarter of the other callers'
-// responses from them were cut off. The log showed the same request identity for all sends.
+// responses from them were cut off. The log showed the same request identity for all sends, and
+// after each send its upstream refused connections.
 func TestRequestThatEndsItsUpstreams(t *testing.T) {
 	withAndWithoutDelegation(t, requestThatCrashesUpstreams)
 }
@@ -138,8 +139,8 @@
 	}
 	t.Logf("%d sends, %d crashes, %d late sends; %d of %d other requests served after the detection timeout", len(upstreams.sends), len(upstreams.crashes), late, served, counted)
 	assert.Check(t, float64(served) >= otherServedShare*float64(counted), "%d of %d other requests were served", served, counted)
-	for _, got := range crashing {
-		assert.Check(t, got.status == http.StatusBadGateway || got.status == http.StatusServiceUnavailable, "%v", got)
+	for _, reply := range crashing {
+		assert.Check(t, reply.status == http.StatusBadGateway || reply.status == http.StatusServiceUnavailable, "%v", reply)
 	}
 	last := crashing[len(crashing)-1]
 	assert.Check(t, last.status == http.StatusServiceUnavailable && last.retryAfter > 0, "the last reply is %v", last)
--- a/endtoend/crashing_upstreams_test.go
+++ b/endtoend/crashing_upstreams_test.go
@@ -60,7 +60,7 @@
 		}
 		<-time.After(otherWork)
 		writeAttemptHeaders(writer, request)
-		_, _ = io.WriteString(writer, "served") // A caller that has left needs no answer.
+		_, _ = io.WriteString(writer, "served") // A disconnected caller needs no response.
 	})
 	upstreams.mutex.Lock()
 	defer upstreams.mutex.Unlock()
@@ -69,7 +69,7 @@
 		return
 	}
 	upstreams.servers = append(upstreams.servers, server)
-	upstreams.group.Go(func() { _ = server.Serve(listener) }) // It ends by being closed.
+	upstreams.group.Go(func() { _ = server.Serve(listener) }) // Serve returns an error once the server is closed.
 	assert.Check(upstreams.fleet.t, upstreams.fleet.store.Put("servers", name, map[string]any{
 		"service": "desk", "address": listener.Addr().String(), "zone": west, "state": "ready", "born": start,
 	}))
@@ -79,7 +79,7 @@
 func (upstreams *crashingUpstreams) crash(name, address string, server *http.Server, start int) {
 	upstreams.recordTime(&upstreams.crashes)
 	upstreams.group.Go(func() {
-		_ = server.Close() // What runs there is to break off.
+		_ = server.Close() // Running requests must be cut off.
 		<-time.After(restartDelay)
 		listener, err := net.Listen("tcp", address)
 		if assert.Check(upstreams.fleet.t, err) {
@@ -100,7 +100,7 @@
 	servers := upstreams.servers
 	upstreams.mutex.Unlock()
 	for _, server := range servers {
-		_ = server.Close() // Some have ended before.
+		_ = server.Close() // Some servers are already closed.
 	}
 	upstreams.group.Wait()
 }
--- a/endtoend/delegation_test.go
+++ b/endtoend/delegation_test.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// linkBytesPerSecond is 10 Mbit/s, at which largePaddingBytes take 0.8 s.
+	// linkBytesPerSecond is 10 Mbit/s; largePaddingBytes take 0.8 s to transfer.
 	linkBytesPerSecond = 10_000_000 / 8
 	largePaddingBytes  = 1_000_000
 )
--- a/endtoend/drain_test.go
+++ b/endtoend/drain_test.go
@@ -49,9 +49,9 @@
 			stopping.process.Stop()
 			eventually(t, startTimeout, "readiness fails", func() bool { return !stopping.ready() })
 			for index, replied := range replies {
-				got := <-replied
-				assert.Assert(t, got.Whole, "%d: %v", index, got)
-				assert.Assert(t, calls[index].Prompt == "" || got.Own(calls[index]) && got.Tokens == streamTokens, "%d: %v", index, got)
+				reply := <-replied
+				assert.Assert(t, reply.Whole, "%d: %v", index, reply)
+				assert.Assert(t, calls[index].Prompt == "" || reply.Own(calls[index]) && reply.Tokens == streamTokens, "%d: %v", index, reply)
 			}
 			assert.Equal(t, stopping.process.exitCode(hangTimeout), 0)
 			for index := range 2 * serviceSlots {
@@ -59,9 +59,9 @@
 			}
 			last := completion("afterwards", 5, true)
 			eventually(t, startTimeout, "the other entry serves requests alone", func() bool {
-				got := staying.send(last)
+				reply := staying.send(last)
 				last = completion("afterwards", 5, true)
-				return got.Whole
+				return reply.Whole
 			})
 		})
 	}
@@ -93,8 +93,8 @@
 			assert.Assert(t, leaving.relay.Counted() > 0, "the engine had received no requests before")
 			system.setPlatformFaults(map[string]any{"outage": test.outage})
 			test.leave(system, leaving)
-			began := time.Now()
-			for time.Since(began) < engineLeavingTimeout {
+			startedAt := time.Now()
+			for time.Since(startedAt) < engineLeavingTimeout {
 				system.sendBatch(t, 4)
 			}
 			before := leaving.relay.Counted()
@@ -112,8 +112,8 @@
 		replies = append(replies, system.entries[index%len(system.entries)].sendAsync(completion(fmt.Sprintf("some %d", index), 6, index%2 == 0)))
 	}
 	for _, replied := range replies {
-		got := <-replied
-		assert.Assert(t, got.Whole, "%v", got)
+		reply := <-replied
+		assert.Assert(t, reply.Whole, "%v", reply)
 	}
 }
 
--- a/endtoend/duties_test.go
+++ b/endtoend/duties_test.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// The platform's bounds of duties in these tests.
+	// The platform's time limits for duties.
 	dutyLease    = time.Second
 	dutyWindow   = time.Second
 	dutyDeadline = 6 * time.Second
@@ -168,7 +168,7 @@
 func TestUsageIsToldByProcesses(t *testing.T) {
 	cases := []struct {
 		name    string
-		trouble func(holder *node, link *storeLink) (end func())
+		trouble func(holder *node, link *storeLink) (heal func())
 		// off is the number of windows that may miss the counts of a failed process.
 		off int
 	}{
@@ -181,25 +181,25 @@
 		t.Run(test.name, func(t *testing.T) {
 			duties := newDutyFleet(t)
 			links := duties.startNodes()
-			began := time.Now()
-			until := began.Add(11 * time.Second)
+			startedAt := time.Now()
+			until := startedAt.Add(11 * time.Second)
 			var load conc.WaitGroup
 			load.Go(func() { duties.sendLoadToAll(until) })
 			<-time.After(4500 * time.Millisecond)
 			reports := duties.office.Reports()
 			assert.Assert(t, len(reports) > 0, "no usage has been reported")
 			holder := reports[len(reports)-1].Holder
-			for place, node := range duties.startedNodes() {
+			for index, node := range duties.startedNodes() {
 				if node.name == holder {
-					end := test.trouble(node, links[place])
-					defer end()
+					heal := test.trouble(node, links[index])
+					defer heal()
 					<-time.After(2500 * time.Millisecond)
-					end()
+					heal()
 				}
 			}
 			load.Wait()
 			<-time.After(dutyDeadline / 2)
-			off := duties.checkReports(began.Add(dutyWindow), until.Add(-dutyWindow))
+			off := duties.checkReports(startedAt.Add(dutyWindow), until.Add(-dutyWindow))
 			assert.Assert(t, off <= test.off, "%d windows have wrong counts", off)
 			assert.DeepEqual(t, duties.office.Breaches(), []string(nil))
 		})
@@ -211,8 +211,8 @@
 func TestUsageThatThePlatformTakesLate(t *testing.T) {
 	duties := newDutyFleet(t)
 	duties.startNodes()
-	began := time.Now()
-	until := began.Add(11 * time.Second)
+	startedAt := time.Now()
+	until := startedAt.Add(11 * time.Second)
 	var load conc.WaitGroup
 	load.Go(func() { duties.sendLoadToAll(until) })
 	<-time.After(5 * time.Second)
@@ -221,6 +221,6 @@
 	duties.office.Delay(0)
 	load.Wait()
 	<-time.After(dutyDeadline / 2)
-	assert.Equal(t, duties.checkReports(began.Add(dutyWindow), until.Add(-dutyWindow)), 0)
+	assert.Equal(t, duties.checkReports(startedAt.Add(dutyWindow), until.Add(-dutyWindow)), 0)
 	assert.DeepEqual(t, duties.office.Breaches(), []string(nil))
 }
--- a/endtoend/fault_test.go
+++ b/endtoend/fault_test.go
@@ -101,8 +101,8 @@
 	}
 	for _, entry := range system.entries {
 		fresh := fmt.Sprintf("%s-after-%s", key, entry.name)
-		got := entry.sendUntilSettled(fresh)
-		assert.Assert(t, got.Whole && system.runCount(fresh) == 1, "%s: %v", fresh, got)
+		reply := entry.sendUntilSettled(fresh)
+		assert.Assert(t, reply.Whole && system.runCount(fresh) == 1, "%s: %v", fresh, reply)
 	}
 }
 
--- a/endtoend/fleet_test.go
+++ b/endtoend/fleet_test.go
@@ -182,11 +182,11 @@
 func (node *node) awaitReady() {
 	node.t.Helper()
 	eventually(node.t, startTimeout, node.name+" is ready", func() bool {
-		answer, err := http.Get("http://" + node.readyAddress + "/readyz")
+		response, err := http.Get("http://" + node.readyAddress + "/readyz")
 		if err != nil {
 			return false
 		}
-		return answer.Body.Close() == nil && answer.StatusCode == http.StatusOK
+		return response.Body.Close() == nil && response.StatusCode == http.StatusOK
 	})
 }
 
@@ -228,20 +228,20 @@
 // send sends a request and reads the complete response.
 func (client *client) send(request *http.Request) reply {
 	began := time.Now()
-	answer, err := client.transport.RoundTrip(request)
+	response, err := client.transport.RoundTrip(request)
 	if err != nil {
 		return reply{text: err.Error(), notConnected: isDialError(err), took: time.Since(began)}
 	}
-	defer answer.Body.Close()
-	text, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
 	if err != nil {
 		return reply{text: err.Error(), took: time.Since(began)}
 	}
-	got := reply{status: answer.StatusCode, text: string(text), took: time.Since(began)}
-	if seconds, err := strconv.ParseFloat(answer.Header.Get("Retry-After"), 64); err == nil {
-		got.retryAfter = time.Duration(seconds * float64(time.Second))
+	result := reply{status: response.StatusCode, text: string(text), took: time.Since(began)}
+	if seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); err == nil {
+		result.retryAfter = time.Duration(seconds * float64(time.Second))
 	}
-	return got
+	return result
 }
 
 // isDialError reports whether the connection could not be established.
--- a/endtoend/joining_consistency_test.go
+++ b/endtoend/joining_consistency_test.go
@@ -90,7 +90,7 @@
 	fleet     *fleet
 	history   *history
 	stop      chan struct{}
-	group     conc.WaitGroup
+	running   conc.WaitGroup
 	observers []*observer
 }
 
@@ -99,7 +99,7 @@
 	observer := &observer{node: node}
 	group.observers = append(group.observers, observer)
 	caller := newClient(group.fleet.t)
-	group.group.Go(func() {
+	group.running.Go(func() {
 		for count := 0; ; count++ {
 			select {
 			case <-group.stop:
@@ -163,7 +163,7 @@
 		})
 	}
 	close(group.stop)
-	group.group.Wait()
+	group.running.Wait()
 
 	for _, observer := range group.observers {
 		assert.DeepEqual(t, observer.violations, []string(nil))
--- a/endtoend/joining_test.go
+++ b/endtoend/joining_test.go
@@ -54,7 +54,7 @@
 		recorder.recordArrival(upstream, request.Header.Get("X-Node"), booking)
 		<-time.After(10 * time.Millisecond)
 		writeAttemptHeaders(writer, request)
-		_, _ = io.WriteString(writer, booking) // A caller that has left needs no answer.
+		_, _ = io.WriteString(writer, booking) // A disconnected caller needs no response.
 	}
 }
 
@@ -157,15 +157,15 @@
 		node := clients.pickNode(random)
 		request := node.request("/book/")
 		request.Header.Set("X-Booking", id)
-		got := caller.send(request)
-		result.lastNode, result.text = node.name, got.text
-		result.longestResponse = max(result.longestResponse, got.took)
+		reply := caller.send(request)
+		result.lastNode, result.text = node.name, reply.text
+		result.longestResponse = max(result.longestResponse, reply.took)
 		switch {
-		case got.status == http.StatusOK && got.text == id:
+		case reply.status == http.StatusOK && reply.text == id:
 			result.outcome = confirmed
 			return result
-		case got.status == http.StatusServiceUnavailable || got.status == http.StatusTooManyRequests || got.notConnected:
-			<-time.After(min(got.retryAfter, maxPause))
+		case reply.status == http.StatusServiceUnavailable || reply.status == http.StatusTooManyRequests || reply.notConnected:
+			<-time.After(min(reply.retryAfter, maxPause))
 		default:
 			result.outcome = unknown
 			return result
--- a/endtoend/leaving_test.go
+++ b/endtoend/leaving_test.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// leavingGrace is the time after a node has forwarded the first response that announces an
-	// upstream's leaving. Requests sent to that node later must not reach the upstream: the users'
-	// bound.
+	// leavingGrace is the users' bound on the time after a node has forwarded the first response
+	// that announces that an upstream is leaving. Requests that the node receives later must not
+	// reach the upstream.
 	leavingGrace = 2 * time.Second
 	// storeOutageDelay is the time from the announcement to the store's outage, which lasts for
 	// storeOutageDuration.
@@ -28,7 +28,7 @@
 }
 
 // lateArrivals counts the requests that were sent to a node more than leavingGrace after the
-// upstream had announced its leaving to that node.
+// upstream had announced to that node that it is leaving.
 func (upstream *scriptedUpstream) lateArrivals() int {
 	upstream.mutex.Lock()
 	defer upstream.mutex.Unlock()
@@ -42,10 +42,10 @@
 }
 
 // TestUpstreamThatSaysItLeavesIsLeftAlone lets an upstream announce in its responses that it is
-// leaving. Half a second later the store fails, so the upstream's entry in the store is unchanged.
+// leaving. Half a second later the store fails, and the upstream's entry in the store is unchanged.
 //
-// It guards against nodes that go by the entry in the store alone: 653 requests that were sent more
-// than 2 s after the announcement reached the upstream.
+// It guards against nodes that rely on the entry in the store alone: 653 requests that were sent
+// more than 2 s after the announcement reached the upstream.
 func TestUpstreamThatSaysItLeavesIsLeftAlone(t *testing.T) { withAndWithoutDelegation(t, oneLeaves) }
 
 func oneLeaves(t *testing.T, fleet *fleet) {
--- a/endtoend/limited_test.go
+++ b/endtoend/limited_test.go
@@ -81,29 +81,29 @@
 
 // sendLoad sends requests at the given rate, evenly distributed over the nodes, and returns the
 // exchanges.
-func sendLoad(nodes []*node, perSecond float64, span time.Duration) []exchange {
+func sendLoad(nodes []*node, perSecond float64, duration time.Duration) []exchange {
 	const callers = 16
-	replies := make([][]exchange, callers)
-	began, interval := time.Now(), time.Duration(callers/perSecond*float64(time.Second))
+	byClient := make([][]exchange, callers)
+	startedAt, interval := time.Now(), time.Duration(callers/perSecond*float64(time.Second))
 	var group conc.WaitGroup
 	for number := range callers {
 		group.Go(func() {
 			client := newClient(nodes[0].t)
-			dueAt := began.Add(interval * time.Duration(number) / callers)
-			for count := 0; dueAt.Before(began.Add(span)); count++ {
+			dueAt := startedAt.Add(interval * time.Duration(number) / callers)
+			for count := 0; dueAt.Before(startedAt.Add(duration)); count++ {
 				<-time.After(time.Until(dueAt))
 				at := time.Now()
 				request := nodes[(number+count)%len(nodes)].request("/safe/")
 				request.Header.Set(sentAtHeader, at.Format(time.RFC3339Nano))
-				replies[number] = append(replies[number], exchange{sentAt: at, reply: client.send(request)})
+				byClient[number] = append(byClient[number], exchange{sentAt: at, reply: client.send(request)})
 				dueAt = dueAt.Add(interval)
 			}
 		})
 	}
 	group.Wait()
 	var exchanges []exchange
-	for _, each := range replies {
-		exchanges = append(exchanges, each...)
+	for _, clientExchanges := range byClient {
+		exchanges = append(exchanges, clientExchanges...)
 	}
 	return exchanges
 }
@@ -138,29 +138,29 @@
 func oneIsLimited(t *testing.T, fleet *fleet) {
 	upstreams := startLimited(fleet, 2.2, 0, 0, 0, 0, 0)
 	nodes := startSafeNodes(t, fleet, 4)
-	began := time.Now()
+	startedAt := time.Now()
 	replies := sendLoad(nodes, 150, limitLoadDuration)
-	checkLimits(t, upstreams, began)
+	checkLimits(t, upstreams, startedAt)
 	for _, request := range replies {
 		assert.Check(t, request.reply.status == http.StatusOK, "%v", request.reply)
 	}
-	issuers, shown := 0, ""
+	issuers, outputs := 0, ""
 	for _, node := range nodes {
 		output, err := exec.Command(os.Getenv(binaryVariable), "announced", "-nodes", node.operatorAddress).CombinedOutput()
 		assert.NilError(t, err, string(output))
 		assert.Check(t, strings.Contains(string(output), "2.2/s") && strings.Contains(string(output), "u0"), string(output))
 		issuers += strings.Count(string(output), "0 nodes before")
-		shown += string(output)
+		outputs += string(output)
 	}
-	assert.Equal(t, issuers, 1, shown)
+	assert.Equal(t, issuers, 1, outputs)
 }
 
 func allAreLimited(t *testing.T, fleet *fleet) {
 	upstreams := startLimited(fleet, 0.5, 2.2, 3, 4, 5.3, 6)
 	nodes := startSafeNodes(t, fleet, 4)
-	began := time.Now()
+	startedAt := time.Now()
 	replies := sendLoad(nodes, 110, limitLoadDuration)
-	checkLimits(t, upstreams, began)
+	checkLimits(t, upstreams, startedAt)
 	served, refused := countOutcomes(t, replies)
 	t.Logf("%d served, %d refused", served, refused)
 }
@@ -185,18 +185,18 @@
 
 // checkLimits checks that the requests to each upstream stay within its bound and use enough of its
 // limit.
-func checkLimits(t *testing.T, upstreams []limitedUpstream, began time.Time) {
+func checkLimits(t *testing.T, upstreams []limitedUpstream, startedAt time.Time) {
 	t.Helper()
-	from := began.Add(limitSettleTime)
+	from := startedAt.Add(limitSettleTime)
 	for _, upstream := range upstreams {
-		used := upstream.arrivalsSince(from)
-		t.Logf("%s: limit %v, %d requests in %v, at most %d in %v", upstream.name, upstream.perSecond, used, time.Since(from), upstream.mostInWindow(), limitWindow)
+		received := upstream.arrivalsSince(from)
+		t.Logf("%s: limit %v, %d requests in %v, at most %d in %v", upstream.name, upstream.perSecond, received, time.Since(from), upstream.mostInWindow(), limitWindow)
 		if upstream.perSecond == 0 {
 			continue
 		}
 		allowed := int(math.Floor(limitFactor*upstream.perSecond*limitWindow.Seconds())) + limitSlack
 		assert.Check(t, upstream.mostInWindow() <= allowed, "%s received %d requests in %v; the limit is %d", upstream.name, upstream.mostInWindow(), limitWindow, allowed)
 		wanted := math.Floor(minLimitUse * upstream.perSecond * time.Since(from).Seconds())
-		assert.Check(t, float64(used) >= wanted, "%s received %d requests, want at least %.0f", upstream.name, used, wanted)
+		assert.Check(t, float64(received) >= wanted, "%s received %d requests, want at least %.0f", upstream.name, received, wanted)
 	}
 }
--- a/endtoend/outage_test.go
+++ b/endtoend/outage_test.go
@@ -22,12 +22,12 @@
 			system := startTopology(t, topology{entries: []string{west, west, east}, engines: []string{west}})
 			system.setPlatformFaults(map[string]any{"outage": true, "outageHang": hang})
 			for index := range orders {
-				giver := system.entries[index%len(system.entries)]
-				taker := system.entries[(index/2)%len(system.entries)]
-				key := giver.issueKey(t)
-				first := taker.send(reservation(key))
-				assert.Assert(t, first.Whole, "%s, issued by %s, sent to %s: %v", key, giver.name, taker.name, first)
-				again := giver.send(reservation(key))
+				issuer := system.entries[index%len(system.entries)]
+				receiver := system.entries[(index/2)%len(system.entries)]
+				key := issuer.issueKey(t)
+				first := receiver.send(reservation(key))
+				assert.Assert(t, first.Whole, "%s, issued by %s, sent to %s: %v", key, issuer.name, receiver.name, first)
+				again := issuer.send(reservation(key))
 				assert.Equal(t, again.Body, first.Body)
 				assert.Equal(t, system.runCount(key), 1)
 			}
@@ -42,14 +42,14 @@
 			assert.Assert(t, holder.send(reservation(used)).Whole)
 			holder.process.Kill()
 			for _, key := range []string{used, unused} {
-				got := other.send(reservation(key))
-				assert.Assert(t, !got.Whole && !got.NotRun(), "%s: %v", key, got)
+				reply := other.send(reservation(key))
+				assert.Assert(t, !reply.Whole && !reply.NotRun(), "%s: %v", key, reply)
 			}
 			holder.start()
 			eventually(t, startTimeout, "the restarted issuer is ready", holder.ready)
 			for _, key := range []string{used, unused} {
-				got := other.send(reservation(key))
-				assert.Assert(t, !got.Whole && !got.NotRun(), "%s: %v", key, got)
+				reply := other.send(reservation(key))
+				assert.Assert(t, !reply.Whole && !reply.NotRun(), "%s: %v", key, reply)
 			}
 			assert.Equal(t, system.runCount(used), 1)
 			assert.Equal(t, system.runCount(unused), 0)
@@ -63,7 +63,7 @@
 // issueKey returns an idempotency key that the entry issues.
 func (entry *entry) issueKey(t *testing.T) string {
 	t.Helper()
-	got := entry.send(withAPIKey(buttonsAPIKey, caller.Call{Path: "/v1/keys", Body: http.NoBody}))
-	assert.Equal(t, got.Status, http.StatusCreated, "%v", got)
-	return gjson.Get(got.Body, "key").String()
+	reply := entry.send(withAPIKey(buttonsAPIKey, caller.Call{Path: "/v1/keys", Body: http.NoBody}))
+	assert.Equal(t, reply.Status, http.StatusCreated, "%v", reply)
+	return gjson.Get(reply.Body, "key").String()
 }
--- a/endtoend/path_test.go
+++ b/endtoend/path_test.go
@@ -17,8 +17,8 @@
 	for _, entry := range system.entries {
 		for _, streamed := range []bool{false, true} {
 			for _, call := range []caller.Call{completion("a completion by "+entry.name, 12, streamed), chat("a chat by "+entry.name, 12, streamed)} {
-				got := entry.send(call)
-				assert.Assert(t, got.Whole && got.Tokens == 12 && got.Own(call), "%s %s: %v", entry.name, call.Path, got)
+				reply := entry.send(call)
+				assert.Assert(t, reply.Whole && reply.Tokens == 12 && reply.Own(call), "%s %s: %v", entry.name, call.Path, reply)
 			}
 		}
 		key := "order-by-" + entry.name
@@ -31,12 +31,12 @@
 
 		wrong := completion("x", 2, false)
 		wrong.APIKey = "a-key-of-nobody"
-		got := entry.send(wrong)
-		assert.Assert(t, got.Status == http.StatusUnauthorized && got.NotRun(), "%v", got)
+		reply := entry.send(wrong)
+		assert.Assert(t, reply.Status == http.StatusUnauthorized && reply.NotRun(), "%v", reply)
 		unknown := completion("x", 2, false)
 		unknown.Body = strings.NewReader(`{"model": "nobody-has-it", "prompt": "x"}`)
-		got = entry.send(unknown)
-		assert.Assert(t, got.Status == http.StatusNotFound && got.NotRun(), "%v", got)
+		reply = entry.send(unknown)
+		assert.Assert(t, reply.Status == http.StatusNotFound && reply.NotRun(), "%v", reply)
 		assert.DeepEqual(t, entry.models(t), []string{modelName})
 	}
 	for _, entry := range system.entries {
@@ -48,10 +48,10 @@
 // models returns the models that an entry offers.
 func (entry *entry) models(t *testing.T) []string {
 	t.Helper()
-	got := entry.send(caller.Call{Method: http.MethodGet, Path: "/v1/models", APIKey: buttonsAPIKey, Body: http.NoBody})
-	assert.Equal(t, got.Status, http.StatusOK, "%v", got)
+	reply := entry.send(caller.Call{Method: http.MethodGet, Path: "/v1/models", APIKey: buttonsAPIKey, Body: http.NoBody})
+	assert.Equal(t, reply.Status, http.StatusOK, "%v", reply)
 	var names []string
-	for _, item := range gjson.Get(got.Body, "data.#.id").Array() {
+	for _, item := range gjson.Get(reply.Body, "data.#.id").Array() {
 		names = append(names, item.String())
 	}
 	return names
--- a/endtoend/restart_test.go
+++ b/endtoend/restart_test.go
@@ -39,7 +39,7 @@
 		}
 		writer.Header().Set("X-Attempt-Id", request.Header.Get("X-Attempt-Id"))
 		writer.Header().Set("X-Response-Seal", "signed")
-		_, _ = io.WriteString(writer, answer) // A caller that has left needs no answer.
+		_, _ = io.WriteString(writer, answer) // A disconnected caller needs no response.
 	}))
 }
 
@@ -55,50 +55,50 @@
 	return upstream, upstream.listenAddress()
 }
 
-// TestUpstreamStartsAgainUnderItsName kills an upstream, and freezes another, while each runs a
-// request that must not be repeated, and starts a successor under the same name. The upstreams are
-// separate processes, and the store also contains a malformed entry of another writer. Each request
-// is answered at once with the status for an unknown outcome, and the next one is served by the
-// successor.
+// TestUpstreamStartsAgainUnderItsName kills an upstream, and later freezes its successor, while
+// each runs a request that must not be repeated, and starts a new process under the same name. The
+// upstreams are separate processes, and the store also contains a malformed entry of another
+// writer. Each request fails at once with the status for an unknown outcome, and the next request
+// is served by the new process.
 func TestUpstreamStartsAgainUnderItsName(t *testing.T) {
 	fleet := newFleet(t)
 	rule := unsafeRule("/")
 	rule["timeout_ms"] = 20000
 	fleet.configure(rule)
-	listFirst := func(address string, born int) {
+	listUpstream := func(address string, born int) {
 		assert.NilError(t, fleet.store.Put("servers", "u1", map[string]any{"service": "desk", "address": address, "zone": "west", "state": "ready", "born": born}))
 	}
 	assert.NilError(t, fleet.store.Put("servers", "foreign", map[string]any{"service": 7, "state": "ready"}))
 	first, address := startTestUpstream(t, fleet.directory, "first")
-	listFirst(address, 1000)
+	listUpstream(address, 1000)
 	entry, caller := fleet.startNode("entry-1"), newClient(t)
 	t.Cleanup(func() { logOutput(t, first) })
 	served := func(answer string) func() bool {
 		return func() bool {
-			got := caller.send(entry.request("/short/"))
-			return got.status == http.StatusOK && got.text == answer
+			reply := caller.send(entry.request("/short/"))
+			return reply.status == http.StatusOK && reply.text == answer
 		}
 	}
 	eventually(t, startTimeout, "the first process serves", served("first"))
 
-	working := first
-	for index, end := range []func(){first.Kill, func() { working.Freeze() }} {
+	current := first
+	for index, fail := range []func(){first.Kill, func() { current.Freeze() }} {
 		status := make(chan int, 1)
 		go func() {
 			status <- caller.send(entry.request("/long/")).status
 		}()
 		eventually(t, startTimeout, "the request is running", func() bool {
-			text, err := working.Text()
+			text, err := current.Text()
 			return err == nil && strings.Contains(text, "works")
 		})
-		end()
+		fail()
 		answer := fmt.Sprintf("later-%d", index)
 		later, address := startTestUpstream(t, fleet.directory, answer)
-		listFirst(address, 2000+index)
+		listUpstream(address, 2000+index)
 		began := time.Now()
 		assert.Equal(t, <-status, http.StatusBadGateway)
 		assert.Assert(t, time.Since(began) < quickTimeout, "the response took %v", time.Since(began))
 		eventually(t, startTimeout, answer+" serves", served(answer))
-		working = later
+		current = later
 	}
 }
--- a/endtoend/scripted_upstream_test.go
+++ b/endtoend/scripted_upstream_test.go
@@ -74,7 +74,7 @@
 		writer.WriteHeader(http.StatusServiceUnavailable)
 	} else {
 		<-time.After(scriptedWork)
-		_, _ = io.WriteString(writer, "served") // A caller that has left needs no answer.
+		_, _ = io.WriteString(writer, "served") // A disconnected caller needs no response.
 	}
 	if announces {
 		upstream.recordAnnouncement(node)
--- a/endtoend/stream_fault_test.go
+++ b/endtoend/stream_fault_test.go
@@ -122,7 +122,7 @@
 	t.Helper()
 	scenario := system.newScenario(key, modelsPool)
 	scenario.upstreams, scenario.slots = system.engines, engineSlots*len(system.engines)
-	asked := completion(key, streamTokens, true)
+	call := completion(key, streamTokens, true)
 	scenario.newCall = func() caller.Call { return completion(key, streamTokens, true) }
 	scenario.newFiller = func(index int) caller.Call {
 		return completion(fmt.Sprintf("%s filler %d", key, index), fillerTokens, true)
@@ -130,7 +130,7 @@
 	first, during := scenario.injectAt(fault.fault, step)
 	t.Logf("%s: first %v; during %v", key, first, during)
 	for _, reply := range []caller.Reply{first, during} {
-		assert.Assert(t, reply.Own(asked), "%s: response to another request: %v", key, reply)
+		assert.Assert(t, reply.Own(call), "%s: response to another request: %v", key, reply)
 		assert.Assert(t, !reply.Whole || reply.Tokens == streamTokens, "%s: %v", key, reply)
 		assert.Assert(t, reply.Took < hangTimeout, "%s hung: %v", key, reply)
 	}
@@ -142,9 +142,9 @@
 	for _, entry := range system.entries {
 		again := completion(key+" after", 5, true)
 		eventually(t, hangTimeout, entry.name+" serves again", func() bool {
-			got := entry.send(again)
+			reply := entry.send(again)
 			again = completion(key+" after", 5, true)
-			return got.Whole && got.Own(again)
+			return reply.Whole && reply.Own(again)
 		})
 	}
 }
--- a/endtoend/stream_resume_test.go
+++ b/endtoend/stream_resume_test.go
@@ -46,7 +46,7 @@
 	return func(writer http.ResponseWriter, request *http.Request) {
 		if strings.HasPrefix(request.URL.Path, "/name/") {
 			writeAttemptHeaders(writer, request)
-			_, _ = io.WriteString(writer, name) // A caller that has left needs no answer.
+			_, _ = io.WriteString(writer, name) // A disconnected caller needs no response.
 			return
 		}
 		serveEvents(writer, request)
@@ -58,12 +58,12 @@
 	writeAttemptHeaders(writer, request)
 	writer.Header().Set("Content-Type", "text/event-stream")
 	pause := resumedEventInterval
-	last, err := strconv.Atoi(request.Header.Get("Last-Event-Id"))
+	lastID, err := strconv.Atoi(request.Header.Get("Last-Event-Id"))
 	if err != nil {
-		last, pause = 0, eventInterval // The first sending names none.
+		lastID, pause = 0, eventInterval // The first request has no Last-Event-Id.
 	}
 	control := http.NewResponseController(writer)
-	for number := last + 1; number <= streamEvents; number++ {
+	for number := lastID + 1; number <= streamEvents; number++ {
 		if _, err := fmt.Fprintf(writer, "id: %d\ndata: x\n\n", number); err != nil {
 			return
 		}
@@ -86,18 +86,18 @@
 
 // receiveStream sends a request for a stream and reads it to its end; it calls onFirst at the first
 // event.
-func receiveStream(node *node, path string, last int, onFirst func()) streamResult {
+func receiveStream(node *node, path string, lastID int, onFirst func()) streamResult {
 	request := node.request(path)
-	if last > 0 {
-		request.Header.Set("Last-Event-Id", strconv.Itoa(last))
+	if lastID > 0 {
+		request.Header.Set("Last-Event-Id", strconv.Itoa(lastID))
 	}
-	answer, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(request)
+	response, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(request)
 	if err != nil {
 		return streamResult{}
 	}
-	defer answer.Body.Close()
-	got := streamResult{started: answer.StatusCode == http.StatusOK}
-	lines := bufio.NewScanner(answer.Body)
+	defer response.Body.Close()
+	result := streamResult{started: response.StatusCode == http.StatusOK}
+	lines := bufio.NewScanner(response.Body)
 	id := 0
 	for lines.Scan() {
 		if text, found := strings.CutPrefix(lines.Text(), "id: "); found {
@@ -105,20 +105,20 @@
 			assert.Check(node.t, err)
 		}
 		if lines.Text() == "" && id > 0 {
-			got.ids, id = append(got.ids, id), 0
-			if len(got.ids) == 1 {
+			result.ids, id = append(result.ids, id), 0
+			if len(result.ids) == 1 {
 				onFirst()
 			}
 		}
 	}
-	got.complete = got.started && lines.Err() == nil
-	return got
+	result.complete = result.started && lines.Err() == nil
+	return result
 }
 
 // remainingIDs returns the IDs of the events after the given one.
-func remainingIDs(last int) []int {
+func remainingIDs(lastID int) []int {
 	var numbers []int
-	for number := last + 1; number <= streamEvents; number++ {
+	for number := lastID + 1; number <= streamEvents; number++ {
 		numbers = append(numbers, number)
 	}
 	return numbers
--- a/endtoend/system_test.go
+++ b/endtoend/system_test.go
@@ -100,7 +100,7 @@
 }
 
 // startTopology starts a system and waits until every entry is ready.
-func startTopology(t *testing.T, shape topology) *system {
+func startTopology(t *testing.T, topology topology) *system {
 	t.Helper()
 	system := &system{t: t, directory: t.TempDir(), runsBeforeKill: make(map[string]int)}
 	t.Cleanup(func() { logOutput(t, system.processes()...) })
@@ -108,13 +108,13 @@
 	system.platformAddress = system.platform.listenAddress()
 	system.store = storer.New([]string{"http://" + system.platformAddress}, "")
 	t.Cleanup(system.store.Close)
-	for index, dataCentre := range shape.engines {
+	for index, dataCentre := range topology.engines {
 		system.engines = append(system.engines, system.startUpstream(fmt.Sprintf("engine-%d", index+1), dataCentre,
 			"standin", "engine", "-models", modelName, "-running", "4", "-tokenTime", "10ms", "-slope", "1ms", "-prefill", "20ms"))
 	}
 	system.service = system.startUpstream("stock-1", west, "standin", "service", "-name", "stock", "-latency", "20ms")
 	system.edit(editor.Replace(0, "first version", system.configurationDocument()))
-	for index, dataCentre := range shape.entries {
+	for index, dataCentre := range topology.entries {
 		system.entries = append(system.entries, system.newEntry(fmt.Sprintf("entry-%d", index+1), dataCentre))
 	}
 	for _, entry := range system.entries {
