--- a/endtoend/duties_test.go
+++ b/endtoend/duties_test.go
@@ -109,14 +109,15 @@
 	}
 }
 
-// ServeHTTP forwards a call to the store. While the link is cut, it blocks and then fails.
+// ServeHTTP forwards a call to the store. While the link is cut, it blocks
+// until the link is restored or the call is cancelled, and responds with status 503.
 func (link *storeLink) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	link.mutex.Lock()
-	severed := link.restored
+	restored := link.restored
 	link.mutex.Unlock()
-	if severed != nil {
+	if restored != nil {
 		select {
-		case <-severed:
+		case <-restored:
 		case <-request.Context().Done():
 		}
 		writer.WriteHeader(http.StatusServiceUnavailable)
@@ -142,7 +143,7 @@
 
 // checkReports checks that every window between two times was reported before its deadline, and
 // returns the number of windows whose report differs by more than the tolerance.
-func (duties *dutyFleet) checkReports(from, until time.Time) (off int) {
+func (duties *dutyFleet) checkReports(from, until time.Time) (wrongWindows int) {
 	duties.t.Helper()
 	reported := make(map[uint64]office.Report)
 	for _, report := range duties.office.Reports() {
@@ -155,10 +156,10 @@
 		started := float64(duties.started.counts[window])
 		if diff := float64(report.Counts["guild"]) - started; max(diff, -diff) > max(usageErrorTolerance*started, 1) {
 			duties.t.Logf("window %d: reported %v, started %v", window, report.Counts, started)
-			off++
+			wrongWindows++
 		}
 	}
-	return off
+	return wrongWindows
 }
 
 // TestUsageIsToldByProcesses lets real processes report usage while the holder of the duty is
@@ -167,10 +168,10 @@
 // counts.
 func TestUsageIsToldByProcesses(t *testing.T) {
 	cases := []struct {
-		name    string
-		trouble func(holder *node, link *storeLink) (heal func())
-		// off is the number of windows that may miss the counts of a failed process.
-		off int
+		name   string
+		inject func(holder *node, link *storeLink) (heal func())
+		// wrongWindows is the number of windows that may miss the counts of a failed process.
+		wrongWindows int
 	}{
 		{"calm", func(*node, *storeLink) func() { return func() {} }, 0},
 		{"killed", func(holder *node, _ *storeLink) func() { holder.Kill(); return func() {} }, 1},
@@ -191,7 +192,7 @@
 			holder := reports[len(reports)-1].Holder
 			for index, node := range duties.startedNodes() {
 				if node.name == holder {
-					heal := test.trouble(node, links[index])
+					heal := test.inject(node, links[index])
 					defer heal()
 					<-time.After(2500 * time.Millisecond)
 					heal()
@@ -199,8 +200,8 @@
 			}
 			load.Wait()
 			<-time.After(dutyDeadline / 2)
-			off := duties.checkReports(startedAt.Add(dutyWindow), until.Add(-dutyWindow))
-			assert.Assert(t, off <= test.off, "%d windows have wrong counts", off)
+			wrongWindows := duties.checkReports(startedAt.Add(dutyWindow), until.Add(-dutyWindow))
+			assert.Assert(t, wrongWindows <= test.wrongWindows, "%d windows have wrong counts", wrongWindows)
 			assert.DeepEqual(t, duties.office.Breaches(), []string(nil))
 		})
 	}
