--- a/endtoend/delegation_test.go
+++ b/endtoend/delegation_test.go
@@ -17,9 +17,9 @@
 	largePaddingBytes  = 1_000_000
 )
 
-// TestAskerKilledInALargeChange kills the node that watches the store on behalf of the others while
-// it receives a large configuration over a slow link. The next node takes over, all nodes apply the
-// configuration within the bound, and the number of calls to the store stays low.
+// TestAskerKilledInALargeChange kills the leader, which reads the store on behalf of the others,
+// while it receives a large configuration over a slow link. The next node takes over, all nodes
+// apply the configuration within the bound, and the number of calls to the store stays low.
 func TestAskerKilledInALargeChange(t *testing.T) {
 	fleet := newFleetWithLink(t, store.NewLink(linkBytesPerSecond))
 	fleet.arguments = []string{"-delegation"}
@@ -32,7 +32,7 @@
 		node.awaitReady()
 	}
 	// Once the nodes have discovered each other, the first in the order of their names is the
-	// delegate.
+	// leader.
 	<-time.After(2 * time.Second)
 	before := fleet.store.Calls()
 	fleet.paddingBytes = largePaddingBytes
--- a/endtoend/duties_test.go
+++ b/endtoend/duties_test.go
@@ -109,8 +109,8 @@
 	}
 }
 
-// ServeHTTP forwards a call to the store. While the link is cut, it blocks
-// until the link is restored or the call is cancelled, and responds with status 503.
+// ServeHTTP forwards a call to the store. While the link is cut, it blocks until the link is
+// restored or the call is cancelled, and responds with status 503.
 func (link *storeLink) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	link.mutex.Lock()
 	restored := link.restored
--- a/endtoend/fleet_test.go
+++ b/endtoend/fleet_test.go
@@ -83,8 +83,8 @@
 	return fleet
 }
 
-// withAndWithoutDelegation runs a test twice: with nodes that each watch the store themselves, and
-// with nodes of which a few watch the store and forward changes to the others.
+// withAndWithoutDelegation runs a test twice: with nodes that each read the store themselves, and
+// with nodes of which a few read the store and forward changes to the others.
 func withAndWithoutDelegation(t *testing.T, test func(t *testing.T, fleet *fleet)) {
 	t.Helper()
 	for name, arguments := range map[string][]string{"alone": nil, "delegated": {"-delegation"}} {
