--- a/commander/burn.go
+++ b/commander/burn.go
@@ -69,7 +69,7 @@
 // newestClasses returns the classes of the newest configuration that any node applies, or none if
 // no node has a configuration. It does not query the platform, which may be unavailable.
 func newestClasses(ctx context.Context, client *operator.Client) ([]*definer.Class, error) {
-	var newest operator.InForce
+	var newest operator.ConfigurationInForce
 	for _, answer := range client.Configurations(ctx) {
 		if answer.Value().Version > newest.Version {
 			newest = answer.Value()
--- a/commander/commander.go
+++ b/commander/commander.go
@@ -15,7 +15,7 @@
 // The exit codes of every sub-command.
 const (
 	// ExitDone is the exit code of success.
-	ExitDone = 0
+	ExitSuccess = 0
 	// ExitFailed is the exit code of a failure that has no code of its own.
 	ExitFailed = 1
 	// ExitUsage is the exit code of an invalid command line.
@@ -91,7 +91,7 @@
 func (commander *Commander) help(names []string) int {
 	if len(names) == 0 {
 		commander.printUsage(commander.out)
-		return ExitDone
+		return ExitSuccess
 	}
 	command, ok := commander.findCommand(names[0])
 	if !ok {
@@ -100,7 +100,7 @@
 	}
 	flags, _ := command.flagSet()
 	commander.printHelp(command, flags)
-	return ExitDone
+	return ExitSuccess
 }
 
 // flagSet returns the command's flag set, whose own output is discarded, and its action.
@@ -118,7 +118,7 @@
 	}
 	if errors.Is(err, flag.ErrHelp) {
 		commander.printHelp(command, flags)
-		return ExitDone
+		return ExitSuccess
 	}
 	if err == nil {
 		err = act(ctx, verb)
@@ -182,7 +182,7 @@
 	var failure *Error
 	switch {
 	case err == nil:
-		return ExitDone
+		return ExitSuccess
 	case !errors.As(err, &failure):
 		return ExitFailed
 	case failure.Kind() == InvalidUsage:
--- a/commander/commander_test.go
+++ b/commander/commander_test.go
@@ -45,17 +45,17 @@
 		out, problems string
 	}{
 		{"nothing", nil, commander.ExitUsage, "", "usage: limpetcleat COMMAND"},
-		{"help", []string{"help"}, commander.ExitDone, "usage: limpetcleat COMMAND", ""},
-		{"help of a command", []string{"help", "burn"}, commander.ExitDone, "Example:", ""},
+		{"help", []string{"help"}, commander.ExitSuccess, "usage: limpetcleat COMMAND", ""},
+		{"help of a command", []string{"help", "burn"}, commander.ExitSuccess, "Example:", ""},
 		{"help of no command", []string{"help", "frobnicate"}, commander.ExitUsage, "", `no command "frobnicate"`},
 		{"no such command", []string{"frobnicate"}, commander.ExitUsage, "", `no command "frobnicate"`},
 		{"no such flag", []string{"status", "-frobnicate"}, commander.ExitUsage, "", "-frobnicate"},
 		{"word that is no flag", []string{"status", "now"}, commander.ExitUsage, "", `"now" is neither a flag nor expected`},
 		{"word behind the verb", []string{"rules", "get", "now"}, commander.ExitUsage, "", `"now" is neither a flag nor expected`},
-		{"version", []string{"version"}, commander.ExitDone, "limpetcleat " + commander.Version, ""},
+		{"version", []string{"version"}, commander.ExitSuccess, "limpetcleat " + commander.Version, ""},
 		{"rules without a verb", []string{"rules"}, commander.ExitUsage, "", "name one of get, put, history, explain"},
 		{"rules with a wrong verb", []string{"rules", "drop"}, commander.ExitUsage, "", `no verb "drop"`},
-		{"help behind the verb", []string{"rules", "put", "-h"}, commander.ExitDone, "-dryRun", ""},
+		{"help behind the verb", []string{"rules", "put", "-h"}, commander.ExitSuccess, "-dryRun", ""},
 		{"rules without a platform", []string{"rules", "get"}, commander.ExitUsage, "", "-platform is missing"},
 		{"put without a file", []string{"rules", "put", "-platform", "127.0.0.1:1"}, commander.ExitUsage, "", "-file is missing"},
 		{"wrong output", []string{"rules", "-output", "xml", "get"}, commander.ExitUsage, "", "allowed is text or json"},
@@ -88,7 +88,7 @@
 	overview := run(t, "help").out
 	for _, name := range []string{"serve", "check", "rules", "status", "drain", "burn", "demo", "load", "standin", "version"} {
 		help := run(t, name, "-h")
-		assert.Equal(t, help.code, commander.ExitDone, name)
+		assert.Equal(t, help.code, commander.ExitSuccess, name)
 		assert.Assert(t, strings.Contains(overview, "\n  "+name+" "), name)
 		assert.Assert(t, strings.Contains(help.out, "Example:\n  limpetcleat "+name), name)
 		assert.Assert(t, strings.Contains(help.out, "Exit codes: 0 done, 1 failed, 2 wrong command line"), name)
--- a/commander/demo_test.go
+++ b/commander/demo_test.go
@@ -11,7 +11,7 @@
 
 func TestDemoShowsEveryClass(t *testing.T) {
 	got := run(t, "demo", "-for", "1s")
-	assert.Equal(t, got.code, commander.ExitDone, got.problems)
+	assert.Equal(t, got.code, commander.ExitSuccess, got.problems)
 	lines := strings.Split(strings.TrimSpace(got.out), "\n")
 	assert.Equal(t, len(lines), 7, got.out)
 	containsAll(t, lines[0], []string{"attainment", "goodput", "wasted", "refused"})
@@ -24,7 +24,7 @@
 
 func TestDemoServesForItsTime(t *testing.T) {
 	got := run(t, "demo", "-serve", "-for", "1ms")
-	assert.Equal(t, got.code, commander.ExitDone, got.problems)
+	assert.Equal(t, got.code, commander.ExitSuccess, got.problems)
 	containsAll(t, got.out, []string{"callers are served at http://127.0.0.1:"})
 	assert.Equal(t, run(t, "demo", "-for", "-1s").code, commander.ExitUsage)
 }
--- a/commander/flags.go
+++ b/commander/flags.go
@@ -108,7 +108,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return operator.Dial(addresses, token), nil
+	return operator.NewClient(addresses, token), nil
 }
 
 // storeClient returns a client of the platform; the caller closes it.
--- a/commander/heldoff.go
+++ b/commander/heldoff.go
@@ -72,7 +72,7 @@
 			state = "held off, " + formatSeconds(row.LeftMs) + " left"
 		}
 		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%s\t%d\t%s\t%s\n", address, row.Identity, state, len(row.Upstreams),
-			formatSeconds(row.FirstAgoMs), row.Refused, strings.Join(row.ToldBy, ","), strings.Join(row.Upstreams, ","))
+			formatSeconds(row.FirstAgoMs), row.Refused, strings.Join(row.ReportedBy, ","), strings.Join(row.Upstreams, ","))
 	}
 }
 
--- a/commander/platform.go
+++ b/commander/platform.go
@@ -66,29 +66,29 @@
 		log.Event(logger.EventSettingsRejected, "cause", err)
 		return err
 	}
-	debug.SetMemoryLimit(int64(memoryLimitShare * float64(settings.Memory)))
+	debug.SetMemoryLimit(int64(memoryLimitShare * float64(settings.MemoryLimit)))
 	listeners, err := listenAll(settings.Callers.String(), settings.Readiness.String(), settings.Inner.String())
 	if err != nil {
 		log.Event(logger.EventListenerFailed, "cause", err)
 		return err
 	}
 	counts := meter.New(func(err error) { log.Event(logger.EventMetricsFailed, "cause", err) })
-	accountant := accountant.New(log.Event, counts.StoreCall)
-	store := platform.NewStore(settings.Store, platform.WithCalls(accountant.Count), platform.WithArrived(counts.StoreBytes),
-		platform.WithReadings(sifter.New(log.Event, counts.Unreadable)))
+	accountant := accountant.New(log.Event, counts.CountStoreCall)
+	store := platform.NewStore(settings.Store, platform.WithCallObserver(accountant.Count), platform.WithReceivedBytesObserver(counts.CountStoreBytes),
+		platform.WithEntryStatusRecorder(sifter.New(log.Event, counts.SetUnreadableEntries)))
 	defer store.Close()
 	nodeSettings := entrySettings(settings, options, counts)
-	if settings.Authority.IsValid() {
-		authority := platform.NewAuthority(settings.Authority, accountant.Count)
-		defer authority.Close()
+	if settings.CloudAPI.IsValid() {
+		cloudAPI := platform.NewCloudAPI(settings.CloudAPI, accountant.Count)
+		defer cloudAPI.Close()
 		settings.Duties.Headroom = options.headroom
-		nodeSettings.Duties = limpetcleat.Duties{Settings: settings.Duties, Shelf: platform.NewShelf(store), Platform: authority, Observe: counts.Duties}
+		nodeSettings.Duties = limpetcleat.Duties{Settings: settings.Duties, Store: platform.NewDutyStore(store), Platform: cloudAPI, StatusChanged: counts.SetDuties}
 	}
 	entry := limpetcleat.NewEntry(nodeSettings, platform.Protocol{}, informer.Feeds{
 		Configurations: platform.NewConfigurations(store),
 		Upstreams:      platform.NewUpstreams(store),
 		Peers:          platform.NewPeers(store),
-	}, log, counts.Record)
+	}, log, counts.CountRequest)
 	log.Event(logger.EventNodeStarted, "callers", listeners[0].Addr(), "readiness", listeners[1].Addr(), "vm", settings.VM, "dataCentre", settings.DataCentre)
 	stopMetrics := serveMetrics(metricsAddress(settings, options.metricsPort), counts.Handler(), log)
 	operators := operator.NewEntry(entry.Quarantine(), entry.Event)
@@ -147,7 +147,7 @@
 // SIGHUP it validates the settings and logs the result.
 func (commander *Commander) runEntry(ctx context.Context, entry *limpetcleat.Entry, listeners []net.Listener) {
 	stopDrainOnSignal := context.AfterFunc(ctx, func() {
-		entry.Event(logger.EventDrainAsked, "by", "signal")
+		entry.Event(logger.EventDrainRequested, "by", "signal")
 		entry.Drain()
 	})
 	defer stopDrainOnSignal()
@@ -162,23 +162,23 @@
 
 func entrySettings(settings *platform.Settings, options *platformOptions, counts *meter.Meter) limpetcleat.EntrySettings {
 	return limpetcleat.EntrySettings{
-		VM:             settings.VM,
-		DataCentre:     settings.DataCentre,
-		Inner:          settings.Inner.String(),
-		Link:           settings.Link,
-		Memory:         settings.Memory,
-		Revocation:     settings.Bounds.Revocation,
-		Grace:          settings.Bounds.Grace,
-		RetryShare:     settings.Bounds.RetryShare,
-		RetrySlack:     settings.Bounds.RetrySlack,
-		RetryWindow:    settings.Bounds.RetryWindow,
-		Delegation:     options.delegation,
-		LongestBackoff: options.longestBackoff,
-		First:          settings.First,
-		Asking:         counts.Asking,
-		Suspecting:     counts.Suspecting,
-		Announced:      counts.Announced,
-		Permits:        counts.Permits,
-		BackedOff:      counts.BackedOff,
+		VM:                   settings.VM,
+		DataCentre:           settings.DataCentre,
+		InnerAddress:         settings.Inner.String(),
+		LinkMbps:             settings.LinkMbps,
+		MemoryLimit:          settings.MemoryLimit,
+		RevocationBound:      settings.Bounds.Revocation,
+		GracePeriod:          settings.Bounds.Grace,
+		RetryShare:           settings.Bounds.RetryShare,
+		RetrySlack:           settings.Bounds.RetrySlack,
+		RetryWindow:          settings.Bounds.RetryWindow,
+		Delegation:           options.delegation,
+		LongestBackoff:       options.longestBackoff,
+		Bootstrap:            settings.Bootstrap,
+		StoreReaderChanged:   counts.SetStoreReader,
+		SuspicionsCounted:    counts.SetSuspicions,
+		AnnouncementsCounted: counts.SetAnnouncements,
+		PermitResolved:       counts.CountPermitRequest,
+		BackedOff:            counts.CountBackoff,
 	}
 }
--- a/commander/routes_test.go
+++ b/commander/routes_test.go
@@ -24,19 +24,19 @@
 		code int
 		out  string
 	}{
-		{[]string{"-host", "a.example", "-path", "/x/z", "-key", "secret"}, commander.ExitDone, `"inner" does not match: the path does not begin with "/x/y/"
+		{[]string{"-host", "a.example", "-path", "/x/z", "-key", "secret"}, commander.ExitSuccess, `"inner" does not match: the path does not begin with "/x/y/"
 "outer" matches
     services desk 100%
     repeated true, at most 2 upstreams, timeout 1s, objective 100ms
     organisation guild
     tier 0, urgency 4 at engines
 `},
-		{[]string{"-host", "a.example", "-path", "/x/y/z", "-key", "other"}, commander.ExitDone, `"inner" matches
+		{[]string{"-host", "a.example", "-path", "/x/y/z", "-key", "other"}, commander.ExitSuccess, `"inner" matches
     services pool 90%, desk 10%
     repeated false, at most 1 upstreams, timeout 0s, objective 0s
     no organisation holds the key: the caller is answered 401
 `},
-		{[]string{"-host", "b.example"}, commander.ExitDone, `"inner" does not match: its host is "a.example"
+		{[]string{"-host", "b.example"}, commander.ExitSuccess, `"inner" does not match: its host is "a.example"
 "outer" does not match: its host is "a.example"
 no rule of version 7 matches: the caller is answered 404
 `},
--- a/commander/secure_test.go
+++ b/commander/secure_test.go
@@ -167,7 +167,7 @@
 	directory := t.TempDir()
 	var out, problems bytes.Buffer
 	args := []string{"standin", "authority", "-dir", directory, "-names", "a,b"}
-	assert.Equal(t, New(&out, &problems).Run(t.Context(), args), ExitDone, problems.String())
+	assert.Equal(t, New(&out, &problems).Run(t.Context(), args), ExitSuccess, problems.String())
 	assert.Equal(t, strings.Count(out.String(), "\n"), 5, out.String())
 	path := func(name string) string { return filepath.Join(directory, name) }
 	serverSide, _, err := tlsFiles{path("a.pem"), path("a.key"), path("authority.pem")}.loadInnerTLS(t)
--- a/commander/serve.go
+++ b/commander/serve.go
@@ -51,7 +51,7 @@
 	node := limpetcleat.New(settings.Node().Name(), settings.Node().DataCentre(), options...)
 	go func() {
 		<-ctx.Done()
-		log.Event(logger.EventDrainAsked, "by", "signal")
+		log.Event(logger.EventDrainRequested, "by", "signal")
 		node.Drain()
 	}()
 	log.Event(logger.EventNodeStarted, "callers", settings.Callers().Listen(), "inner", settings.Inner().Listen(), "operators", settings.Operators().Listen())
@@ -97,24 +97,24 @@
 		limpetcleat.WithInner(listeners[1], settings.Inner().Address().String()),
 		limpetcleat.WithInnerTLS(serverSide, clientSide),
 		limpetcleat.WithOperators(listeners[2], operatorToken),
-		limpetcleat.WithDispatcher(
+		limpetcleat.WithDispatcherOptions(
 			dispatcher.WithTimeouts(settings.Dispatch().FirstByteTimeout(), settings.Dispatch().StallTimeout()),
 			dispatcher.WithLongestBackoff(settings.Dispatch().LongestBackoff()),
 			dispatcher.WithConnections(settings.Dispatch().MaxPerUpstreamConnections()),
 		),
 		limpetcleat.WithDrain(settings.Drain().BalancerDelay(), settings.Drain().Timeout()),
-		limpetcleat.WithCore(decider.WithPolicy(scheduler.Policy(settings.Policy()))),
-		limpetcleat.WithSeeds(seeds(settings)...),
+		limpetcleat.WithCoreOptions(decider.WithPolicy(scheduler.Policy(settings.Policy()))),
+		limpetcleat.WithBootstrapVMs(seeds(settings)...),
 		limpetcleat.WithPlatform(connectPlatform(settings.Platform().Addresses(), platformToken, settings.Platform().Timeout(), log)),
 	}, nil
 }
 
 func callerOptions(callers *loader.Callers, log *logger.Logger) []server.Option {
 	return []server.Option{
-		server.WithRejected(func(request definer.RequestID, status int) {
+		server.WithRejectionHandler(func(request definer.RequestID, status int) {
 			log.Event(logger.EventRequestRejected, "request", request, "status", status)
 		}),
-		server.WithCrashed(func(request definer.RequestID, cause any, stack []byte) {
+		server.WithCrashHandler(func(request definer.RequestID, cause any, stack []byte) {
 			log.Event(logger.EventHandlerCrashed, "request", request, "cause", cause, "stack", string(stack))
 		}),
 		server.WithBodyLimits(int64(callers.MaxBodyBytes()), callers.BodyTimeout()),
--- a/commander/system_test.go
+++ b/commander/system_test.go
@@ -46,7 +46,7 @@
 	wrong := fixture.saveChanged("wrong.json", func(document *definer.Document) { document.Rules[0].When = "model ==" })
 
 	got := fixture.runRules("put", "-file", first, "-dryRun")
-	assert.Equal(t, got.code, commander.ExitDone, got.problems)
+	assert.Equal(t, got.code, commander.ExitSuccess, got.problems)
 	containsAll(t, got.out, []string{"~ limits retryShare: 0.1 -> 0.2", "nothing was written"})
 	assert.Equal(t, fixture.storedVersion(), uint64(1))
 
@@ -55,11 +55,11 @@
 	containsAll(t, got.problems, []string{"model =="})
 
 	got = fixture.runRules("put", "-file", same)
-	assert.Equal(t, got.code, commander.ExitDone, got.problems)
+	assert.Equal(t, got.code, commander.ExitSuccess, got.problems)
 	containsAll(t, got.out, []string{"nothing changes: version 1 holds the same", "version 1 is in force on 2 nodes"})
 
 	got = fixture.runRules("put", "-file", first, "-base", "1", "-summary", "more retries", "-editor", "ana")
-	assert.Equal(t, got.code, commander.ExitDone, got.problems)
+	assert.Equal(t, got.code, commander.ExitSuccess, got.problems)
 	containsAll(t, got.out, []string{"~ limits retryShare: 0.1 -> 0.2", "version 2 is accepted", "version 2 is in force on 2 nodes"})
 
 	got = fixture.runRules("put", "-file", second, "-dryRun")
@@ -71,7 +71,7 @@
 
 	var answer putAnswer
 	got = fixture.runRules("put", "-file", second, "-base", "2", "-output", "json")
-	assert.Equal(t, got.code, commander.ExitDone, got.problems)
+	assert.Equal(t, got.code, commander.ExitSuccess, got.problems)
 	decode(t, got.out, &answer)
 	assert.DeepEqual(t, answer.InForce, fixture.system.Operators())
 	assert.Assert(t, answer.Version == 3 && answer.Changed && !answer.DryRun && len(answer.Behind) == 0)
@@ -80,7 +80,7 @@
 	fixture.checkHistory()
 
 	got = fixture.runRules("put", "-file", first, "-floor", "12")
-	assert.Equal(t, got.code, commander.ExitDone, got.problems)
+	assert.Equal(t, got.code, commander.ExitSuccess, got.problems)
 	containsAll(t, got.out, []string{"version 12 is in force on 2 nodes"})
 }
 
@@ -89,7 +89,7 @@
 	t := fixture.t
 	t.Helper()
 	got := fixture.runRules("history")
-	assert.Equal(t, got.code, commander.ExitDone, got.problems)
+	assert.Equal(t, got.code, commander.ExitSuccess, got.problems)
 	lines := strings.Split(strings.TrimSpace(got.out), "\n")
 	assert.Equal(t, len(lines), 4)
 	assert.Assert(t, strings.HasPrefix(lines[2], "2 ") && strings.Contains(lines[2], "ana") && strings.HasSuffix(lines[2], "more retries"), lines[2])
@@ -102,7 +102,7 @@
 	for version, share := range map[int]float64{0: 0.3, 1: 0.1, 2: 0.2, 3: 0.3} {
 		var document definer.Document
 		got := fixture.runRules("get", "-version", strconv.Itoa(version))
-		assert.Equal(t, got.code, commander.ExitDone, got.problems)
+		assert.Equal(t, got.code, commander.ExitSuccess, got.problems)
 		decode(t, got.out, &document)
 		assert.Assert(t, !strings.Contains(got.out, `\u00`), "conditions must not be escaped")
 		assert.Equal(t, document.Limits.RetryShare, share)
@@ -139,8 +139,8 @@
 	defer cancel()
 	got := runContext(timeoutCtx, append([]string{"rules", "put", "-file", file}, fixture.platform...)...)
 	assert.Equal(t, got.code, commander.ExitFailed)
-	assert.Equal(t, run(t, append([]string{"burn"}, fixture.nodes...)...).code, commander.ExitDone, "burn must work without the platform")
-	assert.Equal(t, run(t, append([]string{"status"}, fixture.nodes...)...).code, commander.ExitDone)
+	assert.Equal(t, run(t, append([]string{"burn"}, fixture.nodes...)...).code, commander.ExitSuccess, "burn must work without the platform")
+	assert.Equal(t, run(t, append([]string{"status"}, fixture.nodes...)...).code, commander.ExitSuccess)
 }
 
 // stopPlatform makes the stand-in platform reject every call.
@@ -166,7 +166,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			got := run(t, append([]string{"rules", "explain", "-file", rules}, test.args...)...)
-			assert.Equal(t, got.code, commander.ExitDone, got.problems)
+			assert.Equal(t, got.code, commander.ExitSuccess, got.problems)
 			containsAll(t, got.out, test.out)
 		})
 	}
@@ -178,7 +178,7 @@
 			{"name":"closed","when":"headers[\"x-team\"] == \"red\"","then":{"refuse":"not for red"}},
 			{"name":"rest","when":"true","then":{"class":"chat","pool":"models"}}]}`)
 	got := run(t, "rules", "explain", "-file", file, "-model", "m", "-promptTokens", "7", "-header", "X-Team=blue")
-	assert.Equal(t, got.code, commander.ExitDone, got.problems)
+	assert.Equal(t, got.code, commander.ExitSuccess, got.problems)
 	containsAll(t, got.out, []string{`"long": does not match: promptTokens > 100 is false`, `"closed": does not match: headers["x-team"] == "red" is false`, `"rest": matches; class chat, pool models`})
 	var rows []struct {
 		Rule  string
@@ -214,13 +214,13 @@
 func TestStatusBurnAndDrain(t *testing.T) {
 	fixture := startFixture(t)
 	got := run(t, append([]string{"status"}, fixture.nodes...)...)
-	assert.Equal(t, got.code, commander.ExitDone, got.problems)
+	assert.Equal(t, got.code, commander.ExitSuccess, got.problems)
 	containsAll(t, got.out, []string{"entry-1", "entry-2", "serving"})
 	assert.DeepEqual(t, fixture.awaitMembers(), []int{2, 2})
 
 	page := filepath.Join(fixture.directory, "burn.html")
 	got = run(t, append([]string{"burn", "-html", page}, fixture.nodes...)...)
-	assert.Equal(t, got.code, commander.ExitDone, got.problems)
+	assert.Equal(t, got.code, commander.ExitSuccess, got.problems)
 	containsAll(t, got.out, []string{"orderDesk", "budget left", "wasted"})
 	content, err := os.ReadFile(page)
 	assert.NilError(t, err)
@@ -233,7 +233,7 @@
 	assert.Equal(t, run(t, append([]string{"drain"}, wrong...)...).code, commander.ExitFailed)
 	first := fixture.system.Operators()[0]
 	got = run(t, "drain", "-nodes", first, fixture.nodes[2], fixture.nodes[3], "-wait", "20s")
-	assert.Equal(t, got.code, commander.ExitDone, got.problems)
+	assert.Equal(t, got.code, commander.ExitSuccess, got.problems)
 	containsAll(t, got.out, []string{first + " has stopped"})
 	got = run(t, append([]string{"status"}, fixture.nodes...)...)
 	assert.Equal(t, got.code, commander.ExitPartial)
--- a/delegator/delegator.go
+++ b/delegator/delegator.go
@@ -99,7 +99,7 @@
 }
 
 // Asks reports whether the node has to read the store at this time.
-func (delegator *Delegator) Asks(now time.Time, situation Situation) bool {
+func (delegator *Delegator) MustReadStore(now time.Time, situation Situation) bool {
 	switch {
 	case situation.Leads:
 		delegator.asking = true
--- a/delegator/delegator_test.go
+++ b/delegator/delegator_test.go
@@ -37,9 +37,9 @@
 		t.Run(test.name, func(t *testing.T) {
 			decider := delegator.New(start, 5*time.Second, 0.5, test.first)
 			if test.until >= 0 {
-				assert.Assert(t, !decider.Asks(at(test.until), test.situation))
+				assert.Assert(t, !decider.MustReadStore(at(test.until), test.situation))
 			}
-			assert.Assert(t, decider.Asks(at(test.until+0.2), test.situation) || test.until < 0 && decider.Asks(start, test.situation))
+			assert.Assert(t, decider.MustReadStore(at(test.until+0.2), test.situation) || test.until < 0 && decider.MustReadStore(start, test.situation))
 		})
 	}
 }
@@ -51,11 +51,11 @@
 	decider := delegator.New(start, 5*time.Second, 0, false)
 	situation := delegator.Situation{Aggregates: true, Rank: 1, HearsPeers: true, Confirmed: start}
 	now := start.Add(3 * time.Second)
-	assert.Assert(t, decider.Asks(now, situation))
+	assert.Assert(t, decider.MustReadStore(now, situation))
 	situation.Confirmed = now
-	assert.Assert(t, decider.Asks(now, situation), "only its own confirmation is fresh")
+	assert.Assert(t, decider.MustReadStore(now, situation), "only its own confirmation is fresh")
 	situation.ConfirmedByPeers = now.Add(-time.Second)
-	assert.Assert(t, !decider.Asks(now, situation), "a peer's confirmation is fresh")
+	assert.Assert(t, !decider.MustReadStore(now, situation), "a peer's confirmation is fresh")
 }
 
 // TestPauses checks that the nodes that have to notice the store's return retry failed
--- a/demonstrator/setup.go
+++ b/demonstrator/setup.go
@@ -40,7 +40,7 @@
 }
 
 // Store writes the document to the platform as the first version of the configuration.
-func Store(ctx context.Context, address string, document definer.Document) error {
+func StoreConfiguration(ctx context.Context, address string, document definer.Document) error {
 	client := storer.New([]string{address}, "")
 	defer client.Close()
 	if _, err := editor.New(client, "demo").Edit(ctx, editor.Replace(0, "first version", document)); err != nil {
--- a/demonstrator/system.go
+++ b/demonstrator/system.go
@@ -96,7 +96,7 @@
 		return err
 	}
 	system.document = Document(key, system.engines, system.services)
-	if err := Store(ctx, system.platform, system.document); err != nil {
+	if err := StoreConfiguration(ctx, system.platform, system.document); err != nil {
 		return err
 	}
 	for index := range nodeCount {
--- a/dispatcher/attempt.go
+++ b/dispatcher/attempt.go
@@ -244,7 +244,7 @@
 func (attempt *attempt) readStatement(response *http.Response, refused bool) {
 	said := interpreter.ParseAnnouncement(response.StatusCode, response.Header)
 	if said.Unreadable != "" {
-		attempt.dispatcher.log(logger.EventStatementUnreadable, "upstream", attempt.start.Upstream.Name(), "headers", said.Unreadable)
+		attempt.dispatcher.log(logger.EventAnnouncementUnreadable, "upstream", attempt.start.Upstream.Name(), "headers", said.Unreadable)
 	}
 	attempt.backoff, attempt.retryAfter = min(said.RetryAfter, attempt.dispatcher.longestBackoff), said.RetryAfter
 	_, attempt.limited = said.Limit.PerSecond()
--- a/entry.go
+++ b/entry.go
@@ -65,16 +65,16 @@
 	VM         definer.VM
 	DataCentre definer.DataCentre
 	// Inner is the address at which peers reach this node.
-	Inner string
+	InnerAddress string
 	// Link is the bandwidth of this VM's network link in Mbit/s; 0 means unknown.
-	Link int
+	LinkMbps int
 	// Memory is the memory limit of the process in bytes.
-	Memory int64
+	MemoryLimit int64
 	// Revocation is the longest time after the acknowledgement of a revocation during which the
 	// key may still be accepted; 0 means no limit.
-	Revocation time.Duration
+	RevocationBound time.Duration
 	// Grace is the time limit of a graceful shutdown.
-	Grace time.Duration
+	GracePeriod time.Duration
 	// RetryShare and RetrySlack bound the retries of all nodes together within RetryWindow: a
 	// share of the requests and a fixed number.
 	RetryShare  float64
@@ -86,31 +86,31 @@
 	// Duties are the platform's duties, which one node at a time performs for all nodes.
 	Duties Duties
 	// First is set at the first start of a whole deployment.
-	First bool
+	Bootstrap bool
 	// Asking is called when this node begins or ceases to read the store; it may be nil.
-	Asking func(asks bool)
+	StoreReaderChanged func(reads bool)
 	// LongestBackoff caps the backoff that an upstream may request; 0 means
 	// interpreter.MaxRetryAfter.
 	LongestBackoff time.Duration
 	// Announced is called with the number of upstreams by announcement, Permits with the outcome
 	// of each request for a permit to use a rate-limited upstream, and BackedOff for each refusal
 	// that requests a backoff. Each may be nil.
-	Announced func(counts announcer.Counts)
-	Permits   func(outcome throttler.Outcome)
-	BackedOff func()
+	AnnouncementsCounted func(counts announcer.Counts)
+	PermitResolved       func(outcome throttler.Outcome)
+	BackedOff            func()
 	// Suspecting is called with the number of requests that are held off and the number that are
 	// suspected of crashing upstreams; it may be nil.
-	Suspecting func(held, suspected int)
+	SuspicionsCounted func(held, suspected int)
 }
 
 // Duties describes the platform's duties, which one node at a time performs for all nodes.
 type Duties struct {
 	Settings steward.Settings
-	Shelf    leaseholder.Shelf
+	Store    leaseholder.Store
 	// Platform performs the duties; nil means that there are none.
 	Platform steward.Platform
 	// Observe is called with the new status after each change.
-	Observe func(status steward.Status)
+	StatusChanged func(status steward.Status)
 }
 
 // Entry is a node that selects the upstream of each request by itself, based on the platform's
@@ -152,7 +152,7 @@
 	upstreamSelector := selector.New(settings.DataCentre)
 	entry.selector = upstreamSelector
 	entry.announcer = announcer.New(entry.announcerOptions()...)
-	entry.quarantine = quarantiner.New(quarantiner.WithVerdicts(entry.journal.requestHeldOff, entry.journal.requestReleased), quarantiner.WithCounts(settings.Suspecting))
+	entry.quarantine = quarantiner.New(quarantiner.WithVerdicts(entry.journal.requestHeldOff, entry.journal.requestReleased), quarantiner.WithCounts(settings.SuspicionsCounted))
 	self := definer.Member{VM: settings.VM, Incarnation: definer.Incarnation(time.Now().UnixNano())}
 	entry.messenger = messenger.New(self, settings.DataCentre, entry.receive, messenger.WithReports(entry.journal.report))
 	clock := timekeeper.New(timekeeper.SystemClock())
@@ -168,8 +168,8 @@
 	entry.forwarder = forwarder.New(protocol, entry.informer, entry.informer.Upstreams(), upstreamSelector, budget, entry.connector,
 		forwarder.WithLog(entry.journal.event),
 		forwarder.WithRecord(record),
-		forwarder.WithConfirmationLifetime(max(settings.Revocation-confirmationMargin, 0)),
-		forwarder.WithMaxHeldBytes(int64(float64(settings.Memory)*bodyMemoryShare)),
+		forwarder.WithConfirmationLifetime(max(settings.RevocationBound-confirmationMargin, 0)),
+		forwarder.WithMaxHeldBytes(int64(float64(settings.MemoryLimit)*bodyMemoryShare)),
 		forwarder.WithRandom(rand.Float64),
 		forwarder.WithQuarantine(entry.quarantine),
 		forwarder.WithRequestBegun(entry.requestBegun),
@@ -189,8 +189,8 @@
 		return
 	}
 	entry.steward = steward.New(self, duties.Settings, steward.Dependencies{
-		Fleet: entry.informer, Clock: clock, Sender: entry.messenger, Shelf: duties.Shelf, Platform: duties.Platform,
-		Services: entry.informer, Engines: entry.informer.Upstreams(), Demand: upstreamSelector, Log: entry.journal.event, Observe: duties.Observe,
+		Fleet: entry.informer, Clock: clock, Sender: entry.messenger, Store: duties.Store, Platform: duties.Platform,
+		Services: entry.informer, Engines: entry.informer.Upstreams(), Demand: upstreamSelector, Log: entry.journal.event, StatusChanged: duties.StatusChanged,
 	})
 }
 
@@ -210,17 +210,17 @@
 
 // peer returns this node's entry in the list of peers.
 func (entry *Entry) peer() exchanger.Peer {
-	return exchanger.Peer{VM: entry.settings.VM, DataCentre: entry.settings.DataCentre, Address: entry.settings.Inner, Link: entry.settings.Link}
+	return exchanger.Peer{VM: entry.settings.VM, DataCentre: entry.settings.DataCentre, Address: entry.settings.InnerAddress, Link: entry.settings.LinkMbps}
 }
 
 // informerOptions returns the options of the informer according to the settings.
 func (entry *Entry) informerOptions() []informer.Option {
 	options := []informer.Option{informer.WithLog(entry.journal.event), informer.WithUpstreamChanged(entry.upstreamChanged), informer.WithSuspicions(entry.quarantine), informer.WithAnnouncements(entry.announcer)}
-	if entry.settings.Asking != nil {
-		options = append(options, informer.WithAskingChanged(entry.settings.Asking))
+	if entry.settings.StoreReaderChanged != nil {
+		options = append(options, informer.WithStoreReaderChanged(entry.settings.StoreReaderChanged))
 	}
 	if entry.settings.Delegation {
-		options = append(options, informer.WithDelegation(entry.settings.Revocation, entry.settings.First))
+		options = append(options, informer.WithDelegation(entry.settings.RevocationBound, entry.settings.Bootstrap))
 	}
 	return options
 }
@@ -228,8 +228,8 @@
 // announcerOptions returns the options of the announcer according to the settings.
 func (entry *Entry) announcerOptions() []announcer.Option {
 	options := []announcer.Option{announcer.WithChanges(entry.announced)}
-	if entry.settings.Announced != nil {
-		options = append(options, announcer.WithCounts(entry.settings.Announced))
+	if entry.settings.AnnouncementsCounted != nil {
+		options = append(options, announcer.WithCounts(entry.settings.AnnouncementsCounted))
 	}
 	return options
 }
@@ -237,8 +237,8 @@
 // throttlerOptions returns the options of the throttler according to the settings.
 func (entry *Entry) throttlerOptions() []throttler.Option {
 	options := []throttler.Option{throttler.WithLog(entry.journal.event)}
-	if entry.settings.Permits != nil {
-		options = append(options, throttler.WithCounts(entry.settings.Permits))
+	if entry.settings.PermitResolved != nil {
+		options = append(options, throttler.WithCounts(entry.settings.PermitResolved))
 	}
 	return options
 }
@@ -249,7 +249,7 @@
 	_, limited := announcement.Limit.PerSecond()
 	entry.selector.SetLimited(time.Now(), start, limited)
 	if source != "" {
-		entry.journal.event(logger.EventUpstreamStated, "upstream", start.Upstream, "incarnation", start.Incarnation,
+		entry.journal.event(logger.EventUpstreamAnnounced, "upstream", start.Upstream, "incarnation", start.Incarnation,
 			"limit", announcement.Limit, "leaving", announcement.Leaving, "source", source)
 	}
 	if !announcement.Leaving {
@@ -346,13 +346,13 @@
 // stops accepting connections. It refuses new requests after refusalGraceShare of the grace period,
 // and aborts the remaining ones shortly before the period ends.
 func (entry *Entry) stop() {
-	deadline := time.Now().Add(entry.settings.Grace - stopMargin)
+	deadline := time.Now().Add(entry.settings.GracePeriod - stopMargin)
 	entry.journal.event(logger.EventStopStep, "step", "notReady")
 	entry.forwarder.CloseConnections()
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	_ = timer.Sleep(ctx, balancerDetectionTime) // The error is ignored because the next steps observe ctx too.
-	refusing := time.AfterFunc(time.Duration(refusalGraceShare*float64(entry.settings.Grace))-balancerDetectionTime, entry.forwarder.Refuse)
+	refusing := time.AfterFunc(time.Duration(refusalGraceShare*float64(entry.settings.GracePeriod))-balancerDetectionTime, entry.forwarder.Refuse)
 	defer refusing.Stop()
 	entry.journal.event(logger.EventStopStep, "step", "closeIdle")
 	if err := entry.callerServer.Shutdown(ctx); err != nil {
--- a/entry_test.go
+++ b/entry_test.go
@@ -122,7 +122,7 @@
 	}
 	running := &runningEntry{deployment: deployment, callers: listeners[0].Addr().String(), readiness: listeners[1].Addr().String(), stopped: make(chan struct{})}
 	running.entry = limpetcleat.NewEntry(
-		limpetcleat.EntrySettings{VM: definer.VM(name), DataCentre: "west", Inner: listeners[2].Addr().String(), Memory: 1 << 28, Revocation: deployment.revocation, Grace: 5 * time.Second, RetryWindow: time.Second, Delegation: deployment.delegation},
+		limpetcleat.EntrySettings{VM: definer.VM(name), DataCentre: "west", InnerAddress: listeners[2].Addr().String(), MemoryLimit: 1 << 28, RevocationBound: deployment.revocation, GracePeriod: 5 * time.Second, RetryWindow: time.Second, Delegation: deployment.delegation},
 		platform.Protocol{},
 		informer.Feeds{Configurations: platform.NewConfigurations(client), Upstreams: platform.NewUpstreams(client), Peers: platform.NewPeers(client)},
 		logger.New(io.Discard), func(forwarder.Record) {})
--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -28,7 +28,7 @@
 	for _, name := range []string{"buttons", "replies"} {
 		var out, problems bytes.Buffer
 		arguments := []string{"check", "-settings", name + ".ini", "-rules", name + ".json"}
-		assert.Equal(t, commander.New(&out, &problems).Run(t.Context(), arguments), commander.ExitDone, problems.String())
+		assert.Equal(t, commander.New(&out, &problems).Run(t.Context(), arguments), commander.ExitSuccess, problems.String())
 	}
 }
 
@@ -37,7 +37,7 @@
 func TestCheckLooksForFilesWhenAsked(t *testing.T) {
 	var out, problems bytes.Buffer
 	arguments := []string{"check", "-settings", "buttons.ini", "-files"}
-	assert.Assert(t, commander.New(&out, &problems).Run(t.Context(), arguments) != commander.ExitDone)
+	assert.Assert(t, commander.New(&out, &problems).Run(t.Context(), arguments) != commander.ExitSuccess)
 	assert.Assert(t, bytes.Contains(problems.Bytes(), []byte("operators.token")), problems.String())
 }
 
--- a/forwarder/statement.go
+++ b/forwarder/statement.go
@@ -64,11 +64,11 @@
 	current := loggedStatement{limit: announced.Limit, leaving: announced.Leaving, unreadable: announced.Unreadable}
 	previous := forwarder.loggedStatements.replace(upstream.Start(), current)
 	if current.limit != previous.limit || current.leaving != previous.leaving || announced.RetryAfter > 0 {
-		forwarder.log(logger.EventUpstreamStated, "upstream", upstream.ID, "incarnation", upstream.Incarnation, "service", upstream.Service,
+		forwarder.log(logger.EventUpstreamAnnounced, "upstream", upstream.ID, "incarnation", upstream.Incarnation, "service", upstream.Service,
 			"limit", current.limit, "leaving", current.leaving, "retryAfterMs", announced.RetryAfter.Milliseconds(),
 			"source", "answer", "request", attempt.exchange.call.Attempt, "afterMs", now.Sub(attempt.sentAt).Milliseconds())
 	}
 	if current.unreadable != "" && current.unreadable != previous.unreadable {
-		forwarder.log(logger.EventStatementUnreadable, "upstream", upstream.ID, "headers", current.unreadable)
+		forwarder.log(logger.EventAnnouncementUnreadable, "upstream", upstream.ID, "headers", current.unreadable)
 	}
 }
--- a/informer/delegation.go
+++ b/informer/delegation.go
@@ -36,7 +36,7 @@
 	informer.duties = &duties{configurations: follower.NewDuty(alone), entries: follower.NewDuty(alone)}
 	informer.peerReadDone = make(chan struct{})
 	informer.retryDelayLimit.Store(int64(delegator.MaxRetryDelay(delegator.Situation{})))
-	informer.askingChanged(alone)
+	informer.storeReaderChanged(alone)
 	if !alone {
 		informer.knowledge = newKnowledge(informer)
 	}
@@ -101,14 +101,14 @@
 	}
 	informer.retryDelayLimit.Store(int64(delegator.MaxRetryDelay(situation)))
 	informer.keepsFresh.Store(informer.delegator.KeepsFresh(now, situation))
-	asks := informer.delegator.Asks(now, situation)
-	if asks != informer.duties.configurations.On() {
-		informer.askingChanged(asks)
-		informer.log(logger.EventStoreAsker, "asks", asks, "leads", standing.IsLeader, "aggregates", standing.IsAggregator,
+	reads := informer.delegator.MustReadStore(now, situation)
+	if reads != informer.duties.configurations.On() {
+		informer.storeReaderChanged(reads)
+		informer.log(logger.EventStoreReader, "asks", reads, "leads", standing.IsLeader, "aggregates", standing.IsAggregator,
 			"rank", standing.Rank, "heard", standing.HasReports, "confirmedAgoMs", now.Sub(situation.Confirmed).Milliseconds())
 	}
-	informer.duties.configurations.Set(asks)
-	informer.duties.entries.Set(asks && !informer.configurations.Failing())
+	informer.duties.configurations.Set(reads)
+	informer.duties.entries.Set(reads && !informer.configurations.Failing())
 }
 
 // wantsConfiguration reports whether a peer has announced a newer version than the one
--- a/informer/informer.go
+++ b/informer/informer.go
@@ -53,7 +53,7 @@
 	random func() float64
 	log    func(number int, pairs ...any)
 	// askingChanged is called when this node starts or stops reading the store.
-	askingChanged func(asks bool)
+	storeReaderChanged func(reads bool)
 	// upstreamChanged is called for each change of the list of upstreams.
 	upstreamChanged func(change registrar.Change)
 
@@ -137,8 +137,8 @@
 
 // WithAskingChanged sets the function that is called when this node starts or stops reading the
 // store.
-func WithAskingChanged(asking func(asks bool)) Option {
-	return func(informer *Informer) { informer.askingChanged = asking }
+func WithStoreReaderChanged(changed func(reads bool)) Option {
+	return func(informer *Informer) { informer.storeReaderChanged = changed }
 }
 
 // WithUpstreamChanged sets the function that is called for each change of the list of upstreams.
@@ -167,16 +167,16 @@
 // peers.
 func New(self exchanger.Peer, feeds Feeds, choice *selector.Selector, sender exchanger.Sender, options ...Option) *Informer {
 	informer := &Informer{
-		self:            self,
-		random:          rand.Float64,
-		log:             func(int, ...any) {},
-		askingChanged:   func(bool) {},
-		upstreamChanged: func(registrar.Change) {},
-		registrar:       registrar.New(),
-		peerList:        feeds.Peers,
-		sender:          sender,
-		fetcher:         &fetcher{replyTo: self.Address},
-		done:            make(chan struct{}),
+		self:               self,
+		random:             rand.Float64,
+		log:                func(int, ...any) {},
+		storeReaderChanged: func(bool) {},
+		upstreamChanged:    func(registrar.Change) {},
+		registrar:          registrar.New(),
+		peerList:           feeds.Peers,
+		sender:             sender,
+		fetcher:            &fetcher{replyTo: self.Address},
+		done:               make(chan struct{}),
 	}
 	for _, option := range options {
 		option(informer)
--- a/leaseholder/leaseholder.go
+++ b/leaseholder/leaseholder.go
@@ -26,7 +26,7 @@
 }
 
 // Shelf is a store of one object for each duty. Errors are of this package.
-type Shelf interface {
+type Store interface {
 	// Read returns the current object, with revision 0 if there is none.
 	Read(ctx context.Context, duty string) (Object, error)
 	// Write replaces the object if its revision is still that of the given one, or creates it
@@ -52,7 +52,7 @@
 
 // Leaseholder claims one duty for one node. It must be used by a single goroutine.
 type Leaseholder[Record any] struct {
-	shelf Shelf
+	store Store
 	duty  string
 	self  definer.Member
 	lease time.Duration
@@ -70,8 +70,8 @@
 }
 
 // New returns a Leaseholder of the duty for one process; lease is how long a claim is valid.
-func New[Record any](shelf Shelf, duty string, self definer.Member, lease time.Duration) *Leaseholder[Record] {
-	leaseholder := &Leaseholder[Record]{shelf: shelf, duty: duty, self: self, lease: lease}
+func New[Record any](store Store, duty string, self definer.Member, lease time.Duration) *Leaseholder[Record] {
+	leaseholder := &Leaseholder[Record]{store: store, duty: duty, self: self, lease: lease}
 	// The previous process of this node may have acted until now.
 	leaseholder.waitsUntil = time.Now().Add(lease)
 	return leaseholder
@@ -85,7 +85,7 @@
 	if leaseholder.isLoaded {
 		return nil
 	}
-	object, err := leaseholder.shelf.Read(ctx, leaseholder.duty)
+	object, err := leaseholder.store.Read(ctx, leaseholder.duty)
 	if err != nil {
 		return err
 	}
@@ -153,7 +153,7 @@
 		return Fail("write", Refused, "%w", err)
 	}
 	began := time.Now()
-	revision, err := leaseholder.shelf.Write(ctx, leaseholder.duty, Object{Revision: leaseholder.revision, Content: content})
+	revision, err := leaseholder.store.Write(ctx, leaseholder.duty, Object{Revision: leaseholder.revision, Content: content})
 	if err == nil {
 		leaseholder.current, leaseholder.revision, leaseholder.acquiredAt = claim, revision, began
 		return nil
--- a/logger/number.go
+++ b/logger/number.go
@@ -40,7 +40,7 @@
 	// EventOperatorRejected reports that an operator's call had no valid token.
 	EventOperatorRejected = 2602
 	// EventDrainAsked reports that a planned stop was requested.
-	EventDrainAsked = 2603
+	EventDrainRequested = 2603
 	// EventRequestSent reports to which upstream a request is sent, and the basis of the choice.
 	EventRequestSent = 3101
 	// EventSendFailed reports that one send of a request returned no response to pass on.
@@ -66,9 +66,9 @@
 	// EventUpstreamRestarted reports that an upstream restarted under the same name.
 	EventUpstreamRestarted = 3205
 	// EventUpstreamStated reports how an upstream announced that it is to be called.
-	EventUpstreamStated = 3206
+	EventUpstreamAnnounced = 3206
 	// EventStatementUnreadable reports that such an announcement cannot be read.
-	EventStatementUnreadable = 3207
+	EventAnnouncementUnreadable = 3207
 	// EventPermitsIssued reports that this node issues the permits of an upstream with a limit.
 	EventPermitsIssued = 3208
 	// EventIssuerSilent reports that a node which issues permits does not answer.
@@ -92,11 +92,11 @@
 	// EventStoreCalls reports the numbers of calls to the platform's store.
 	EventStoreCalls = 3309
 	// EventStoreAsker reports that this node starts or stops reading the store itself.
-	EventStoreAsker = 3310
+	EventStoreReader = 3310
 	// EventUsageSettled reports the usage that is to be reported for a window, and its basis.
 	EventUsageSettled = 3401
 	// EventUsageTold reports that the platform accepted the usage of a window.
-	EventUsageTold = 3402
+	EventUsageReported = 3402
 	// EventUsageSkipped reports that the usage of windows is too old to be reported.
 	EventUsageSkipped = 3403
 	// EventDutyFailed reports that a step of a duty failed, and which.
--- a/meter/duties.go
+++ b/meter/duties.go
@@ -16,7 +16,7 @@
 
 // Duties sets the metrics of the duties: whether this node holds each duty, the usage that it
 // reported and the engines that were ordered.
-func (meter *Meter) Duties(status steward.Status) {
+func (meter *Meter) SetDuties(status steward.Status) {
 	meter.setDuty(steward.UsageDuty, &status.Usage.DutyStatus)
 	meter.setDuty(steward.ScalingDuty, &status.Scaling.DutyStatus)
 	meter.scope.Gauge(reportedWindowMetric).Update(float64(status.Usage.ReportedUntil))
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -27,7 +27,7 @@
 	unreadableMetric       = "unreadable_entries"
 	versionMetric          = "configuration_version"
 	ageMetric              = "configuration_age_seconds"
-	asksStoreMetric        = "asks_store"
+	readsStoreMetric       = "asks_store"
 	heldOffMetric          = "held_off_requests"
 	suspectedMetric        = "suspected_requests"
 	limitedUpstreamsMetric = "limited_upstreams"
@@ -80,7 +80,7 @@
 }
 
 // Record counts one finished request. Only served requests are added to the latency histograms.
-func (meter *Meter) Record(record forwarder.Record) {
+func (meter *Meter) CountRequest(record forwarder.Record) {
 	met := lateValue
 	if record.MetObjectives() {
 		met = metValue
@@ -109,7 +109,7 @@
 }
 
 // StoreCall counts one call to the platform's store.
-func (meter *Meter) StoreCall(call follower.Call) {
+func (meter *Meter) CountStoreCall(call follower.Call) {
 	meter.scope.Tagged(map[string]string{
 		"feed":    call.Feed,
 		"reason":  string(call.Reason),
@@ -118,41 +118,41 @@
 }
 
 // StoreBytes counts bytes of responses of the platform's store.
-func (meter *Meter) StoreBytes(bytes int64) { meter.scope.Counter(storeBytesMetric).Inc(bytes) }
+func (meter *Meter) CountStoreBytes(bytes int64) { meter.scope.Counter(storeBytesMetric).Inc(bytes) }
 
 // Unreadable sets the number of entries in the platform's store that cannot be read.
-func (meter *Meter) Unreadable(entries int) {
+func (meter *Meter) SetUnreadableEntries(entries int) {
 	meter.scope.Gauge(unreadableMetric).Update(float64(entries))
 }
 
 // Asking sets whether this node reads the platform's store itself instead of relying on the reports
 // of other nodes.
-func (meter *Meter) Asking(asks bool) {
+func (meter *Meter) SetStoreReader(reads bool) {
 	value := 0.0
-	if asks {
+	if reads {
 		value = 1
 	}
-	meter.scope.Gauge(asksStoreMetric).Update(value)
+	meter.scope.Gauge(readsStoreMetric).Update(value)
 }
 
 // Suspecting sets the number of requests that are held off and the number under which an upstream
 // has crashed.
-func (meter *Meter) Suspecting(held, suspected int) {
+func (meter *Meter) SetSuspicions(held, suspected int) {
 	meter.scope.Gauge(heldOffMetric).Update(float64(held))
 	meter.scope.Gauge(suspectedMetric).Update(float64(suspected))
 }
 
 // Announced sets the number of upstreams with a limit and of those that announced that they leave.
-func (meter *Meter) Announced(counts announcer.Counts) {
+func (meter *Meter) SetAnnouncements(counts announcer.Counts) {
 	meter.scope.Gauge(limitedUpstreamsMetric).Update(float64(counts.Limited))
 	meter.scope.Gauge(leavingUpstreamsMetric).Update(float64(counts.Leaving))
 }
 
 // BackedOff counts one response of an upstream that requests a backoff.
-func (meter *Meter) BackedOff() { meter.scope.Counter(backoffsMetric).Inc(1) }
+func (meter *Meter) CountBackoff() { meter.scope.Counter(backoffsMetric).Inc(1) }
 
 // Permits counts one request for a permit by its outcome.
-func (meter *Meter) Permits(outcome throttler.Outcome) {
+func (meter *Meter) CountPermitRequest(outcome throttler.Outcome) {
 	meter.scope.Tagged(map[string]string{"outcome": string(outcome)}).Counter(permitsMetric).Inc(1)
 }
 
--- a/meter/meter_test.go
+++ b/meter/meter_test.go
@@ -20,16 +20,16 @@
 func TestRecordIsServed(t *testing.T) {
 	counts := meter.New(func(err error) { t.Error(err) })
 	defer counts.Close()
-	counts.Record(forwarder.Record{Service: "pool", Tier: 1, Reason: forwarder.Served, Status: 200, Sends: 2, First: 90 * time.Millisecond, Objective: 100 * time.Millisecond, Version: 7})
-	counts.Record(forwarder.Record{Service: "pool", Tier: 1, Reason: forwarder.Full, Status: 503})
-	counts.StoreCall(follower.Call{Feed: "peers", Reason: follower.Announcing, Outcome: follower.Answered})
-	counts.StoreBytes(5)
-	counts.Unreadable(2)
-	counts.Asking(true)
-	counts.Suspecting(1, 4)
-	counts.Announced(announcer.Counts{Limited: 3, Leaving: 1})
-	counts.Permits(throttler.Denied)
-	counts.BackedOff()
+	counts.CountRequest(forwarder.Record{Service: "pool", Tier: 1, Reason: forwarder.Served, Status: 200, Sends: 2, First: 90 * time.Millisecond, Objective: 100 * time.Millisecond, Version: 7})
+	counts.CountRequest(forwarder.Record{Service: "pool", Tier: 1, Reason: forwarder.Full, Status: 503})
+	counts.CountStoreCall(follower.Call{Feed: "peers", Reason: follower.Announcing, Outcome: follower.Answered})
+	counts.CountStoreBytes(5)
+	counts.SetUnreadableEntries(2)
+	counts.SetStoreReader(true)
+	counts.SetSuspicions(1, 4)
+	counts.SetAnnouncements(announcer.Counts{Limited: 3, Leaving: 1})
+	counts.CountPermitRequest(throttler.Denied)
+	counts.CountBackoff()
 	wanted := []string{
 		`limpetcleat_forwarded_total{met="met",reason="served",service="pool",status="200",tier="1"} 1`,
 		`limpetcleat_sends_total{met="met",reason="served",service="pool",status="200",tier="1"} 2`,
--- a/node.go
+++ b/node.go
@@ -155,10 +155,10 @@
 func (node *Node) receive(from definer.Member, dataCentre definer.DataCentre, message messenger.Message) {
 	switch message := message.(type) {
 	case *messenger.CallForward:
-		node.server.TakeForwarded(message)
+		node.server.ServeForwarded(message)
 		return
 	case *messenger.CallAnswer:
-		node.server.Answer(message)
+		node.server.DeliverAnswer(message)
 		return
 	}
 	node.Submit(decider.MessageReceived{From: from, DataCentre: dataCentre, Message: message})
@@ -174,7 +174,7 @@
 func (node *Node) carryOutOne(action decider.Action) {
 	switch action := action.(type) {
 	case decider.RequestAction:
-		node.server.Hand(action.RequestID(), action)
+		node.server.DeliverAction(action.RequestID(), action)
 	case decider.CancelUpstreamWork:
 		node.dispatcher.Cancel(action.Upstream, action.Attempt)
 	case decider.SendMessage:
--- a/operator/announced_test.go
+++ b/operator/announced_test.go
@@ -35,7 +35,7 @@
 	entry.ServeAnnounced(known, issuances{{Start: first, PerSecond: 0.7, Position: 1, Waiting: 3}})
 	server := httptest.NewServer(entry.Handler())
 	t.Cleanup(server.Close)
-	answers := operator.Dial([]string{strings.TrimPrefix(server.URL, "http://")}, "").Announced(context.Background())
+	answers := operator.NewClient([]string{strings.TrimPrefix(server.URL, "http://")}, "").Announced(context.Background())
 	assert.NilError(t, answers[0].Failure())
 	rows := answers[0].Value()
 	assert.Equal(t, len(rows), 2)
--- a/operator/client.go
+++ b/operator/client.go
@@ -43,7 +43,7 @@
 
 // Dial returns a client of the nodes at the addresses, which authenticates with the operators'
 // token. It makes no connection yet.
-func Dial(addresses []string, token string) *Client {
+func NewClient(addresses []string, token string) *Client {
 	return &Client{addresses: addresses, token: token, client: &http.Client{Timeout: clientTimeout}}
 }
 
@@ -77,8 +77,8 @@
 }
 
 // Configurations requests the configuration in force from all nodes concurrently.
-func (client *Client) Configurations(ctx context.Context) []Answer[InForce] {
-	return callAll[InForce](ctx, client, http.MethodGet, "/configuration")
+func (client *Client) Configurations(ctx context.Context) []Answer[ConfigurationInForce] {
+	return callAll[ConfigurationInForce](ctx, client, http.MethodGet, "/configuration")
 }
 
 // Drain requests a planned stop of all nodes concurrently.
--- a/operator/duties.go
+++ b/operator/duties.go
@@ -20,10 +20,10 @@
 	// ToldUntil is the newest usage window that is known to be reported. Whole, Partial and
 	// Skipped count the windows of this node of which all, some or none of the usage was
 	// reported.
-	ToldUntil uint64 `json:"toldUntil"`
-	Whole     int    `json:"whole"`
-	Partial   int    `json:"partial"`
-	Skipped   int    `json:"skipped"`
+	ReportedUntil uint64 `json:"toldUntil"`
+	Whole         int    `json:"whole"`
+	Partial       int    `json:"partial"`
+	Skipped       int    `json:"skipped"`
 	// Reports and Orders are the most recent reports and orders of this node, the newest last.
 	Reports []DutyReport `json:"reports"`
 	Orders  []DutyOrder  `json:"orders"`
@@ -70,12 +70,12 @@
 // DutyEngines compares the ordered engines of a service in a data centre with those that accept
 // work, the fields named Standing.
 type DutyEngines struct {
-	Service          string `json:"service"`
-	DataCentre       string `json:"dataCentre"`
-	OrderedOrdinary  int    `json:"orderedOrdinary"`
-	OrderedSpot      int    `json:"orderedSpot"`
-	StandingOrdinary int    `json:"standingOrdinary"`
-	StandingSpot     int    `json:"standingSpot"`
+	Service         string `json:"service"`
+	DataCentre      string `json:"dataCentre"`
+	OrderedOrdinary int    `json:"orderedOrdinary"`
+	OrderedSpot     int    `json:"orderedSpot"`
+	ServingOrdinary int    `json:"standingOrdinary"`
+	ServingSpot     int    `json:"standingSpot"`
 }
 
 // ServeDuties adds the status of the duties to the operators' interface. It must be called before
@@ -92,7 +92,7 @@
 func newDuties(status steward.Status) Duties {
 	duties := Duties{
 		Usage: newDutyHolder(&status.Usage.DutyStatus), Scaling: newDutyHolder(&status.Scaling.DutyStatus),
-		ToldUntil: uint64(status.Usage.ReportedUntil), Whole: status.Usage.Whole, Partial: status.Usage.Partial, Skipped: status.Usage.Skipped,
+		ReportedUntil: uint64(status.Usage.ReportedUntil), Whole: status.Usage.Whole, Partial: status.Usage.Partial, Skipped: status.Usage.Skipped,
 	}
 	for _, report := range status.Usage.Reports {
 		duties.Reports = append(duties.Reports, DutyReport{
@@ -113,7 +113,7 @@
 		duties.Engines = append(duties.Engines, DutyEngines{
 			Service: string(engines.Service), DataCentre: string(engines.DataCentre),
 			OrderedOrdinary: engines.Ordered.Ordinary, OrderedSpot: engines.Ordered.Spot,
-			StandingOrdinary: engines.Standing.Ordinary, StandingSpot: engines.Standing.Spot,
+			ServingOrdinary: engines.Standing.Ordinary, ServingSpot: engines.Standing.Spot,
 		})
 	}
 	return duties
--- a/operator/duties_test.go
+++ b/operator/duties_test.go
@@ -31,12 +31,12 @@
 	})
 	server := httptest.NewServer(entry.Handler())
 	t.Cleanup(server.Close)
-	answers := operator.Dial([]string{strings.TrimPrefix(server.URL, "http://")}, "").Duties(context.Background())
+	answers := operator.NewClient([]string{strings.TrimPrefix(server.URL, "http://")}, "").Duties(context.Background())
 	assert.NilError(t, answers[0].Failure())
 	assert.DeepEqual(t, answers[0].Value(), operator.Duties{
 		Usage: operator.DutyHolder{Holder: "n2", Token: 7}, Scaling: operator.DutyHolder{Holds: true, Holder: "n1", Token: 9},
-		ToldUntil: 90, Whole: 3, Partial: 1,
+		ReportedUntil: 90, Whole: 3, Partial: 1,
 		Orders:  []operator.DutyOrder{{Service: "pool", DataCentre: "west", Spot: true, Count: 12, Token: 9, Need: 40, Busy: 13.5, Failure: "none are to be had"}},
-		Engines: []operator.DutyEngines{{Service: "pool", DataCentre: "west", OrderedOrdinary: 2, OrderedSpot: 12, StandingOrdinary: 2, StandingSpot: 5}},
+		Engines: []operator.DutyEngines{{Service: "pool", DataCentre: "west", OrderedOrdinary: 2, OrderedSpot: 12, ServingOrdinary: 2, ServingSpot: 5}},
 	})
 }
--- a/operator/entry.go
+++ b/operator/entry.go
@@ -29,8 +29,8 @@
 	LeftMs  int64 `json:"leftMs"`
 	// Upstreams are the upstreams that crashed under the request, ToldBy the nodes that
 	// reported any of the crashes.
-	Upstreams []string `json:"upstreams"`
-	ToldBy    []string `json:"toldBy"`
+	Upstreams  []string `json:"upstreams"`
+	ReportedBy []string `json:"toldBy"`
 	// FirstAgoMs is the time since the first crash in milliseconds.
 	FirstAgoMs int64 `json:"firstAgoMs"`
 	// Refused counts the attempts that this node has refused.
@@ -38,7 +38,7 @@
 }
 
 // HeldOffs are the requests under which upstreams crashed, as a node knows them.
-type HeldOffs interface {
+type Quarantine interface {
 	// List returns the crashes of each request and whether it is held off.
 	List(now time.Time) []quarantiner.Suspicion
 	// Lift allows a request to be sent again, and reports whether crashes were recorded for it.
@@ -49,8 +49,8 @@
 // decisions. It does not authenticate its callers, so it must be served on the loopback
 // interface only.
 type Entry struct {
-	heldOffs HeldOffs
-	log      Log
+	quarantine Quarantine
+	log        Log
 	// duties is nil on a platform without duties.
 	duties func() steward.Status
 	// announcements and issuer are nil unless ServeAnnounced is called.
@@ -60,8 +60,8 @@
 
 // NewEntry returns an operators' interface that serves the requests under which upstreams
 // crashed, and logs each request that an operator lifts.
-func NewEntry(heldOffs HeldOffs, log Log) *Entry {
-	return &Entry{heldOffs: heldOffs, log: log}
+func NewEntry(quarantine Quarantine, log Log) *Entry {
+	return &Entry{quarantine: quarantine, log: log}
 }
 
 // Handler returns the HTTP handler of the interface.
@@ -81,7 +81,7 @@
 // handleHeldOff answers with the requests under which upstreams crashed as a list of HeldOff.
 func (entry *Entry) handleHeldOff(writer http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	rows := []HeldOff{}
-	for _, suspicion := range entry.heldOffs.List(time.Now()) {
+	for _, suspicion := range entry.quarantine.List(time.Now()) {
 		rows = append(rows, newHeldOff(&suspicion))
 	}
 	writeJSON(writer, rows)
@@ -96,7 +96,7 @@
 		row.Upstreams = append(row.Upstreams, start.String())
 	}
 	for _, vm := range suspicion.ReportedBy {
-		row.ToldBy = append(row.ToldBy, string(vm))
+		row.ReportedBy = append(row.ReportedBy, string(vm))
 	}
 	return row
 }
@@ -109,7 +109,7 @@
 		http.Error(writer, "an identity has 32 hexadecimal digits", http.StatusBadRequest)
 		return
 	}
-	if !entry.heldOffs.Lift(time.Now(), definer.RequestIdentity(raw)) {
+	if !entry.quarantine.Lift(time.Now(), definer.RequestIdentity(raw)) {
 		http.Error(writer, "nothing is held against that request", http.StatusNotFound)
 		return
 	}
--- a/operator/entry_test.go
+++ b/operator/entry_test.go
@@ -26,7 +26,7 @@
 	}
 	server := httptest.NewServer(operator.NewEntry(quarantine, journal.log).Handler())
 	t.Cleanup(server.Close)
-	client := operator.Dial([]string{strings.TrimPrefix(server.URL, "http://")}, "")
+	client := operator.NewClient([]string{strings.TrimPrefix(server.URL, "http://")}, "")
 
 	answers := client.HeldOff(context.Background())
 	assert.NilError(t, answers[0].Failure())
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -31,7 +31,7 @@
 	// Configuration returns the configuration in force, or nil before the first.
 	Configuration() *definer.Configuration
 	// HeldOffs returns the requests under which upstreams crashed.
-	HeldOffs() HeldOffs
+	Quarantine() Quarantine
 	// Metrics returns the handler that serves the metrics.
 	Metrics() http.Handler
 }
@@ -91,7 +91,7 @@
 	router.Handler(http.MethodGet, "/status", operator.requireToken(http.HandlerFunc(operator.handleStatus)))
 	router.Handler(http.MethodGet, "/snapshot", operator.requireToken(http.HandlerFunc(operator.handleSnapshot)))
 	router.Handler(http.MethodGet, "/configuration", operator.requireToken(http.HandlerFunc(operator.handleConfiguration)))
-	quarantine := operator.requireToken(NewEntry(operator.node.HeldOffs(), operator.log).Handler())
+	quarantine := operator.requireToken(NewEntry(operator.node.Quarantine(), operator.log).Handler())
 	router.Handler(http.MethodGet, heldOffPath, quarantine)
 	router.Handler(http.MethodDelete, heldOffPath+"/:identity", quarantine)
 	router.Handler(http.MethodPost, "/drain", operator.requireToken(http.HandlerFunc(operator.handleDrain)))
@@ -103,7 +103,7 @@
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		token, ok := strings.CutPrefix(request.Header.Get("Authorization"), "Bearer ")
 		request.Body = http.MaxBytesReader(writer, request.Body, maxBodyBytes)
-		if !ok || operator.token == "" || !server.SameToken(token, operator.token) {
+		if !ok || operator.token == "" || !server.EqualTokens(token, operator.token) {
 			operator.logRejection(request)
 			http.Error(writer, "the operators' token is missing or wrong", http.StatusUnauthorized)
 			return
@@ -130,16 +130,16 @@
 }
 
 // InForce is the configuration in force at a node.
-type InForce struct {
+type ConfigurationInForce struct {
 	// Version is 0 before the first configuration.
 	Version  uint64           `json:"version"`
 	Document definer.Document `json:"document"`
 }
 
 func (operator *Operator) handleConfiguration(writer http.ResponseWriter, _ *http.Request) {
-	var inForce InForce
+	var inForce ConfigurationInForce
 	if configuration := operator.node.Configuration(); configuration != nil {
-		inForce = InForce{Version: configuration.Version(), Document: configuration.Document()}
+		inForce = ConfigurationInForce{Version: configuration.Version(), Document: configuration.Document()}
 	}
 	writeJSON(writer, inForce)
 }
@@ -151,7 +151,7 @@
 }
 
 func (operator *Operator) handleDrain(writer http.ResponseWriter, request *http.Request) {
-	operator.log(logger.EventDrainAsked, "by", "operator", "address", request.RemoteAddr)
+	operator.log(logger.EventDrainRequested, "by", "operator", "address", request.RemoteAddr)
 	operator.node.Drain()
 	writer.WriteHeader(http.StatusAccepted)
 }
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -35,7 +35,7 @@
 func (*node) Configuration() *definer.Configuration { return nil }
 
 // HeldOffs returns an empty quarantine.
-func (*node) HeldOffs() operator.HeldOffs { return quarantiner.New() }
+func (*node) Quarantine() operator.Quarantine { return quarantiner.New() }
 
 // Metrics returns a handler that answers 404 Not Found.
 func (*node) Metrics() http.Handler { return http.NotFoundHandler() }
@@ -76,13 +76,13 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			node, journal := &node{}, &journal{}
-			client := operator.Dial([]string{serve(t, node, journal, test.wanted)}, test.given)
+			client := operator.NewClient([]string{serve(t, node, journal, test.wanted)}, test.given)
 			answer := client.Drain(t.Context())[0]
 			assert.Equal(t, answer.Failure() == nil, test.open)
 			assert.Equal(t, node.drains == 1, test.open)
 			wanted := logger.EventOperatorRejected
 			if test.open {
-				wanted = logger.EventDrainAsked
+				wanted = logger.EventDrainRequested
 			}
 			assert.DeepEqual(t, journal.numbers, []int{wanted})
 		})
@@ -94,10 +94,10 @@
 func TestHeldOffIsGuarded(t *testing.T) {
 	address := serve(t, &node{}, &journal{}, token)
 	for _, given := range []string{token, "wrong"} {
-		client := operator.Dial([]string{address}, given)
+		client := operator.NewClient([]string{address}, given)
 		assert.Equal(t, client.HeldOff(t.Context())[0].Failure() == nil, given == token)
 	}
-	refused := operator.Dial([]string{address}, "wrong").Lift(t.Context(), "00")[0].Failure()
+	refused := operator.NewClient([]string{address}, "wrong").Lift(t.Context(), "00")[0].Failure()
 	assert.ErrorContains(t, refused, "401")
 }
 
@@ -106,7 +106,7 @@
 func TestRejectionsAreCountedNotFlooded(t *testing.T) {
 	journal := &journal{}
 	address := serve(t, &node{}, journal, token)
-	client := operator.Dial([]string{address}, "wrong")
+	client := operator.NewClient([]string{address}, "wrong")
 	for range 200 {
 		assert.Assert(t, client.Status(t.Context())[0].Failure() != nil)
 	}
@@ -120,7 +120,7 @@
 
 func TestAnswersKeepTheOrderOfTheNodes(t *testing.T) {
 	addresses := []string{serve(t, &node{}, &journal{}, token), "127.0.0.1:1", serve(t, &node{}, &journal{}, token)}
-	for index, answer := range operator.Dial(addresses, token).Status(t.Context()) {
+	for index, answer := range operator.NewClient(addresses, token).Status(t.Context()) {
 		assert.Equal(t, answer.Address(), addresses[index])
 		assert.Equal(t, answer.Failure() != nil, index == 1)
 		assert.Equal(t, answer.Value().VM == "entry-1", index != 1)
--- a/option.go
+++ b/option.go
@@ -77,17 +77,17 @@
 }
 
 // WithSeeds sets the VMs that are used until the platform's list of VMs has been read.
-func WithSeeds(vms ...decider.ListedVM) Option {
+func WithBootstrapVMs(vms ...decider.ListedVM) Option {
 	return func(node *Node) { node.coreOptions = append(node.coreOptions, decider.WithBootstrapVMs(vms)) }
 }
 
 // WithCore adds options of the core.
-func WithCore(options ...decider.Option) Option {
+func WithCoreOptions(options ...decider.Option) Option {
 	return func(node *Node) { node.coreOptions = append(node.coreOptions, options...) }
 }
 
 // WithDispatcher adds options of the dispatcher.
-func WithDispatcher(options ...dispatcher.Option) Option {
+func WithDispatcherOptions(options ...dispatcher.Option) Option {
 	return func(node *Node) { node.dispatcherOptions = append(node.dispatcherOptions, options...) }
 }
 
--- a/run.go
+++ b/run.go
@@ -57,7 +57,7 @@
 	node.start(partsContext)
 	callers := node.server.HTTP()
 	if node.callerListener != nil {
-		node.serve(node.server.Limit(node.callerListener), callers)
+		node.serve(node.server.LimitConnections(node.callerListener), callers)
 	}
 	operators := operatorServer(node.operatorHandler())
 	if node.operatorListener != nil {
--- a/server/authenticator.go
+++ b/server/authenticator.go
@@ -48,7 +48,7 @@
 }
 
 // SameToken compares two secrets in constant time.
-func SameToken(given, wanted string) bool {
+func EqualTokens(given, wanted string) bool {
 	a := sha256.Sum256([]byte(given))
 	b := sha256.Sum256([]byte(wanted))
 	return subtle.ConstantTimeCompare(a[:], b[:]) == 1
--- a/server/crash_test.go
+++ b/server/crash_test.go
@@ -42,14 +42,14 @@
 	switch event := event.(type) {
 	case decider.RequestArrived:
 		crasher.crash("arrival")
-		crasher.served.Hand(event.Request, decider.StartAttempt{Request: event.Request, Attempt: "1"})
+		crasher.served.DeliverAction(event.Request, decider.StartAttempt{Request: event.Request, Attempt: "1"})
 	case decider.AttemptEnded:
 		crasher.crash("end")
 		refusal := decider.Refusal{Status: http.StatusBadGateway, Reason: "upstreamFailed", Outcome: definer.Unknown}
 		if event.Result != decider.AttemptBroken {
 			refusal.Outcome = definer.NotRun
 		}
-		crasher.served.Hand(event.Request, decider.RefuseRequest{Request: event.Request, Refusal: refusal})
+		crasher.served.DeliverAction(event.Request, decider.RefuseRequest{Request: event.Request, Refusal: refusal})
 	}
 }
 
@@ -84,7 +84,7 @@
 		t.Run(test.at+test.key, func(t *testing.T) {
 			crasher := &crasher{point: test.at}
 			crashes := 0
-			served := server.New(crasher, crasher, server.WithCrashed(func(id definer.RequestID, cause any, stack []byte) {
+			served := server.New(crasher, crasher, server.WithCrashHandler(func(id definer.RequestID, cause any, stack []byte) {
 				assert.Assert(t, id != "" && cause != nil && len(stack) > 0)
 				crashes++
 			}))
--- a/server/crashing_services_test.go
+++ b/server/crashing_services_test.go
@@ -146,12 +146,12 @@
 func (system *system) liftQuarantine(t *testing.T, services *crashingServices, send func(node int) (status int)) {
 	t.Helper()
 	services.fixed.Store(true)
-	heldOffs := system.nodes[1].HeldOffs()
-	listed := heldOffs.List(time.Now())
+	quarantine := system.nodes[1].Quarantine()
+	listed := quarantine.List(time.Now())
 	assert.Equal(t, len(listed), 1)
 	assert.Assert(t, listed[0].Held && len(listed[0].Upstreams) == maxCrashes)
-	assert.Assert(t, heldOffs.Lift(time.Now(), listed[0].Identity))
-	assert.Assert(t, !heldOffs.Lift(time.Now(), listed[0].Identity), "the quarantine was lifted already")
+	assert.Assert(t, quarantine.Lift(time.Now(), listed[0].Identity))
+	assert.Assert(t, !quarantine.Lift(time.Now(), listed[0].Identity), "the quarantine was lifted already")
 	<-time.After(attemptInterval)
 	for node := range system.nodes {
 		assert.Equal(t, send(node), http.StatusOK)
--- a/server/listener.go
+++ b/server/listener.go
@@ -49,7 +49,7 @@
 
 // Limit returns a listener that bounds the open connections. It responds with status 503 to
 // connections above the limit and closes them.
-func (server *Server) Limit(inner net.Listener) net.Listener {
+func (server *Server) LimitConnections(inner net.Listener) net.Listener {
 	return &limitedListener{Listener: inner, slots: make(chan struct{}, server.maxConnections), refusals: make(chan struct{}, maxConcurrentRefusals)}
 }
 
--- a/server/rejection.go
+++ b/server/rejection.go
@@ -11,8 +11,8 @@
 type RejectionHandler func(request definer.RequestID, status int)
 
 // WithRejected sets the handler for requests that are rejected before they reach the core.
-func WithRejected(rejected RejectionHandler) Option {
-	return func(server *Server) { server.onRejection = rejected }
+func WithRejectionHandler(handler RejectionHandler) Option {
+	return func(server *Server) { server.onRejection = handler }
 }
 
 // statusRecorder is an http.ResponseWriter that records the status of the response.
--- a/server/rejection_test.go
+++ b/server/rejection_test.go
@@ -26,7 +26,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			var reported []int
-			server := New(nil, nil, WithRejected(func(_ definer.RequestID, status int) { reported = append(reported, status) }))
+			server := New(nil, nil, WithRejectionHandler(func(_ definer.RequestID, status int) { reported = append(reported, status) }))
 			handler := http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 				if test.submitted {
 					markSubmitted(writer)
--- a/server/server.go
+++ b/server/server.go
@@ -83,8 +83,8 @@
 }
 
 // WithCrashed sets the handler for requests whose handling panicked.
-func WithCrashed(crashed CrashHandler) Option {
-	return func(server *Server) { server.onCrash = crashed }
+func WithCrashHandler(handler CrashHandler) Option {
+	return func(server *Server) { server.onCrash = handler }
 }
 
 // WithPeers sets the transport for calls that are forwarded to other processes.
--- a/server/system_test.go
+++ b/server/system_test.go
@@ -84,7 +84,7 @@
 		system.engineAddresses = append(system.engineAddresses, system.run(ctx, engine.New(options...)))
 	}
 	system.serviceAddress = system.run(ctx, service.New(service.WithName("stock"), service.WithLatency(time.Millisecond)))
-	assert.NilError(t, demonstrator.Store(ctx, system.platformAddress, system.document()))
+	assert.NilError(t, demonstrator.StoreConfiguration(ctx, system.platformAddress, system.document()))
 	for index := range setup.nodes {
 		system.startNode(ctx, fmt.Sprintf("entry-%d", index+1))
 	}
@@ -155,7 +155,7 @@
 	options := append([]limpetcleat.Option{
 		limpetcleat.WithCallers(callers, system.setup.server...),
 		limpetcleat.WithInner(inner, inner.Addr().String()),
-		limpetcleat.WithDispatcher(system.setup.dispatcher...),
+		limpetcleat.WithDispatcherOptions(system.setup.dispatcher...),
 		limpetcleat.WithPlatform(func(deliver func(decider.Event)) limpetcleat.Platform {
 			return watcher.New([]string{system.platformAddress}, "", deliver)
 		}),
--- a/status.go
+++ b/status.go
@@ -25,24 +25,24 @@
 }
 
 // HeldOffs returns the requests that are suspected of crashing upstreams.
-func (node *Node) HeldOffs() operator.HeldOffs { return heldOffs{node} }
+func (node *Node) Quarantine() operator.Quarantine { return quarantine{node} }
 
 // heldOffs implements operator.HeldOffs with the suspicions of a node's core.
-type heldOffs struct{ node *Node }
+type quarantine struct{ node *Node }
 
 // List returns the suspicions at the given time.
-func (heldOffs heldOffs) List(now time.Time) []quarantiner.Suspicion {
-	heldOffs.node.core.Lock()
-	defer heldOffs.node.core.Unlock()
-	return heldOffs.node.decider.Suspicions(now)
+func (quarantine quarantine) List(now time.Time) []quarantiner.Suspicion {
+	quarantine.node.core.Lock()
+	defer quarantine.node.core.Unlock()
+	return quarantine.node.decider.Suspicions(now)
 }
 
 // Lift requests the release of a request that is held off, and reports whether the request is
 // known.
-func (heldOffs heldOffs) Lift(now time.Time, identity definer.RequestIdentity) bool {
-	known := slices.ContainsFunc(heldOffs.List(now), func(suspicion quarantiner.Suspicion) bool { return suspicion.Identity == identity })
+func (quarantine quarantine) Lift(now time.Time, identity definer.RequestIdentity) bool {
+	known := slices.ContainsFunc(quarantine.List(now), func(suspicion quarantiner.Suspicion) bool { return suspicion.Identity == identity })
 	if known {
-		heldOffs.node.Submit(decider.LiftRequested{Identity: identity})
+		quarantine.node.Submit(decider.LiftRequested{Identity: identity})
 	}
 	return known
 }
--- a/steward/rest_test.go
+++ b/steward/rest_test.go
@@ -33,7 +33,7 @@
 			return simulation.setFault(&simulation.store, fault{silent: holderAlone(simulation)})
 		}},
 		{"not answered by the platform", func(simulation *simulation) func() {
-			return simulation.setFault(&simulation.authority, fault{silent: holderAlone(simulation)})
+			return simulation.setFault(&simulation.cloudAPI, fault{silent: holderAlone(simulation)})
 		}},
 		{"before a slow store", func(simulation *simulation) func() {
 			return simulation.setFault(&simulation.store, fault{slow: 240 * time.Millisecond})
--- a/steward/scaling.go
+++ b/steward/scaling.go
@@ -62,7 +62,7 @@
 func newScalingDuty(steward *Steward) *scalingDuty {
 	return &scalingDuty{
 		steward:  steward,
-		lease:    leaseholder.New[Plans](steward.parts.Shelf, ScalingDuty, steward.self, steward.settings.Lease),
+		lease:    leaseholder.New[Plans](steward.parts.Store, ScalingDuty, steward.self, steward.settings.Lease),
 		scalers:  make(map[definer.PoolName]*scaler.Scaler),
 		accepted: make(map[orderKey]timedCount),
 		listed:   make(map[definer.PoolName]timedCount),
--- a/steward/status.go
+++ b/steward/status.go
@@ -86,7 +86,7 @@
 // statusStore holds the status of the duties. It is safe for concurrent use.
 type statusStore struct {
 	// observe is called with a copy of the status after each change.
-	observe func(status Status)
+	changed func(status Status)
 	// mutex guards status; no other lock is taken under it.
 	mutex  sync.Mutex
 	status Status
@@ -98,7 +98,7 @@
 	change(&statusStore.status)
 	copied := statusStore.copy()
 	statusStore.mutex.Unlock()
-	statusStore.observe(copied)
+	statusStore.changed(copied)
 }
 
 // copy returns a copy of the status. The caller holds mutex.
--- a/steward/steward.go
+++ b/steward/steward.go
@@ -61,7 +61,7 @@
 	Fleet    Fleet
 	Clock    Clock
 	Sender   Sender
-	Shelf    leaseholder.Shelf
+	Store    leaseholder.Store
 	Platform Platform
 	Services Services
 	// Engines lists the engines, Demand measures the load on them.
@@ -71,7 +71,7 @@
 	Log func(number int, pairs ...any)
 	// Observe is called with each change of this node's status of the duties; it must not
 	// block. It may be nil.
-	Observe func(status Status)
+	StatusChanged func(status Status)
 }
 
 // Steward performs the duties of one process. It is safe for concurrent use.
@@ -106,12 +106,12 @@
 		settings:  settings,
 		parts:     parts,
 		tallier:   tallier.New(self, window),
-		statuses:  &statusStore{observe: parts.Observe},
+		statuses:  &statusStore{changed: parts.StatusChanged},
 		done:      make(chan struct{}),
 		yieldedAt: make(map[definer.VM]time.Time),
 	}
-	if parts.Observe == nil {
-		steward.statuses.observe = func(Status) {}
+	if parts.StatusChanged == nil {
+		steward.statuses.changed = func(Status) {}
 	}
 	steward.usage = newUsageDuty(steward)
 	steward.scaling = newScalingDuty(steward)
--- a/steward/trouble_test.go
+++ b/steward/trouble_test.go
@@ -60,9 +60,9 @@
 	case 7:
 		return simulation.setFault(&simulation.store, fault{slow: 240 * time.Millisecond})
 	case 8:
-		return simulation.setFault(&simulation.authority, fault{late: 0.4, lost: 0.1})
+		return simulation.setFault(&simulation.cloudAPI, fault{late: 0.4, lost: 0.1})
 	case 9:
-		return simulation.setFault(&simulation.authority, fault{silent: all})
+		return simulation.setFault(&simulation.cloudAPI, fault{silent: all})
 	default:
 		return simulation.setFault(&simulation.store, fault{down: all})
 	}
--- a/steward/usage.go
+++ b/steward/usage.go
@@ -68,7 +68,7 @@
 func newUsageDuty(steward *Steward) *usageDuty {
 	return &usageDuty{
 		steward:     steward,
-		lease:       leaseholder.New[Book](steward.parts.Shelf, UsageDuty, steward.self, steward.settings.Lease),
+		lease:       leaseholder.New[Book](steward.parts.Store, UsageDuty, steward.self, steward.settings.Lease),
 		firstWindow: steward.tallier.WindowAt(steward.parts.Clock.Now()),
 	}
 }
@@ -268,7 +268,7 @@
 	steward := duty.steward
 	now := steward.parts.Clock.Now()
 	late := now.Sub(steward.tallier.WindowEnd(settled.Window))
-	steward.parts.Log(logger.EventUsageTold, "window", settled.Window, "token", token, "whole", settled.Complete, "lateMs", late.Milliseconds())
+	steward.parts.Log(logger.EventUsageReported, "window", settled.Window, "token", token, "whole", settled.Complete, "lateMs", late.Milliseconds())
 	steward.statuses.update(func(status *Status) {
 		usage := &status.Usage
 		usage.DutyStatus = DutyStatus{Holds: true, Holder: steward.self.VM, Token: token}
--- a/steward/world_test.go
+++ b/steward/world_test.go
@@ -69,8 +69,8 @@
 	// partitioned reports whether two nodes are cut off from each other.
 	partitioned func(from, to *node) bool
 	// store and authority are the faults of the store and of the platform.
-	store     fault
-	authority fault
+	store    fault
+	cloudAPI fault
 }
 
 // fault is the faulty behaviour of a system.
@@ -133,7 +133,7 @@
 	process := &process{node: node, member: definer.Member{VM: node.peer.VM, Incarnation: definer.Incarnation(time.Now().UnixNano())}, end: end}
 	process.steward = steward.New(process.member, steward.Settings{Lease: leaseTerm, UsageWindow: usageWindow, UsageDeadline: usageDeadline, Scales: true, Headroom: scaler.DefaultHeadroom},
 		steward.Dependencies{
-			Fleet: process, Clock: process, Sender: process, Shelf: process, Platform: process,
+			Fleet: process, Clock: process, Sender: process, Store: process, Platform: process,
 			Services: process.node.simulation.engines, Engines: process.node.simulation.engines, Demand: process.node.simulation.engines, Log: process.log,
 		})
 	node.simulation.mutex.Lock()
@@ -402,7 +402,7 @@
 	simulation := process.node.simulation
 	window, counts := usage.Window, maps.Clone(usage.Requests)
 	var outdated bool
-	answered, refused := process.call(ctx, &simulation.authority, func() {
+	answered, refused := process.call(ctx, &simulation.cloudAPI, func() {
 		if outdated = !simulation.acceptAct("usage", process, grant); outdated {
 			return
 		}
@@ -429,7 +429,7 @@
 	simulation := process.node.simulation
 	placed := *order
 	var outdated, none bool
-	answered, refused := process.call(ctx, &simulation.authority, func() {
+	answered, refused := process.call(ctx, &simulation.cloudAPI, func() {
 		subject := fmt.Sprintf("%s in %s", placed.Service, placed.DataCentre)
 		if outdated = !simulation.acceptAct(subject, process, grant); outdated {
 			return
