--- a/server/authenticator.go
+++ b/server/authenticator.go
@@ -47,8 +47,8 @@
 	return configuration.OrganisationByKeyHash(hex.EncodeToString(sum[:]))
 }
 
-// SameToken compares two secrets in constant time.
-func SameToken(given, wanted string) bool {
+// EqualTokens reports whether two secrets are equal. It takes constant time.
+func EqualTokens(given, wanted string) bool {
 	a := sha256.Sum256([]byte(given))
 	b := sha256.Sum256([]byte(wanted))
 	return subtle.ConstantTimeCompare(a[:], b[:]) == 1
--- a/steward/status.go
+++ b/steward/status.go
@@ -85,20 +85,20 @@
 
 // statusStore holds the status of the duties. It is safe for concurrent use.
 type statusStore struct {
-	// observe is called with a copy of the status after each change.
-	observe func(status Status)
+	// changed is called with a copy of the status after each change.
+	changed func(status Status)
 	// mutex guards status; no other lock is taken under it.
 	mutex  sync.Mutex
 	status Status
 }
 
-// update applies change to the status and passes a copy to observe.
+// update applies change to the status and passes a copy to changed.
 func (statusStore *statusStore) update(change func(status *Status)) {
 	statusStore.mutex.Lock()
 	change(&statusStore.status)
 	copied := statusStore.copy()
 	statusStore.mutex.Unlock()
-	statusStore.observe(copied)
+	statusStore.changed(copied)
 }
 
 // copy returns a copy of the status. The caller holds mutex.
