--- a/commander/announced.go
+++ b/commander/announced.go
@@ -20,7 +20,7 @@
 		row: func(answer operator.Answer[[]operator.Announced]) any {
 			return announcedRow{Address: answer.Address(), Announced: answer.Value(), Failure: errorText(answer)}
 		},
-		header: "node\tupstream\tlimit\tleaving\tannounced\tsource\tpermits",
+		header: "node\tupstream\tlimit\tleaving\tsaid\tby\tpermits",
 		write:  writeAnnounced,
 	}
 	return command{
@@ -58,5 +58,5 @@
 	if !row.Issues {
 		return "elsewhere"
 	}
-	return fmt.Sprintf("%.3g/s, %d nodes ahead, %d waiting, last request %s ago", row.PermitsPerSecond, row.Position, row.Waiting, formatSeconds(row.AskedAgoMs))
+	return fmt.Sprintf("%.3g/s, %d nodes before, %d wait, asked %s ago", row.PermitsPerSecond, row.Position, row.Waiting, formatSeconds(row.AskedAgoMs))
 }
--- a/commander/duties.go
+++ b/commander/duties.go
@@ -32,7 +32,7 @@
 
 // writeDuties writes the duties as one node reports them, with a header for each node.
 func writeDuties(table io.Writer, address string, duties operator.Duties) {
-	_, _ = fmt.Fprintln(table, "node\tduty\tholds\tlast holder\ttoken\treported until\twhole\tpartial\tskipped")
+	_, _ = fmt.Fprintln(table, "node\tduty\tholds\tlast holder\ttoken\ttold until\twhole\tpartial\tskipped")
 	_, _ = fmt.Fprintf(table, "%s\tusage\t%t\t%s\t%d\t%d\t%d\t%d\t%d\n", address, duties.Usage.Holds, duties.Usage.Holder, duties.Usage.Token,
 		duties.ReportedUntil, duties.Whole, duties.Partial, duties.Skipped)
 	_, _ = fmt.Fprintf(table, "%s\tscaling\t%t\t%s\t%d\t\t\t\t\n", address, duties.Scaling.Holds, duties.Scaling.Holder, duties.Scaling.Token)
--- a/commander/heldoff.go
+++ b/commander/heldoff.go
@@ -59,7 +59,7 @@
 		row: func(answer operator.Answer[[]operator.HeldOff]) any {
 			return heldOffRow{Address: answer.Address(), HeldOff: answer.Value(), Failure: errorText(answer)}
 		},
-		header: "node\trequest\tstate\tended\tfirst ago\trefused\treported by\tupstreams",
+		header: "node\trequest\tstate\tended\tfirst ago\trefused\ttold by\tupstreams",
 		write:  writeHeldOff,
 	}
 }
