--- a/commander/commander.go
+++ b/commander/commander.go
@@ -14,7 +14,7 @@
 
 // The exit codes of every sub-command.
 const (
-	// ExitDone is the exit code of success.
+	// ExitSuccess is the exit code of success.
 	ExitSuccess = 0
 	// ExitFailed is the exit code of a failure that has no code of its own.
 	ExitFailed = 1
--- a/delegator/delegator.go
+++ b/delegator/delegator.go
@@ -98,7 +98,7 @@
 	return max(delegator.maxAge-watchLag-propagationTime, minWatchWait)
 }
 
-// Asks reports whether the node has to read the store at this time.
+// MustReadStore reports whether the node has to read the store at this time.
 func (delegator *Delegator) MustReadStore(now time.Time, situation Situation) bool {
 	switch {
 	case situation.Leads:
--- a/demonstrator/setup.go
+++ b/demonstrator/setup.go
@@ -39,7 +39,7 @@
 	return listener, nil
 }
 
-// Store writes the document to the platform as the first version of the configuration.
+// StoreConfiguration writes the document to the platform as the first version of the configuration.
 func StoreConfiguration(ctx context.Context, address string, document definer.Document) error {
 	client := storer.New([]string{address}, "")
 	defer client.Close()
--- a/entry.go
+++ b/entry.go
@@ -64,16 +64,16 @@
 type EntrySettings struct {
 	VM         definer.VM
 	DataCentre definer.DataCentre
-	// Inner is the address at which peers reach this node.
+	// InnerAddress is the address at which peers reach this node.
 	InnerAddress string
-	// Link is the bandwidth of this VM's network link in Mbit/s; 0 means unknown.
+	// LinkMbps is the bandwidth of this VM's network link in Mbit/s; 0 means unknown.
 	LinkMbps int
-	// Memory is the memory limit of the process in bytes.
+	// MemoryLimit is the memory limit of the process in bytes.
 	MemoryLimit int64
-	// Revocation is the longest time after the acknowledgement of a revocation during which the
-	// key may still be accepted; 0 means no limit.
+	// RevocationBound is the longest time after the acknowledgement of a revocation during which
+	// the key may still be accepted; 0 means no limit.
 	RevocationBound time.Duration
-	// Grace is the time limit of a graceful shutdown.
+	// GracePeriod is the time limit of a graceful shutdown.
 	GracePeriod time.Duration
 	// RetryShare and RetrySlack bound the retries of all nodes together within RetryWindow: a
 	// share of the requests and a fixed number.
@@ -85,21 +85,21 @@
 	Delegation bool
 	// Duties are the platform's duties, which one node at a time performs for all nodes.
 	Duties Duties
-	// First is set at the first start of a whole deployment.
+	// Bootstrap is set at the first start of a whole deployment.
 	Bootstrap bool
-	// Asking is called when this node begins or ceases to read the store; it may be nil.
+	// StoreReaderChanged is called when this node starts or stops reading the store; it may be nil.
 	StoreReaderChanged func(reads bool)
 	// LongestBackoff caps the backoff that an upstream may request; 0 means
 	// interpreter.MaxRetryAfter.
 	LongestBackoff time.Duration
-	// Announced is called with the number of upstreams by announcement, Permits with the outcome
-	// of each request for a permit to use a rate-limited upstream, and BackedOff for each refusal
-	// that requests a backoff. Each may be nil.
+	// AnnouncementsCounted is called with the number of upstreams by announcement, PermitResolved
+	// with the outcome of each request for a permit to use a rate-limited upstream, and BackedOff
+	// for each refusal that requests a backoff. Each may be nil.
 	AnnouncementsCounted func(counts announcer.Counts)
 	PermitResolved       func(outcome throttler.Outcome)
 	BackedOff            func()
-	// Suspecting is called with the number of requests that are held off and the number that are
-	// suspected of crashing upstreams; it may be nil.
+	// SuspicionsCounted is called with the number of requests that are held off and the number
+	// that are suspected of crashing upstreams; it may be nil.
 	SuspicionsCounted func(held, suspected int)
 }
 
@@ -109,7 +109,7 @@
 	Store    leaseholder.Store
 	// Platform performs the duties; nil means that there are none.
 	Platform steward.Platform
-	// Observe is called with the new status after each change.
+	// StatusChanged is called with the new status after each change.
 	StatusChanged func(status steward.Status)
 }
 
--- a/informer/informer.go
+++ b/informer/informer.go
@@ -52,7 +52,7 @@
 	first  bool
 	random func() float64
 	log    func(number int, pairs ...any)
-	// askingChanged is called when this node starts or stops reading the store.
+	// storeReaderChanged is called when this node starts or stops reading the store.
 	storeReaderChanged func(reads bool)
 	// upstreamChanged is called for each change of the list of upstreams.
 	upstreamChanged func(change registrar.Change)
@@ -135,8 +135,8 @@
 	return func(informer *Informer) { informer.clock = clock }
 }
 
-// WithAskingChanged sets the function that is called when this node starts or stops reading the
-// store.
+// WithStoreReaderChanged sets the function that is called when this node starts or stops reading
+// the store.
 func WithStoreReaderChanged(changed func(reads bool)) Option {
 	return func(informer *Informer) { informer.storeReaderChanged = changed }
 }
--- a/leaseholder/leaseholder.go
+++ b/leaseholder/leaseholder.go
@@ -25,7 +25,7 @@
 	Content  json.RawMessage
 }
 
-// Shelf is a store of one object for each duty. Errors are of this package.
+// Store stores one object for each duty. Errors are of this package.
 type Store interface {
 	// Read returns the current object, with revision 0 if there is none.
 	Read(ctx context.Context, duty string) (Object, error)
--- a/logger/number.go
+++ b/logger/number.go
@@ -39,7 +39,7 @@
 	EventCancelFailed = 2503
 	// EventOperatorRejected reports that an operator's call had no valid token.
 	EventOperatorRejected = 2602
-	// EventDrainAsked reports that a planned stop was requested.
+	// EventDrainRequested reports that a planned stop was requested.
 	EventDrainRequested = 2603
 	// EventRequestSent reports to which upstream a request is sent, and the basis of the choice.
 	EventRequestSent = 3101
@@ -65,9 +65,9 @@
 	EventEntryUnreadable = 3204
 	// EventUpstreamRestarted reports that an upstream restarted under the same name.
 	EventUpstreamRestarted = 3205
-	// EventUpstreamStated reports how an upstream announced that it is to be called.
+	// EventUpstreamAnnounced reports how an upstream announced that it is to be called.
 	EventUpstreamAnnounced = 3206
-	// EventStatementUnreadable reports that such an announcement cannot be read.
+	// EventAnnouncementUnreadable reports that such an announcement cannot be read.
 	EventAnnouncementUnreadable = 3207
 	// EventPermitsIssued reports that this node issues the permits of an upstream with a limit.
 	EventPermitsIssued = 3208
@@ -91,11 +91,11 @@
 	EventConfigurationBehind = 3308
 	// EventStoreCalls reports the numbers of calls to the platform's store.
 	EventStoreCalls = 3309
-	// EventStoreAsker reports that this node starts or stops reading the store itself.
+	// EventStoreReader reports that this node starts or stops reading the store itself.
 	EventStoreReader = 3310
 	// EventUsageSettled reports the usage that is to be reported for a window, and its basis.
 	EventUsageSettled = 3401
-	// EventUsageTold reports that the platform accepted the usage of a window.
+	// EventUsageReported reports that the platform accepted the usage of a window.
 	EventUsageReported = 3402
 	// EventUsageSkipped reports that the usage of windows is too old to be reported.
 	EventUsageSkipped = 3403
--- a/meter/duties.go
+++ b/meter/duties.go
@@ -14,7 +14,7 @@
 	enginesStandingMetric = "engines_standing"
 )
 
-// Duties sets the metrics of the duties: whether this node holds each duty, the usage that it
+// SetDuties sets the metrics of the duties: whether this node holds each duty, the usage that it
 // reported and the engines that were ordered.
 func (meter *Meter) SetDuties(status steward.Status) {
 	meter.setDuty(steward.UsageDuty, &status.Usage.DutyStatus)
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -79,7 +79,8 @@
 	}
 }
 
-// Record counts one finished request. Only served requests are added to the latency histograms.
+// CountRequest counts one finished request. Only served requests are added to the latency
+// histograms.
 func (meter *Meter) CountRequest(record forwarder.Record) {
 	met := lateValue
 	if record.MetObjectives() {
@@ -108,7 +109,7 @@
 	scope.Histogram(name, DurationBuckets()).RecordDuration(duration)
 }
 
-// StoreCall counts one call to the platform's store.
+// CountStoreCall counts one call to the platform's store.
 func (meter *Meter) CountStoreCall(call follower.Call) {
 	meter.scope.Tagged(map[string]string{
 		"feed":    call.Feed,
@@ -117,16 +118,16 @@
 	}).Counter(storeCallsMetric).Inc(1)
 }
 
-// StoreBytes counts bytes of responses of the platform's store.
+// CountStoreBytes counts bytes of responses of the platform's store.
 func (meter *Meter) CountStoreBytes(bytes int64) { meter.scope.Counter(storeBytesMetric).Inc(bytes) }
 
-// Unreadable sets the number of entries in the platform's store that cannot be read.
+// SetUnreadableEntries sets the number of entries in the platform's store that cannot be read.
 func (meter *Meter) SetUnreadableEntries(entries int) {
 	meter.scope.Gauge(unreadableMetric).Update(float64(entries))
 }
 
-// Asking sets whether this node reads the platform's store itself instead of relying on the reports
-// of other nodes.
+// SetStoreReader sets whether this node reads the platform's store itself instead of relying on the
+// reports of other nodes.
 func (meter *Meter) SetStoreReader(reads bool) {
 	value := 0.0
 	if reads {
@@ -135,23 +136,24 @@
 	meter.scope.Gauge(readsStoreMetric).Update(value)
 }
 
-// Suspecting sets the number of requests that are held off and the number under which an upstream
-// has crashed.
+// SetSuspicions sets the number of requests that are held off and the number under which an
+// upstream has crashed.
 func (meter *Meter) SetSuspicions(held, suspected int) {
 	meter.scope.Gauge(heldOffMetric).Update(float64(held))
 	meter.scope.Gauge(suspectedMetric).Update(float64(suspected))
 }
 
-// Announced sets the number of upstreams with a limit and of those that announced that they leave.
+// SetAnnouncements sets the number of upstreams with a limit and of those that announced that they
+// leave.
 func (meter *Meter) SetAnnouncements(counts announcer.Counts) {
 	meter.scope.Gauge(limitedUpstreamsMetric).Update(float64(counts.Limited))
 	meter.scope.Gauge(leavingUpstreamsMetric).Update(float64(counts.Leaving))
 }
 
-// BackedOff counts one response of an upstream that requests a backoff.
+// CountBackoff counts one response of an upstream that requests a backoff.
 func (meter *Meter) CountBackoff() { meter.scope.Counter(backoffsMetric).Inc(1) }
 
-// Permits counts one request for a permit by its outcome.
+// CountPermitRequest counts one request for a permit by its outcome.
 func (meter *Meter) CountPermitRequest(outcome throttler.Outcome) {
 	meter.scope.Tagged(map[string]string{"outcome": string(outcome)}).Counter(permitsMetric).Inc(1)
 }
--- a/operator/client.go
+++ b/operator/client.go
@@ -41,7 +41,7 @@
 	client    *http.Client
 }
 
-// Dial returns a client of the nodes at the addresses, which authenticates with the operators'
+// NewClient returns a client of the nodes at the addresses, which authenticates with the operators'
 // token. It makes no connection yet.
 func NewClient(addresses []string, token string) *Client {
 	return &Client{addresses: addresses, token: token, client: &http.Client{Timeout: clientTimeout}}
--- a/operator/duties.go
+++ b/operator/duties.go
@@ -17,7 +17,7 @@
 	// Usage and Scaling describe the last known holder of each duty.
 	Usage   DutyHolder `json:"usage"`
 	Scaling DutyHolder `json:"scaling"`
-	// ToldUntil is the newest usage window that is known to be reported. Whole, Partial and
+	// ReportedUntil is the newest usage window that is known to be reported. Whole, Partial and
 	// Skipped count the windows of this node of which all, some or none of the usage was
 	// reported.
 	ReportedUntil uint64 `json:"toldUntil"`
@@ -68,7 +68,7 @@
 }
 
 // DutyEngines compares the ordered engines of a service in a data centre with those that accept
-// work, the fields named Standing.
+// work, the fields named Serving.
 type DutyEngines struct {
 	Service         string `json:"service"`
 	DataCentre      string `json:"dataCentre"`
--- a/operator/entry.go
+++ b/operator/entry.go
@@ -27,7 +27,7 @@
 	Held    bool  `json:"held"`
 	SinceMs int64 `json:"sinceMs"`
 	LeftMs  int64 `json:"leftMs"`
-	// Upstreams are the upstreams that crashed under the request, ToldBy the nodes that
+	// Upstreams are the upstreams that crashed under the request, ReportedBy the nodes that
 	// reported any of the crashes.
 	Upstreams  []string `json:"upstreams"`
 	ReportedBy []string `json:"toldBy"`
@@ -37,7 +37,7 @@
 	Refused int `json:"refused"`
 }
 
-// HeldOffs are the requests under which upstreams crashed, as a node knows them.
+// Quarantine holds the requests under which upstreams crashed, as recorded by a node.
 type Quarantine interface {
 	// List returns the crashes of each request and whether it is held off.
 	List(now time.Time) []quarantiner.Suspicion
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -30,7 +30,7 @@
 	Snapshot() recorder.Snapshot
 	// Configuration returns the configuration in force, or nil before the first.
 	Configuration() *definer.Configuration
-	// HeldOffs returns the requests under which upstreams crashed.
+	// Quarantine returns the requests under which upstreams crashed.
 	Quarantine() Quarantine
 	// Metrics returns the handler that serves the metrics.
 	Metrics() http.Handler
@@ -129,7 +129,7 @@
 	writeJSON(writer, operator.node.Snapshot())
 }
 
-// InForce is the configuration in force at a node.
+// ConfigurationInForce is the configuration in force at a node.
 type ConfigurationInForce struct {
 	// Version is 0 before the first configuration.
 	Version  uint64           `json:"version"`
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -34,7 +34,7 @@
 // Configuration returns nil.
 func (*node) Configuration() *definer.Configuration { return nil }
 
-// HeldOffs returns an empty quarantine.
+// Quarantine returns an empty quarantine.
 func (*node) Quarantine() operator.Quarantine { return quarantiner.New() }
 
 // Metrics returns a handler that answers 404 Not Found.
--- a/option.go
+++ b/option.go
@@ -76,17 +76,17 @@
 	return func(node *Node) { node.connectPlatform = connect }
 }
 
-// WithSeeds sets the VMs that are used until the platform's list of VMs has been read.
+// WithBootstrapVMs sets the VMs that are used until the platform's list of VMs has been read.
 func WithBootstrapVMs(vms ...decider.ListedVM) Option {
 	return func(node *Node) { node.coreOptions = append(node.coreOptions, decider.WithBootstrapVMs(vms)) }
 }
 
-// WithCore adds options of the core.
+// WithCoreOptions adds options of the core.
 func WithCoreOptions(options ...decider.Option) Option {
 	return func(node *Node) { node.coreOptions = append(node.coreOptions, options...) }
 }
 
-// WithDispatcher adds options of the dispatcher.
+// WithDispatcherOptions adds options of the dispatcher.
 func WithDispatcherOptions(options ...dispatcher.Option) Option {
 	return func(node *Node) { node.dispatcherOptions = append(node.dispatcherOptions, options...) }
 }
--- a/server/authenticator.go
+++ b/server/authenticator.go
@@ -47,7 +47,7 @@
 	return configuration.OrganisationByKeyHash(hex.EncodeToString(sum[:]))
 }
 
-// SameToken compares two secrets in constant time.
+// EqualTokens reports whether two secrets are equal. It takes constant time.
 func EqualTokens(given, wanted string) bool {
 	a := sha256.Sum256([]byte(given))
 	b := sha256.Sum256([]byte(wanted))
--- a/server/forwarding.go
+++ b/server/forwarding.go
@@ -113,9 +113,9 @@
 	}
 }
 
-// TakeForwarded acknowledges a call that a peer forwarded, runs it in a new goroutine and sends the
-// answer to the peer. It does not start a call that is already running, exceeds maxForwardedCalls
-// or arrives after Close.
+// ServeForwarded acknowledges a call that a peer forwarded, runs it in a new goroutine and sends
+// the answer to the peer. It does not start a call that is already running, exceeds
+// maxForwardedCalls or arrives after Close.
 func (server *Server) ServeForwarded(message *messenger.CallForward) {
 	address := message.ReplyTo
 	server.peers.Forward(address, &messenger.CallAnswer{Request: message.Request, Status: statusPending})
--- a/server/listener.go
+++ b/server/listener.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// Limit returns a listener that bounds the open connections. It responds with status 503 to
-// connections above the limit and closes them.
+// LimitConnections returns a listener that bounds the open connections. It responds with status
+// 503 to connections above the limit and closes them.
 func (server *Server) LimitConnections(inner net.Listener) net.Listener {
 	return &limitedListener{Listener: inner, slots: make(chan struct{}, server.maxConnections), refusals: make(chan struct{}, maxConcurrentRefusals)}
 }
--- a/server/mailboxes.go
+++ b/server/mailboxes.go
@@ -73,14 +73,14 @@
 	delete(mailboxes.byRequest, request)
 }
 
-// Hand delivers an action to the goroutine that serves the request. It never blocks; the action is
-// dropped if the request has ended or its mailbox is full.
+// DeliverAction delivers an action to the goroutine that serves the request. It never blocks; the
+// action is dropped if the request has ended or its mailbox is full.
 func (server *Server) DeliverAction(request definer.RequestID, action decider.Action) {
 	server.mailboxes.deliverAction(request, action)
 }
 
-// Answer delivers a peer's answer to the goroutine that serves the request. It never blocks; the
-// peer sends a dropped answer again when the call is forwarded again.
+// DeliverAnswer delivers a peer's answer to the goroutine that serves the request. It never blocks;
+// the peer sends a dropped answer again when the call is forwarded again.
 func (server *Server) DeliverAnswer(answer *messenger.CallAnswer) {
 	server.mailboxes.deliverAnswer(answer)
 }
--- a/server/rejection.go
+++ b/server/rejection.go
@@ -10,7 +10,7 @@
 // it is submitted to the core.
 type RejectionHandler func(request definer.RequestID, status int)
 
-// WithRejected sets the handler for requests that are rejected before they reach the core.
+// WithRejectionHandler sets the handler for requests that are rejected before they reach the core.
 func WithRejectionHandler(handler RejectionHandler) Option {
 	return func(server *Server) { server.onRejection = handler }
 }
--- a/server/server.go
+++ b/server/server.go
@@ -24,7 +24,7 @@
 )
 
 // Core is the state machine that decides about requests. It receives events, and its actions for a
-// request are delivered with Server.Hand.
+// request are delivered with Server.DeliverAction.
 type Core interface {
 	Submit(event decider.Event)
 }
@@ -82,7 +82,7 @@
 	return func(server *Server) { server.maxBodyBytes, server.bodyTimeout = size, timeout }
 }
 
-// WithCrashed sets the handler for requests whose handling panicked.
+// WithCrashHandler sets the handler for requests whose handling panicked.
 func WithCrashHandler(handler CrashHandler) Option {
 	return func(server *Server) { server.onCrash = handler }
 }
--- a/status.go
+++ b/status.go
@@ -24,10 +24,10 @@
 	return node.decider.Status()
 }
 
-// HeldOffs returns the requests that are suspected of crashing upstreams.
+// Quarantine returns the requests that are suspected of crashing upstreams.
 func (node *Node) Quarantine() operator.Quarantine { return quarantine{node} }
 
-// heldOffs implements operator.HeldOffs with the suspicions of a node's core.
+// quarantine implements operator.Quarantine with the suspicions of a node's core.
 type quarantine struct{ node *Node }
 
 // List returns the suspicions at the given time.
--- a/steward/status.go
+++ b/steward/status.go
@@ -85,14 +85,14 @@
 
 // statusStore holds the status of the duties. It is safe for concurrent use.
 type statusStore struct {
-	// observe is called with a copy of the status after each change.
+	// changed is called with a copy of the status after each change.
 	changed func(status Status)
 	// mutex guards status; no other lock is taken under it.
 	mutex  sync.Mutex
 	status Status
 }
 
-// update applies change to the status and passes a copy to observe.
+// update applies change to the status and passes a copy to changed.
 func (statusStore *statusStore) update(change func(status *Status)) {
 	statusStore.mutex.Lock()
 	change(&statusStore.status)
--- a/steward/steward.go
+++ b/steward/steward.go
@@ -69,7 +69,7 @@
 	Demand  Demand
 	// Log writes a numbered event; it must not block.
 	Log func(number int, pairs ...any)
-	// Observe is called with each change of this node's status of the duties; it must not
+	// StatusChanged is called with each change of this node's status of the duties; it must not
 	// block. It may be nil.
 	StatusChanged func(status Status)
 }
--- a/steward/world_test.go
+++ b/steward/world_test.go
@@ -68,7 +68,7 @@
 	engines    *engines
 	// partitioned reports whether two nodes are cut off from each other.
 	partitioned func(from, to *node) bool
-	// store and authority are the faults of the store and of the platform.
+	// store and cloudAPI are the faults of the store and of the platform's cloud API.
 	store    fault
 	cloudAPI fault
 }
