--- a/option.go
+++ b/option.go
@@ -76,18 +76,18 @@
 	return func(node *Node) { node.connectPlatform = connect }
 }
 
-// WithSeeds sets the VMs that are used until the platform's list of VMs has been read.
-func WithSeeds(vms ...decider.ListedVM) Option {
+// WithBootstrapVMs sets the VMs that are used until the platform's list of VMs has been read.
+func WithBootstrapVMs(vms ...decider.ListedVM) Option {
 	return func(node *Node) { node.coreOptions = append(node.coreOptions, decider.WithBootstrapVMs(vms)) }
 }
 
-// WithCore adds options of the core.
-func WithCore(options ...decider.Option) Option {
+// WithCoreOptions adds options of the core.
+func WithCoreOptions(options ...decider.Option) Option {
 	return func(node *Node) { node.coreOptions = append(node.coreOptions, options...) }
 }
 
-// WithDispatcher adds options of the dispatcher.
-func WithDispatcher(options ...dispatcher.Option) Option {
+// WithDispatcherOptions adds options of the dispatcher.
+func WithDispatcherOptions(options ...dispatcher.Option) Option {
 	return func(node *Node) { node.dispatcherOptions = append(node.dispatcherOptions, options...) }
 }
 
