--- a/commander/demo.go
+++ b/commander/demo.go
@@ -79,7 +79,7 @@
 	if err := result.WriteText(commander.out); err != nil {
 		return err
 	}
-	waste, err := generator.ReadWaste(ctx, system.Engines())
+	waste, err := generator.TotalWaste(ctx, system.Engines())
 	if err != nil {
 		return err
 	}
@@ -90,5 +90,5 @@
 
 // checkAnswer reports whether a text is the answer that the stand-in engines generate for a prompt.
 func checkAnswer(model, prompt, answer string, tokens int) bool {
-	return answer == engine.Answer(model, prompt, 0, tokens)
+	return answer == engine.ResponseText(model, prompt, 0, tokens)
 }
--- a/commander/load.go
+++ b/commander/load.go
@@ -77,12 +77,12 @@
 		return err
 	}
 	engines := splitAddresses(*options.engines)
-	before := generator.WasteOf(ctx, engines)
+	before := generator.WasteByEngine(ctx, engines)
 	result := generator.New(targets, generator.WithScale(*options.scale), generator.WithDuration(*options.duration),
 		generator.WithSeed(*options.seed), generator.WithTimeout(*options.timeout), generator.WithCheck(checkAnswer),
 		generator.WithIssuedKeys(*options.issuedKeys)).Run(ctx, mix)
 	report := loadReport{Scale: *options.scale, Seed: *options.seed, Burst: *options.bursts, Report: result.Report()}
-	report.addWaste(engines, before, generator.WasteOf(ctx, engines))
+	report.addWaste(engines, before, generator.WasteByEngine(ctx, engines))
 	if *options.output == outputJSON {
 		return writeJSON(commander.out, report)
 	}
@@ -90,7 +90,7 @@
 		return err
 	}
 	_, err = fmt.Fprintf(commander.out, "goodput %.0f tokens/s; wasted work %.2f%% (%d of %d tokens computed)\n",
-		report.GoodputTokens, 100*report.Wasted, report.Discarded, report.Computed)
+		report.GoodputTokensPerSecond, 100*report.Wasted, report.Discarded, report.Computed)
 	return err
 }
 
@@ -103,7 +103,7 @@
 			report.Unread = append(report.Unread, address)
 			continue
 		}
-		waste = waste.Since(before[address])
+		waste = waste.Sub(before[address])
 		sum.Computed += waste.Computed
 		sum.Discarded += waste.Discarded
 	}
--- a/commander/secure.go
+++ b/commander/secure.go
@@ -12,7 +12,7 @@
 
 // InnerName is the DNS name that the certificate of every node must contain. All nodes share one
 // name, since nodes are replaced at any time and connect by IP address.
-const InnerName = "limpetcleat-inner"
+const NodeServerName = "limpetcleat-inner"
 
 // innerTLS returns the server's and the client's configuration for mutual TLS between nodes, or nil
 // for both if the settings select plain connections.
@@ -35,13 +35,13 @@
 		MinVersion:   tls.VersionTLS13,
 		// The authority may also issue certificates to clients that are not nodes.
 		VerifyConnection: func(state tls.ConnectionState) error {
-			return state.PeerCertificates[0].VerifyHostname(InnerName)
+			return state.PeerCertificates[0].VerifyHostname(NodeServerName)
 		},
 	}
 	clientSide = &tls.Config{
 		Certificates: []tls.Certificate{certificate},
 		RootCAs:      authority,
-		ServerName:   InnerName,
+		ServerName:   NodeServerName,
 		MinVersion:   tls.VersionTLS13,
 	}
 	return serverSide, clientSide, nil
--- a/commander/secure_test.go
+++ b/commander/secure_test.go
@@ -82,14 +82,14 @@
 // authentication: only certificates of the shared authority with the shared name are accepted.
 func TestInnerTLSProvesBothSides(t *testing.T) {
 	ours, theirs := newTestAuthority(t), newTestAuthority(t)
-	serverSide, bare := innerConfigs(t, ours, ours, InnerName)
+	serverSide, bare := innerConfigs(t, ours, ours, NodeServerName)
 	bare.Certificates = nil
 	old := bare.Clone()
 	old.MinVersion, old.MaxVersion = tls.VersionTLS10, tls.VersionTLS12
-	_, good := innerConfigs(t, ours, ours, InnerName)
-	_, foreign := innerConfigs(t, theirs, ours, InnerName)
+	_, good := innerConfigs(t, ours, ours, NodeServerName)
+	_, foreign := innerConfigs(t, theirs, ours, NodeServerName)
 	_, misnamed := innerConfigs(t, ours, ours, "engine-1")
-	foreignServer, _ := innerConfigs(t, theirs, ours, InnerName)
+	foreignServer, _ := innerConfigs(t, theirs, ours, NodeServerName)
 	misnamedServer, _ := innerConfigs(t, ours, ours, "engine-1")
 	cases := []struct {
 		name           string
@@ -140,7 +140,7 @@
 
 func TestInnerTLSWantsWholeFiles(t *testing.T) {
 	ours := newTestAuthority(t)
-	whole := writeTLSFiles(t, ours, ours, InnerName)
+	whole := writeTLSFiles(t, ours, ours, NodeServerName)
 	empty := filepath.Join(t.TempDir(), "empty.pem")
 	assert.NilError(t, os.WriteFile(empty, pem.EncodeToMemory(&pem.Block{Type: "NOTHING"}), 0o600))
 	cases := []struct {
--- a/commander/standin.go
+++ b/commander/standin.go
@@ -67,8 +67,8 @@
 			return platform.New(options...)
 		},
 		"engine": func() runner.Server {
-			return engine.New(engine.WithModels(strings.Split(*models, ",")...), engine.WithMaxRunning(*running), engine.WithQueueBound(*queue),
-				engine.WithTokenTime(*tokenTime, *slope), engine.WithPrefillTime(*prefill))
+			return engine.New(engine.WithModels(strings.Split(*models, ",")...), engine.WithMaxRunning(*running), engine.WithMaxQueued(*queue),
+				engine.WithTokenInterval(*tokenTime, *slope), engine.WithPrefillTime(*prefill))
 		},
 		"service": func() runner.Server {
 			options := []service.Option{service.WithName(*name), service.WithLatency(*latency)}
--- a/decider/capacity_test.go
+++ b/decider/capacity_test.go
@@ -23,13 +23,13 @@
 }
 
 func (wire *wire) count(from, to definer.VM, message messenger.Message) {
-	assert.NilError(wire.b, wire.Count(from, to, "d0", message))
+	assert.NilError(wire.b, wire.RecordExchange(from, to, "d0", message))
 }
 
 // measure runs the fleet and reports what a node sent and received per second.
 func (wire *wire) measure(fleet *fleet, name string, length time.Duration) {
 	wire.Reset()
-	fleet.Run(length)
+	fleet.Advance(length)
 	sum, count, most := 0, 0, 0
 	for vm := range fleet.nodes {
 		sum, count, most = sum+wire.Bytes(vm), count+wire.Messages(vm), max(most, wire.Bytes(vm))
@@ -50,10 +50,10 @@
 				fleet := newFleet(b, 1, size[0], size[1])
 				fleet.bootAll()
 				fleet.store(1, smallDocument(1), true)
-				fleet.Run(2 * time.Minute)
+				fleet.Advance(2 * time.Minute)
 				wire := &wire{Wire: measurer.NewWire(), b: b}
 				fleet.onDelivery = wire.count
-				fleet.Run(20 * time.Second)
+				fleet.Advance(20 * time.Second)
 				wire.measure(fleet, "quiet", 20*time.Second)
 				fleet.boot(3, fleet.listed)
 				wire.measure(fleet, "restarts", 197*time.Second)
@@ -92,9 +92,9 @@
 	for _, section := range first.Contents {
 		total, largest = total+len(section.Data), max(largest, len(section.Data))
 	}
-	before := measurer.HeapInUse()
+	before := measurer.HeapAlloc()
 	node.Handle(now, first)
-	applied := measurer.HeapInUse() - before
+	applied := measurer.HeapAlloc() - before
 	head, err := json.Marshal(first.Head)
 	assert.NilError(b, err)
 	for b.Loop() {
@@ -120,13 +120,13 @@
 		fleet := newFleet(b, 1, 2, 24)
 		fleet.bootAll()
 		fleet.store(1, smallDocument(1), true)
-		fleet.Run(time.Minute)
+		fleet.Advance(time.Minute)
 		for index := 0; index < len(fleet.listed); index += 2 {
 			fleet.boot(index, fleet.listed)
 		}
 		held := make(map[definer.VM]bool)
 		for range 200 {
-			fleet.Run(100 * time.Millisecond)
+			fleet.Advance(100 * time.Millisecond)
 			for vm, node := range fleet.nodes {
 				if node.watching && node.vm.DataCentre == "d0" {
 					held[vm] = true
--- a/decider/claims_property_test.go
+++ b/decider/claims_property_test.go
@@ -83,12 +83,12 @@
 		case step < 88:
 			world.platform.away = !world.platform.away
 		default:
-			world.Run(time.Duration(world.random.IntN(2000)) * time.Millisecond)
+			world.Advance(time.Duration(world.random.IntN(2000)) * time.Millisecond)
 		}
-		world.Run(time.Duration(world.random.IntN(40)) * time.Millisecond)
+		world.Advance(time.Duration(world.random.IntN(40)) * time.Millisecond)
 	}
 	world.platform.away = false
-	world.Run(time.Minute)
+	world.Advance(time.Minute)
 	return world.verify(sent)
 }
 
--- a/decider/claims_test.go
+++ b/decider/claims_test.go
@@ -59,9 +59,9 @@
 	}
 	inTurn := func(world *world) {
 		world.send("a", "r1", key)
-		world.Run(5 * time.Second)
+		world.Advance(5 * time.Second)
 		world.send("b", "r2", key)
-		world.Run(5 * time.Second)
+		world.Advance(5 * time.Second)
 	}
 	running := func(w *world) bool { return w.requester("a").requests["r1"].state == running }
 	claiming := func(w *world) bool { return w.claims("a").held["r1"].phase == taking }
@@ -69,12 +69,12 @@
 		return func(_ *testing.T, w *world) {
 			w.send("a", "r1", key)
 			for !point(w) {
-				w.Run(time.Millisecond / 2)
+				w.Advance(time.Millisecond / 2)
 			}
 			w.nodes["a"].frozen = w.Now().Add(6 * time.Minute)
-			w.Run(7 * time.Minute)
+			w.Advance(7 * time.Minute)
 			w.send("b", "r2", key)
-			w.Run(time.Minute)
+			w.Advance(time.Minute)
 		}
 	}
 	cases := []struct {
@@ -95,60 +95,60 @@
 		{name: "cut before it ran", fate: ends(false, AttemptCut), drive: func(_ *testing.T, w *world) { inTurn(w) }, runs: 0, first: "upstreamFailed unknown", second: "keyUnknown unknown"},
 		{name: "another body", drive: func(_ *testing.T, w *world) {
 			w.send("a", "r1", key)
-			w.Run(3 * time.Second)
+			w.Advance(3 * time.Second)
 			w.send("b", "r2", "org/k1/other")
-			w.Run(3 * time.Second)
+			w.Advance(3 * time.Second)
 		}, runs: 1, first: "answer", second: "keyMismatch notRun"},
 		{name: "another organisation", drive: func(_ *testing.T, w *world) {
 			w.send("a", "r1", key)
-			w.Run(3 * time.Second)
+			w.Advance(3 * time.Second)
 			w.send("b", "r2", "rival/k1/b")
-			w.Run(3 * time.Second)
+			w.Advance(3 * time.Second)
 		}, runs: 1, first: "answer", second: "answer"},
 		{name: "platform away from the start", drive: func(_ *testing.T, w *world) {
 			w.platform.away = true
 			w.send("a", "r1", key)
-			w.Run(5 * time.Second)
+			w.Advance(5 * time.Second)
 			w.platform.away = false
 			// The caller retries after the time in RetryAfter.
-			w.Run(w.ends["r1"].refusal.RetryAfter)
+			w.Advance(w.ends["r1"].refusal.RetryAfter)
 			w.send("b", "r2", key)
-			w.Run(5 * time.Second)
+			w.Advance(5 * time.Second)
 		}, runs: 1, first: "platformAway unknown", second: "answer"},
 		{name: "platform away before the end is stored", fate: slowly, drive: func(_ *testing.T, w *world) {
 			w.send("a", "r1", key)
-			w.Run(30 * time.Millisecond)
+			w.Advance(30 * time.Millisecond)
 			w.platform.away = true
-			w.Run(time.Minute)
+			w.Advance(time.Minute)
 			w.platform.away = false
-			w.Run(5 * time.Second)
+			w.Advance(5 * time.Second)
 			w.send("b", "r2", key)
-			w.Run(5 * time.Second)
+			w.Advance(5 * time.Second)
 		}, runs: 1, first: "answer", second: "replay"},
 		{name: "caller left", fate: slowly, drive: func(_ *testing.T, w *world) {
 			w.send("a", "r1", key)
-			w.Run(30 * time.Millisecond)
+			w.Advance(30 * time.Millisecond)
 			w.handle(w.nodes["a"], CallerLeft{Request: "r1"})
-			w.Run(5 * time.Second)
+			w.Advance(5 * time.Second)
 			w.send("b", "r2", key)
-			w.Run(5 * time.Second)
+			w.Advance(5 * time.Second)
 		}, runs: 1, first: "answer", second: "replay"},
 		{name: "caller left and the answer came", fate: ends(true, AttemptAbandoned), drive: func(_ *testing.T, w *world) { inTurn(w) }, runs: 1, first: "callerGone ran", second: "replay"},
 		{name: "frozen past the start bound before the claim is known", drive: freezeAt(claiming), runs: 1, first: "waitExceeded notRun", second: "answer"},
 		{name: "frozen past the start bound before the first byte", drive: freezeAt(running), runs: 1, first: "noUpstream notRun", second: "answer"},
 		{name: "draining with a key", drive: func(_ *testing.T, w *world) {
 			w.send("a", "r1", key)
-			w.Run(5 * time.Second)
+			w.Advance(5 * time.Second)
 			w.handle(w.nodes["b"], DrainRequested{})
 			w.send("b", "r2", key)
-			w.Run(time.Second)
+			w.Advance(time.Second)
 		}, runs: 1, first: "answer", second: "draining unknown"},
 		{name: "answer too large", drive: func(_ *testing.T, w *world) {
 			big := "org/" + strings.Repeat("k", 5000) + "/b"
 			w.send("a", "r1", big)
-			w.Run(5 * time.Second)
+			w.Advance(5 * time.Second)
 			w.send("b", "r2", big)
-			w.Run(5 * time.Second)
+			w.Advance(5 * time.Second)
 			w.runs[key] = w.runs[big]
 		}, runs: 1, first: "answer", second: "answerNotKept ran"},
 	}
@@ -188,9 +188,9 @@
 	for gap := range 12 {
 		world := newWorld(t, 1, "a", "b", "c")
 		world.send("a", "r1", "org/k1/b")
-		world.Run(time.Duration(gap) * time.Millisecond)
+		world.Advance(time.Duration(gap) * time.Millisecond)
 		world.send("b", "r2", "org/k1/b")
-		world.Run(5 * time.Second)
+		world.Advance(5 * time.Second)
 		assert.Equal(t, world.runs["org/k1/b"], 1)
 		first, second := world.resultOf("r1"), world.resultOf("r2")
 		assert.Check(t, (first == "answer") != (second == "answer"), "%s, %s", first, second)
@@ -225,15 +225,15 @@
 			t.Run(fmt.Sprintf("%s after %d ms", name, step), func(t *testing.T) {
 				world := newWorld(t, 1, "a", "b", "c")
 				world.send("a", "r1", key)
-				world.Run(time.Duration(step) * time.Millisecond)
+				world.Advance(time.Duration(step) * time.Millisecond)
 				fault(t, world)
 				for index, wait := range []time.Duration{10 * time.Millisecond, 10 * time.Second, 20 * time.Second, last, time.Second} {
 					request := definer.RequestID(fmt.Sprintf("repeat%d", index))
 					world.send("b", request, key)
-					world.Run(wait)
+					world.Advance(wait)
 					world.platform.away = world.platform.away && index == 0
 				}
-				world.Run(3 * time.Second)
+				world.Advance(3 * time.Second)
 				assert.Check(t, world.runs[key] <= 1, "%d runs", world.runs[key])
 				assert.Check(t, len(world.falseNotRuns) == 0, "%s", world.falseNotRuns)
 				result := world.resultOf("repeat4")
@@ -268,7 +268,7 @@
 	}
 	for _, step := range steps {
 		world.send(step.vm, step.request, step.key)
-		world.Run(3 * time.Second)
+		world.Advance(3 * time.Second)
 		assert.Equal(t, world.resultOf(step.request), step.result, string(step.request))
 	}
 	assert.Equal(t, world.runs[key], 1)
@@ -277,16 +277,16 @@
 
 	world.restart(t, "a")
 	world.send("b", "late", key)
-	world.Run(3 * time.Second)
+	world.Advance(3 * time.Second)
 	assert.Equal(t, world.resultOf("late"), "keyUnknown unknown")
 	assert.Equal(t, world.runs[key], 1)
 
 	world.send("a", "chosen", "org/mine/b")
-	world.Run(4 * time.Second)
+	world.Advance(4 * time.Second)
 	offer := world.ends["chosen"].refusal.KeyOffer
 	assert.Check(t, claimer.IsLocalKey(offer))
 	world.send("b", "offered", "org/"+offer+"/b")
-	world.Run(3 * time.Second)
+	world.Advance(3 * time.Second)
 	assert.Equal(t, world.resultOf("offered"), "answer")
 }
 
@@ -299,7 +299,7 @@
 	event.Deadline = 700 * time.Millisecond
 	started := world.Now()
 	world.handle(world.nodes["a"], event)
-	world.Run(time.Second)
+	world.Advance(time.Second)
 	assert.Equal(t, world.resultOf("r1"), "platformAway unknown")
 	assert.Check(t, world.ends["r1"].at.Sub(started) <= event.Deadline)
 }
@@ -310,21 +310,21 @@
 	world := newWorld(t, 1, "a", "b")
 	world.platform.away = true
 	world.send("a", "first", "org/k0/b")
-	world.Run(claimTimeout + 100*time.Millisecond)
+	world.Advance(claimTimeout + 100*time.Millisecond)
 	assert.Equal(t, world.resultOf("first"), "platformAway unknown")
 	started := world.Now()
 	world.send("a", "second", "org/k1/b")
-	world.Run(100 * time.Millisecond)
+	world.Advance(100 * time.Millisecond)
 	assert.Equal(t, world.resultOf("second"), "platformAway unknown")
 	assert.Check(t, world.ends["second"].at.Sub(started) <= 10*time.Millisecond)
 
 	world.platform.away = false
-	world.Run(outageBackoff)
+	world.Advance(outageBackoff)
 	world.send("a", "third", "org/k2/b")
-	world.Run(2 * time.Second)
+	world.Advance(2 * time.Second)
 	assert.Equal(t, world.resultOf("third"), "answer")
 	world.send("a", "repeat", "org/k1/b")
-	world.Run(2 * time.Second)
+	world.Advance(2 * time.Second)
 	assert.Equal(t, world.resultOf("repeat"), "answer")
 	assert.Equal(t, world.runs["org/k1/b"], 1)
 }
@@ -334,12 +334,12 @@
 func TestDrainStoresEnds(t *testing.T) {
 	world := newWorld(t, 1, "a", "b")
 	world.send("a", "r1", "org/k/b")
-	world.Run(25 * time.Millisecond)
+	world.Advance(25 * time.Millisecond)
 	world.handle(world.nodes["a"], DrainRequested{})
-	world.Run(5 * time.Second)
+	world.Advance(5 * time.Second)
 	assert.Equal(t, world.nodes["a"].decider.core.openClaims, 0)
 	world.send("b", "r2", "org/k/b")
-	world.Run(time.Second)
+	world.Advance(time.Second)
 	assert.Equal(t, world.resultOf("r2"), "replay")
 }
 
@@ -352,9 +352,9 @@
 	for index := range requests {
 		vm := world.vms[index%3]
 		request := definer.RequestID(fmt.Sprintf("r%d", index))
-		world.After(time.Duration(index)*5*time.Millisecond, func() { world.send(vm, request, "org/"+string(request)+"/b") })
+		world.Schedule(time.Duration(index)*5*time.Millisecond, func() { world.send(vm, request, "org/"+string(request)+"/b") })
 	}
-	world.Run(40 * time.Second)
+	world.Advance(40 * time.Second)
 	for index := range requests {
 		assert.Equal(t, world.resultOf(definer.RequestID(fmt.Sprintf("r%d", index))), "answer")
 	}
@@ -364,12 +364,12 @@
 	assert.Check(t, writes <= 40*5*claimer.Buckets+4*claimer.Buckets, "%d writes", writes)
 	assert.Check(t, world.platform.largest < 1<<20)
 	// An hour later the claims have expired, and their objects are removed.
-	world.Run(time.Hour)
+	world.Advance(time.Hour)
 	for index := range 400 {
 		world.send("a", definer.RequestID(fmt.Sprintf("late%d", index)), fmt.Sprintf("org/late%d/b", index))
-		world.Run(100 * time.Millisecond)
+		world.Advance(100 * time.Millisecond)
 	}
-	world.Run(time.Minute)
+	world.Advance(time.Minute)
 	assert.Check(t, len(world.platform.objects) <= 2*claimer.Buckets, "%d objects", len(world.platform.objects))
 	assert.Equal(t, world.resultOf("late7"), "answer")
 }
--- a/decider/claims_world_test.go
+++ b/decider/claims_world_test.go
@@ -94,7 +94,7 @@
 		world.boot(t, vm, 1)
 	}
 	// The nodes discover each other and agree on the owners.
-	world.Run(5 * time.Second)
+	world.Advance(5 * time.Second)
 	return world
 }
 
@@ -147,7 +147,7 @@
 		return
 	}
 	if wait := node.frozen.Sub(world.Now()); wait > 0 {
-		world.After(wait, func() { world.handle(node, event) })
+		world.Schedule(wait, func() { world.handle(node, event) })
 		return
 	}
 	world.carryOut(node, node.decider.Handle(world.Now(), event))
@@ -169,14 +169,14 @@
 	case SendMessage:
 		if world.random.Float64() >= world.lossRate {
 			message := MessageReceived{From: self, DataCentre: "dc", Message: action.Message}
-			world.After(time.Millisecond, func() { world.handle(world.nodes[action.To], message) })
+			world.Schedule(time.Millisecond, func() { world.handle(world.nodes[action.To], message) })
 		}
 	case CallPlatform:
 		world.call(node, action)
 	case StartAttempt:
-		world.After(time.Millisecond, func() { world.attempt(node, action) })
+		world.Schedule(time.Millisecond, func() { world.attempt(node, action) })
 	case ForwardCall:
-		world.After(time.Millisecond, func() { world.forward(node, action) })
+		world.Schedule(time.Millisecond, func() { world.forward(node, action) })
 	case KeyIssued:
 		world.issued[action.Request] = action.Key
 	case FinishRequest:
@@ -202,7 +202,7 @@
 	inner := action.Request + "-forwarded"
 	world.keys[inner] = world.keys[action.Request]
 	world.handle(holder, arrival(inner, world.keys[action.Request], true))
-	world.After(time.Second, func() {
+	world.Schedule(time.Second, func() {
 		answered, ok := world.ends[inner]
 		if ok {
 			world.recordEnd(action.Request, answered)
@@ -221,7 +221,7 @@
 		return
 	}
 	if wait := node.frozen.Sub(world.Now()); wait > 0 {
-		world.After(wait, func() { world.attempt(node, action) })
+		world.Schedule(wait, func() { world.attempt(node, action) })
 		return
 	}
 	ended := AttemptEnded{Request: action.Request, Attempt: action.Attempt, Result: AttemptUnsent}
@@ -239,7 +239,7 @@
 			}
 		}
 	}
-	world.After(fate.delay, func() { world.handle(node, ended) })
+	world.Schedule(fate.delay, func() { world.handle(node, ended) })
 }
 
 func (world *world) serve(request definer.RequestID) string {
@@ -256,7 +256,7 @@
 	if world.platform.away {
 		fate = callFate{lost: true, delay: 10 * time.Millisecond}
 	}
-	world.After(fate.delay/2, func() {
+	world.Schedule(fate.delay/2, func() {
 		answer := PlatformAnswered{Result: CallLost}
 		if fate.effect {
 			answer = world.platform.do(call)
@@ -268,7 +268,7 @@
 			answer = PlatformAnswered{Result: CallDone, Version: call.Version + 1}
 		}
 		answer.Call = call.Call
-		world.After(fate.delay/2, func() { world.handle(node, answer) })
+		world.Schedule(fate.delay/2, func() { world.handle(node, answer) })
 	})
 }
 
--- a/decider/configurer_bench_test.go
+++ b/decider/configurer_bench_test.go
@@ -22,13 +22,13 @@
 	fleet.bootAll()
 	fleet.store(1, smallDocument(1), true)
 	fleet.waitApplied(inForceWithin, 1)
-	fleet.Run(10 * time.Second)
+	fleet.Advance(10 * time.Second)
 	var times []time.Duration
 	for b.Loop() {
 		version := uint64(len(times) + 2)
 		fleet.store(version, smallDocument(int(version)), true)
 		times = append(times, fleet.waitApplied(inForceWithin, version))
-		fleet.Run(time.Second)
+		fleet.Advance(time.Second)
 	}
 	slices.Sort(times)
 	b.ReportMetric(float64(times[len(times)/2].Milliseconds()), "ms-median")
@@ -104,7 +104,7 @@
 			fleet.bootAll()
 			fleet.store(1, document, true)
 			fleet.waitApplied(inForceWithin, 1)
-			fleet.Run(20 * time.Second)
+			fleet.Advance(20 * time.Second)
 			total, steady := 0, 0
 			meter := newMeter(b)
 			fleet.onMessage = func(_ definer.VM, message messenger.Message) {
@@ -113,7 +113,7 @@
 				}
 			}
 			const length = 20 * time.Second
-			fleet.Run(length)
+			fleet.Advance(length)
 			steady, total = total, 0
 			count := 0
 			for b.Loop() {
@@ -121,7 +121,7 @@
 				change(&document, 20+count)
 				fleet.store(uint64(count+1), document, true)
 				fleet.waitApplied(inForceWithin, uint64(count+1))
-				fleet.Run(length)
+				fleet.Advance(length)
 			}
 			nodes := float64(len(fleet.nodes))
 			quiet := float64(steady) / nodes / length.Seconds()
--- a/decider/configurer_test.go
+++ b/decider/configurer_test.go
@@ -56,7 +56,7 @@
 			for version := range uint64(4) {
 				fleet.store(version+2, smallDocument(int(version+2)), true)
 				times = append(times, fleet.waitApplied(inForceWithin, version+2))
-				fleet.Run(time.Duration(fleet.random.Int64N(int64(3 * time.Second))))
+				fleet.Advance(time.Duration(fleet.random.Int64N(int64(3 * time.Second))))
 			}
 			slices.Sort(times)
 			t.Logf("%d changes over %d nodes: in force everywhere after %v (median), %v (most)", len(times), len(fleet.nodes), times[len(times)/2], times[len(times)-1])
@@ -75,7 +75,7 @@
 	fleet.platformAway = func(dataCentre definer.DataCentre) bool { return dataCentre == "d1" }
 	for version := range uint64(30) {
 		fleet.store(version+2, smallDocument(int(version+2)), true)
-		fleet.Run(time.Second)
+		fleet.Advance(time.Second)
 	}
 	for _, node := range fleet.nodes {
 		assert.Equal(t, node.version == 1, node.vm.DataCentre == "d1", node.vm.Name)
@@ -130,7 +130,7 @@
 		fleet.store(1, smallDocument(1), true)
 		fleet.waitApplied(inForceWithin, 1)
 		fleet.store(2, document, false)
-		fleet.Run(30 * time.Second)
+		fleet.Advance(30 * time.Second)
 		// Each node that watches the platform logs the version once, not at
 		// each poll.
 		assert.Equal(t, fleet.logged[decider.EventConfigurationRejected], 4)
@@ -146,12 +146,12 @@
 	fleet.bootAll()
 	fleet.store(9, smallDocument(9), true)
 	fleet.waitApplied(inForceWithin, 9)
-	fleet.Run(time.Minute)
+	fleet.Advance(time.Minute)
 	fleet.store(8, smallDocument(8), false)
-	fleet.Run(time.Second)
+	fleet.Advance(time.Second)
 	assert.Assert(t, fleet.logged[decider.EventPlatformSetBack] > 0)
 	fleet.store(9, smallDocument(99), false)
-	fleet.Run(time.Second)
+	fleet.Advance(time.Second)
 	assert.Assert(t, fleet.logged[decider.EventConfigurationDiverged] > 0)
 	fleet.store(10, smallDocument(10), true)
 	fleet.waitApplied(inForceWithin, 10)
@@ -191,7 +191,7 @@
 				}
 				fleet.store(version, document, good)
 			}
-			fleet.Run(time.Duration(fleet.random.Int64N(int64(time.Second))))
+			fleet.Advance(time.Duration(fleet.random.Int64N(int64(time.Second))))
 		}
 		clear(cut)
 		clear(away)
--- a/decider/fleet_test.go
+++ b/decider/fleet_test.go
@@ -110,7 +110,7 @@
 			fleet.applied(node, action.Configuration)
 		case decider.StartAttempt:
 			fleet.served[action.Upstream.Name()]++
-			fleet.After(10*time.Millisecond, func() {
+			fleet.Schedule(10*time.Millisecond, func() {
 				fleet.handle(node, decider.AttemptEnded{Request: action.Request, Attempt: action.Attempt, Result: decider.AttemptComplete, AnswerBegun: true, Delivered: 1})
 			})
 		case decider.LogEvent:
@@ -129,7 +129,7 @@
 		return
 	}
 	delay := 200*time.Microsecond + time.Duration(fleet.random.ExpFloat64()*float64(2*time.Millisecond))
-	fleet.After(delay, func() {
+	fleet.Schedule(delay, func() {
 		if !fleet.cut(from.vm.DataCentre, to.vm.DataCentre) {
 			fleet.handle(to, decider.MessageReceived{From: from.decider.Self(), DataCentre: from.vm.DataCentre, Message: action.Message})
 		}
@@ -171,7 +171,7 @@
 // notifyWatcher sends the platform's state to a node if it watches the
 // platform.
 func (fleet *fleet) notifyWatcher(node *fleetNode) {
-	fleet.After(time.Millisecond+time.Duration(fleet.random.Int64N(int64(20*time.Millisecond))), func() {
+	fleet.Schedule(time.Millisecond+time.Duration(fleet.random.Int64N(int64(20*time.Millisecond))), func() {
 		if !node.watching || fleet.platformAway(node.vm.DataCentre) {
 			return
 		}
@@ -200,7 +200,7 @@
 func (fleet *fleet) waitApplied(length time.Duration, version uint64) time.Duration {
 	fleet.t.Helper()
 	stored := fleet.Now()
-	done := fleet.RunUntil(length, fleet.appliedEverywhere(version))
+	done := fleet.AdvanceUntil(length, fleet.appliedEverywhere(version))
 	behind := 0
 	for _, node := range fleet.nodes {
 		if node.version < version {
--- a/decider/limits_test.go
+++ b/decider/limits_test.go
@@ -34,7 +34,7 @@
 			sends = append(sends, start.at)
 		}
 	}
-	most := measurer.Busiest(sends, window)
+	most := measurer.MaxInWindow(sends, window)
 	allowed := int(1.5*perSecond*window.Seconds()) + 5
 	assert.Assert(t, most <= allowed, "%d sends in %v, want at most %d", most, window, allowed)
 	assert.Assert(t, len(sends) >= 12, "%d sends", len(sends))
--- a/decider/listedleavers_test.go
+++ b/decider/listedleavers_test.go
@@ -31,13 +31,13 @@
 	fleet.bootAll()
 	fleet.store(1, document, true)
 	fleet.waitApplied(inForceWithin, 1)
-	fleet.Run(5 * time.Second)
+	fleet.Advance(5 * time.Second)
 	entries := fleet.listed
 	for index := range pools {
 		fleet.listed = append(fleet.listed, decider.ListedVM{Name: fmt.Sprint("leaving", index), DataCentre: "d0", Address: fmt.Sprintf("10.0.%d.0:80", index), Upstream: true, Leaving: true})
 	}
 	fleet.notifyWatchers()
-	fleet.Run(3 * time.Second)
+	fleet.Advance(3 * time.Second)
 	// This still holds ten minutes later, since the list has not changed.
 	for round := range 20 {
 		clear(fleet.served)
@@ -47,7 +47,7 @@
 				fleet.handle(fleet.nodes[definer.VM(vm.Name)], decider.RequestArrived{Request: id, Properties: matcher.Properties{Path: fmt.Sprint("p", pool)}})
 			}
 		}
-		fleet.Run(30 * time.Second)
+		fleet.Advance(30 * time.Second)
 		for pool := range pools {
 			assert.Equal(t, fleet.served[definer.UpstreamName(fmt.Sprint("leaving", pool))], 0, "round %d, pool %d", round, pool)
 			assert.Equal(t, fleet.served[definer.UpstreamName(fmt.Sprint("staying", pool))], len(entries), "round %d, pool %d", round, pool)
--- a/demonstrator/security_test.go
+++ b/demonstrator/security_test.go
@@ -27,7 +27,7 @@
 // call sends a call with a bearer token and returns the reply.
 func call(t *testing.T, method, address, path, token, body string, key ...string) caller.Reply {
 	t.Helper()
-	call := caller.Call{Method: method, Path: path, APIKey: token, Body: strings.NewReader(body), Key: strings.Join(key, "")}
+	call := caller.Call{Method: method, Path: path, APIKey: token, Body: strings.NewReader(body), IdempotencyKey: strings.Join(key, "")}
 	reply := caller.New().Send(t.Context(), address, call)
 	assert.NilError(t, reply.Err)
 	return reply
--- a/demonstrator/system.go
+++ b/demonstrator/system.go
@@ -131,7 +131,7 @@
 	for range engineCount {
 		address, err := system.run(ctx, engine.New(
 			engine.WithModels(ModelName), engine.WithMaxRunning(engineMaxRunning),
-			engine.WithTokenTime(tokenTime, tokenTimePerExtraSequence), engine.WithPrefillTime(prefillTime)))
+			engine.WithTokenInterval(tokenTime, tokenTimePerExtraSequence), engine.WithPrefillTime(prefillTime)))
 		if err != nil {
 			return err
 		}
--- a/detector/capacity_test.go
+++ b/detector/capacity_test.go
@@ -14,12 +14,12 @@
 func BenchmarkMember(b *testing.B) {
 	for _, each := range []int{5, 19, 78} {
 		b.Run(fmt.Sprint("members ", 5*each), func(b *testing.B) {
-			before := measurer.HeapInUse()
+			before := measurer.HeapAlloc()
 			network := newNetwork(5, each)
 			network.shareMembers()
 			network.run(20 * time.Second)
 			members := float64(len(network.nodes))
-			table := (measurer.HeapInUse() - before) / members
+			table := (measurer.HeapAlloc() - before) / members
 			for b.Loop() {
 				network.run(time.Second)
 			}
--- a/endtoend/calls_test.go
+++ b/endtoend/calls_test.go
@@ -22,12 +22,12 @@
 
 // reservation returns a call that may run at most once for its idempotency key.
 func reservation(key string) caller.Call {
-	return withAPIKey(buttonsAPIKey, caller.Call{Path: "/services/stock/reservations", Key: key, Body: caller.Encode(map[string]string{"item": key})})
+	return withAPIKey(buttonsAPIKey, caller.Call{Path: "/services/stock/reservations", IdempotencyKey: key, Body: caller.EncodeJSON(map[string]string{"item": key})})
 }
 
 // withAPIKey returns the call with an Organisation's API key and the default deadline.
 func withAPIKey(apiKey string, call caller.Call) caller.Call {
-	call.APIKey, call.Deadline = apiKey, deadlineMs*time.Millisecond
+	call.APIKey, call.Timeout = apiKey, deadlineMs*time.Millisecond
 	return call
 }
 
--- a/endtoend/configuration_test.go
+++ b/endtoend/configuration_test.go
@@ -80,14 +80,14 @@
 	return []changeFault{
 		{"none", func(*change) {}, func(*change) {}, allRunning},
 		{"firstKilled", func(change *change) { change.first.process.Kill() }, func(change *change) { change.first.start() }, reachableWithoutFirst},
-		{"firstFrozen", func(change *change) { change.first.process.Freeze() }, func(change *change) { change.first.process.Thaw() }, reachableWithoutFirst},
+		{"firstFrozen", func(change *change) { change.first.process.Suspend() }, func(change *change) { change.first.process.Resume() }, reachableWithoutFirst},
 		{"otherKilled", func(change *change) { lastEntry(change).process.Kill() }, func(change *change) { lastEntry(change).start() }, allRunning},
 		{
-			"otherFrozen", func(change *change) { lastEntry(change).process.Freeze() }, func(change *change) { lastEntry(change).process.Thaw() },
+			"otherFrozen", func(change *change) { lastEntry(change).process.Suspend() }, func(change *change) { lastEntry(change).process.Resume() },
 			func(change *change, _ string) []*entry { return change.othersThan(lastEntry(change)) },
 		},
 		{"platformAway", func(change *change) { change.setPlatformFaults(map[string]any{"outage": true}) }, func(change *change) { change.setPlatformFaults(map[string]any{"outage": false}) }, reachableWithoutPlatform},
-		{"dataCentresCut", func(change *change) { change.partition(relay.Cutting) }, func(change *change) { change.partition(relay.Passing) }, reachableWithoutPeers},
+		{"dataCentresCut", func(change *change) { change.partition(relay.Disconnecting) }, func(change *change) { change.partition(relay.Forwarding) }, reachableWithoutPeers},
 		{"answerLost", func(change *change) { change.setPlatformFaults(map[string]any{"loseAnswers": 1}) }, func(change *change) { change.setPlatformFaults(map[string]any{"loseAnswers": 0}) }, allRunning},
 	}
 }
@@ -97,7 +97,7 @@
 	for _, to := range system.entries {
 		for _, from := range system.entries {
 			if to.dataCentre != from.dataCentre {
-				to.peerRelay.Set(from.name, mode)
+				to.peerRelay.SetMode(from.name, mode)
 			}
 		}
 	}
@@ -144,7 +144,7 @@
 func runSpreading(change *change, inject func()) uint64 {
 	change.t.Helper()
 	for _, entry := range change.othersThan(change.first) {
-		entry.platformRelay.Set(relay.Everyone, relay.Cutting)
+		entry.platformRelay.SetMode(relay.AllPeers, relay.Disconnecting)
 	}
 	version := change.changeWeight()
 	eventually(change.t, changeTimeout, change.first.name+" has received the change", func() bool { return change.first.status().Configuration >= version })
@@ -197,7 +197,7 @@
 	took := time.Since(began)
 	fault.heal(change)
 	for _, entry := range system.entries {
-		entry.platformRelay.Set(relay.Everyone, relay.Passing)
+		entry.platformRelay.SetMode(relay.AllPeers, relay.Forwarding)
 	}
 	system.awaitReady()
 	system.awaitVersion(version, system.entries, fault.name+" at "+step.name+", healed")
@@ -257,5 +257,5 @@
 	system.awaitVersion(version, system.entries, "during the outage")
 	call := completion("by the new node", 6, true)
 	reply := fresh.send(call)
-	assert.Assert(t, reply.Whole && reply.Own(call), "%v", reply)
+	assert.Assert(t, reply.Complete && reply.MatchesCall(call), "%v", reply)
 }
--- a/endtoend/drain_test.go
+++ b/endtoend/drain_test.go
@@ -46,12 +46,12 @@
 				}
 				return false
 			})
-			stopping.process.Stop()
+			stopping.process.Terminate()
 			eventually(t, startTimeout, "readiness fails", func() bool { return !stopping.ready() })
 			for index, replied := range replies {
 				reply := <-replied
-				assert.Assert(t, reply.Whole, "%d: %v", index, reply)
-				assert.Assert(t, calls[index].Prompt == "" || reply.Own(calls[index]) && reply.Tokens == streamTokens, "%d: %v", index, reply)
+				assert.Assert(t, reply.Complete, "%d: %v", index, reply)
+				assert.Assert(t, calls[index].Prompt == "" || reply.MatchesCall(calls[index]) && reply.Tokens == streamTokens, "%d: %v", index, reply)
 			}
 			assert.Equal(t, stopping.process.exitCode(hangTimeout), 0)
 			for index := range 2 * serviceSlots {
@@ -61,7 +61,7 @@
 			eventually(t, startTimeout, "the other entry serves requests alone", func() bool {
 				reply := staying.send(last)
 				last = completion("afterwards", 5, true)
-				return reply.Whole
+				return reply.Complete
 			})
 		})
 	}
@@ -90,16 +90,16 @@
 			leaving := system.engines[0]
 			system.listEngine(leaving, "live")
 			system.sendBatch(t, 8)
-			assert.Assert(t, leaving.relay.Counted() > 0, "the engine had received no requests before")
+			assert.Assert(t, leaving.relay.CountedRequests() > 0, "the engine had received no requests before")
 			system.setPlatformFaults(map[string]any{"outage": test.outage})
 			test.leave(system, leaving)
 			startedAt := time.Now()
 			for time.Since(startedAt) < engineLeavingTimeout {
 				system.sendBatch(t, 4)
 			}
-			before := leaving.relay.Counted()
+			before := leaving.relay.CountedRequests()
 			system.sendBatch(t, 16)
-			assert.Equal(t, leaving.relay.Counted(), before, "new requests after %v", engineLeavingTimeout)
+			assert.Equal(t, leaving.relay.CountedRequests(), before, "new requests after %v", engineLeavingTimeout)
 		})
 	}
 }
@@ -113,7 +113,7 @@
 	}
 	for _, replied := range replies {
 		reply := <-replied
-		assert.Assert(t, reply.Whole, "%v", reply)
+		assert.Assert(t, reply.Complete, "%v", reply)
 	}
 }
 
--- a/endtoend/duties_test.go
+++ b/endtoend/duties_test.go
@@ -175,7 +175,7 @@
 	}{
 		{"calm", func(*node, *storeLink) func() { return func() {} }, 0},
 		{"killed", func(holder *node, _ *storeLink) func() { holder.Kill(); return func() {} }, 1},
-		{"frozen", func(holder *node, _ *storeLink) func() { holder.Freeze(); return holder.Thaw }, 2},
+		{"frozen", func(holder *node, _ *storeLink) func() { holder.Suspend(); return holder.Resume }, 2},
 		{"cut from the store", func(_ *node, link *storeLink) func() { link.setCut(true); return func() { link.setCut(false) } }, 0},
 	}
 	for _, test := range cases {
@@ -202,7 +202,7 @@
 			<-time.After(dutyDeadline / 2)
 			wrongWindows := duties.checkReports(startedAt.Add(dutyWindow), until.Add(-dutyWindow))
 			assert.Assert(t, wrongWindows <= test.wrongWindows, "%d windows have wrong counts", wrongWindows)
-			assert.DeepEqual(t, duties.office.Breaches(), []string(nil))
+			assert.DeepEqual(t, duties.office.Violations(), []string(nil))
 		})
 	}
 }
@@ -217,11 +217,11 @@
 	var load conc.WaitGroup
 	load.Go(func() { duties.sendLoadToAll(until) })
 	<-time.After(5 * time.Second)
-	duties.office.Delay(3 * time.Second)
+	duties.office.SetDelay(3 * time.Second)
 	<-time.After(3 * time.Second)
-	duties.office.Delay(0)
+	duties.office.SetDelay(0)
 	load.Wait()
 	<-time.After(dutyDeadline / 2)
 	assert.Equal(t, duties.checkReports(startedAt.Add(dutyWindow), until.Add(-dutyWindow)), 0)
-	assert.DeepEqual(t, duties.office.Breaches(), []string(nil))
+	assert.DeepEqual(t, duties.office.Violations(), []string(nil))
 }
--- a/endtoend/fault_step_test.go
+++ b/endtoend/fault_step_test.go
@@ -105,13 +105,13 @@
 func reachAsked(scenario *scenario) func() {
 	scenario.t.Helper()
 	before := scenario.platformWrites()
-	scenario.owner.peerRelay.Set(scenario.entry.name, relay.Stalling)
+	scenario.owner.peerRelay.SetMode(scenario.entry.name, relay.Stalling)
 	scenario.send()
 	scenario.await("the claim is written and the request for a slot is in transit", func() bool {
 		claimed := scenario.platformWrites() > before || scenario.pool != stockPool
-		return claimed && scenario.entry.status().OpenRequests > 0 && scenario.owner.peerRelay.Holds(relay.Forward)
+		return claimed && scenario.entry.status().OpenRequests > 0 && scenario.owner.peerRelay.Holding(relay.ToTarget)
 	})
-	return func() { scenario.owner.peerRelay.Set(scenario.entry.name, relay.Passing) }
+	return func() { scenario.owner.peerRelay.SetMode(scenario.entry.name, relay.Forwarding) }
 }
 
 // reachQueued fills every slot of the service.
@@ -143,10 +143,10 @@
 // reachGranted holds back the owner's response to the entry.
 func reachGranted(scenario *scenario) func() {
 	scenario.t.Helper()
-	scenario.entry.peerRelay.Set(scenario.owner.name, relay.Stalling)
+	scenario.entry.peerRelay.SetMode(scenario.owner.name, relay.Stalling)
 	scenario.send()
 	scenario.await("the slot is granted", func() bool { return scenario.ownerCounts().Running > 0 })
-	return func() { scenario.entry.peerRelay.Set(scenario.owner.name, relay.Passing) }
+	return func() { scenario.entry.peerRelay.SetMode(scenario.owner.name, relay.Forwarding) }
 }
 
 // reachSent holds back the request on its way to the service.
@@ -154,8 +154,8 @@
 	scenario.t.Helper()
 	scenario.setUpstreamRelays(relay.Stalling)
 	scenario.send()
-	scenario.await("the request is in transit", func() bool { return scenario.holdingUpstream(relay.Forward) != nil })
-	return func() { scenario.setUpstreamRelays(relay.Passing) }
+	scenario.await("the request is in transit", func() bool { return scenario.holdingUpstream(relay.ToTarget) != nil })
+	return func() { scenario.setUpstreamRelays(relay.Forwarding) }
 }
 
 // reachRunning slows the service's run of the request.
@@ -170,22 +170,22 @@
 // reachFinished holds back the service's response.
 func reachFinished(scenario *scenario) func() {
 	scenario.t.Helper()
-	scenario.setUpstreamRelays(relay.Muting)
+	scenario.setUpstreamRelays(relay.StallingReturn)
 	scenario.send()
-	scenario.await("the response is in transit", func() bool { return scenario.holdingUpstream(relay.Backward) != nil })
-	return func() { scenario.setUpstreamRelays(relay.Passing) }
+	scenario.await("the response is in transit", func() bool { return scenario.holdingUpstream(relay.ToPeer) != nil })
+	return func() { scenario.setUpstreamRelays(relay.Forwarding) }
 }
 
 func (scenario *scenario) setUpstreamRelays(mode relay.Mode) {
 	for _, upstream := range scenario.upstreams {
-		upstream.relay.Set(relay.Everyone, mode)
+		upstream.relay.SetMode(relay.AllPeers, mode)
 	}
 }
 
 // holdingUpstream returns the upstream whose relay holds bytes back, or nil.
 func (scenario *scenario) holdingUpstream(direction relay.Direction) *upstream {
 	for _, upstream := range scenario.upstreams {
-		if upstream.relay.Holds(direction) {
+		if upstream.relay.Holding(direction) {
 			return upstream
 		}
 	}
--- a/endtoend/fault_test.go
+++ b/endtoend/fault_test.go
@@ -33,14 +33,14 @@
 		// The slowest fault is first, so that the others run in parallel with it.
 		{name: "platformAway", inject: func(scenario *scenario) { scenario.setPlatformFaults(map[string]any{"outage": true}) }, heal: func(scenario *scenario) { scenario.setPlatformFaults(map[string]any{"outage": false}) }},
 		{name: "entryKilled", hitsCaller: true, inject: func(scenario *scenario) { scenario.entry.process.Kill() }, heal: func(scenario *scenario) { scenario.entry.start() }},
-		{name: "entryFrozen", hitsCaller: true, inject: func(scenario *scenario) { scenario.entry.process.Freeze() }, heal: func(scenario *scenario) { scenario.entry.process.Thaw() }},
+		{name: "entryFrozen", hitsCaller: true, inject: func(scenario *scenario) { scenario.entry.process.Suspend() }, heal: func(scenario *scenario) { scenario.entry.process.Resume() }},
 		{name: "ownerKilled", inject: func(scenario *scenario) { scenario.owner.process.Kill() }, heal: func(scenario *scenario) { scenario.owner.start() }},
-		{name: "ownerFrozen", inject: func(scenario *scenario) { scenario.owner.process.Freeze() }, heal: func(scenario *scenario) { scenario.owner.process.Thaw() }},
-		{name: "ownerCut", inject: func(scenario *scenario) { scenario.isolate(scenario.owner, relay.Cutting) }, heal: func(scenario *scenario) { scenario.isolate(scenario.owner, relay.Passing) }},
+		{name: "ownerFrozen", inject: func(scenario *scenario) { scenario.owner.process.Suspend() }, heal: func(scenario *scenario) { scenario.owner.process.Resume() }},
+		{name: "ownerCut", inject: func(scenario *scenario) { scenario.isolate(scenario.owner, relay.Disconnecting) }, heal: func(scenario *scenario) { scenario.isolate(scenario.owner, relay.Forwarding) }},
 		{name: "serviceKilled", inject: (*scenario).killService, heal: func(scenario *scenario) { scenario.service.restart(scenario.system) }},
-		{name: "serviceFrozen", inject: func(scenario *scenario) { scenario.service.process.Freeze() }, heal: func(scenario *scenario) { scenario.service.process.Thaw() }},
-		{name: "serviceCut", inject: func(scenario *scenario) { scenario.service.relay.Set(relay.Everyone, relay.Cutting) }, heal: func(scenario *scenario) { scenario.service.relay.Set(relay.Everyone, relay.Passing) }},
-		{name: "platformCut", inject: func(scenario *scenario) { scenario.entry.platformRelay.Set(relay.Everyone, relay.Cutting) }, heal: func(scenario *scenario) { scenario.entry.platformRelay.Set(relay.Everyone, relay.Passing) }},
+		{name: "serviceFrozen", inject: func(scenario *scenario) { scenario.service.process.Suspend() }, heal: func(scenario *scenario) { scenario.service.process.Resume() }},
+		{name: "serviceCut", inject: func(scenario *scenario) { scenario.service.relay.SetMode(relay.AllPeers, relay.Disconnecting) }, heal: func(scenario *scenario) { scenario.service.relay.SetMode(relay.AllPeers, relay.Forwarding) }},
+		{name: "platformCut", inject: func(scenario *scenario) { scenario.entry.platformRelay.SetMode(relay.AllPeers, relay.Disconnecting) }, heal: func(scenario *scenario) { scenario.entry.platformRelay.SetMode(relay.AllPeers, relay.Forwarding) }},
 		{name: "answerLost", inject: func(scenario *scenario) {
 			scenario.setPlatformFaults(map[string]any{"loseAnswers": 2, "loseAnswersKind": "claims"})
 		}, heal: func(scenario *scenario) { scenario.setPlatformFaults(map[string]any{"loseAnswers": 0}) }},
@@ -57,10 +57,10 @@
 
 // isolate sets the mode of every relay between an entry and its peers.
 func (scenario *scenario) isolate(entry *entry, mode relay.Mode) {
-	entry.peerRelay.Set(relay.Everyone, mode)
+	entry.peerRelay.SetMode(relay.AllPeers, mode)
 	for _, peer := range scenario.entries {
 		if peer != entry {
-			peer.peerRelay.Set(entry.name, mode)
+			peer.peerRelay.SetMode(entry.name, mode)
 		}
 	}
 }
@@ -102,7 +102,7 @@
 	for _, entry := range system.entries {
 		fresh := fmt.Sprintf("%s-after-%s", key, entry.name)
 		reply := entry.sendUntilSettled(fresh)
-		assert.Assert(t, reply.Whole && system.runCount(fresh) == 1, "%s: %v", fresh, reply)
+		assert.Assert(t, reply.Complete && system.runCount(fresh) == 1, "%s: %v", fresh, reply)
 	}
 }
 
@@ -160,12 +160,12 @@
 	runs := scenario.runCount(scenario.key)
 	assert.Assert(t, runs <= 1, "%s ran %d times: %v", scenario.key, runs, replies)
 	for _, reply := range replies {
-		assert.Assert(t, reply.Took < hangTimeout, "%s hung: %v", scenario.key, reply)
+		assert.Assert(t, reply.Duration < hangTimeout, "%s hung: %v", scenario.key, reply)
 		if reply.Failed {
 			assert.Equal(t, reply.Header.Get("X-Outcome"), reply.Outcome, "%s: %v", scenario.key, reply)
 		}
 		switch {
-		case reply.Whole:
+		case reply.Complete:
 			assert.Equal(t, runs, 1, "%s: %v", scenario.key, reply)
 			assert.Equal(t, gjson.Get(reply.Body, "key").String(), scenario.key)
 		case reply.NotRun():
--- a/endtoend/fleet_test.go
+++ b/endtoend/fleet_test.go
@@ -74,7 +74,7 @@
 func newFleetWithLink(t *testing.T, link *store.Link) *fleet {
 	t.Helper()
 	fleet := &fleet{t: t, directory: t.TempDir(), store: store.New()}
-	server := httptest.NewServer(link.Over(fleet.store.Handler()))
+	server := httptest.NewServer(link.Wrap(fleet.store.Handler()))
 	t.Cleanup(func() {
 		server.CloseClientConnections()
 		server.Close()
--- a/endtoend/joining_test.go
+++ b/endtoend/joining_test.go
@@ -226,7 +226,7 @@
 	for _, node := range joined {
 		node.awaitReady()
 	}
-	stopped.Stop()
+	stopped.Terminate()
 	killed.Kill()
 	clients.remove(killed)
 	<-time.After(balancerDelay)
--- a/endtoend/leaving_test.go
+++ b/endtoend/leaving_test.go
@@ -58,9 +58,9 @@
 	var outage conc.WaitGroup
 	outage.Go(func() {
 		<-time.After(storeOutageDelay)
-		fleet.store.Refuse(http.StatusServiceUnavailable)
+		fleet.store.SetErrorStatus(http.StatusServiceUnavailable)
 		<-time.After(storeOutageDuration)
-		fleet.store.Refuse(0)
+		fleet.store.SetErrorStatus(0)
 	})
 	replies := sendLoad(nodes, 150, storeOutageDelay+storeOutageDuration+2*time.Second)
 	outage.Wait()
--- a/endtoend/limited_test.go
+++ b/endtoend/limited_test.go
@@ -76,7 +76,7 @@
 			times = append(times, arrival.at)
 		}
 	}
-	return measurer.Busiest(times, limitWindow)
+	return measurer.MaxInWindow(times, limitWindow)
 }
 
 // sendLoad sends requests at the given rate, evenly distributed over the nodes, and returns the
--- a/endtoend/outage_test.go
+++ b/endtoend/outage_test.go
@@ -26,36 +26,36 @@
 				receiver := system.entries[(index/2)%len(system.entries)]
 				key := issuer.issueKey(t)
 				first := receiver.send(reservation(key))
-				assert.Assert(t, first.Whole, "%s, issued by %s, sent to %s: %v", key, issuer.name, receiver.name, first)
+				assert.Assert(t, first.Complete, "%s, issued by %s, sent to %s: %v", key, issuer.name, receiver.name, first)
 				again := issuer.send(reservation(key))
 				assert.Equal(t, again.Body, first.Body)
 				assert.Equal(t, system.runCount(key), 1)
 			}
 			chosen := system.entries[0].send(reservation("chosen-by-the-client"))
-			assert.Assert(t, !chosen.Whole && chosen.Code == "platformAway" && chosen.RetryAfter() != "", "%v", chosen)
+			assert.Assert(t, !chosen.Complete && chosen.Code == "platformAway" && chosen.RetryAfter() != "", "%v", chosen)
 			assert.Equal(t, system.runCount("chosen-by-the-client"), 0)
-			offered := system.entries[1].send(reservation(chosen.Offer()))
-			assert.Assert(t, offered.Whole && system.runCount(chosen.Offer()) == 1, "%q: %v", chosen.Offer(), offered)
+			offered := system.entries[1].send(reservation(chosen.OfferedKey()))
+			assert.Assert(t, offered.Complete && system.runCount(chosen.OfferedKey()) == 1, "%q: %v", chosen.OfferedKey(), offered)
 
 			holder, other := system.entries[0], system.entries[1]
 			used, unused := holder.issueKey(t), holder.issueKey(t)
-			assert.Assert(t, holder.send(reservation(used)).Whole)
+			assert.Assert(t, holder.send(reservation(used)).Complete)
 			holder.process.Kill()
 			for _, key := range []string{used, unused} {
 				reply := other.send(reservation(key))
-				assert.Assert(t, !reply.Whole && !reply.NotRun(), "%s: %v", key, reply)
+				assert.Assert(t, !reply.Complete && !reply.NotRun(), "%s: %v", key, reply)
 			}
 			holder.start()
 			eventually(t, startTimeout, "the restarted issuer is ready", holder.ready)
 			for _, key := range []string{used, unused} {
 				reply := other.send(reservation(key))
-				assert.Assert(t, !reply.Whole && !reply.NotRun(), "%s: %v", key, reply)
+				assert.Assert(t, !reply.Complete && !reply.NotRun(), "%s: %v", key, reply)
 			}
 			assert.Equal(t, system.runCount(used), 1)
 			assert.Equal(t, system.runCount(unused), 0)
 			system.setPlatformFaults(map[string]any{"outage": false})
 			back := other.sendUntilSettled("chosen-by-the-client")
-			assert.Assert(t, back.Whole && system.runCount("chosen-by-the-client") == 1, "%v", back)
+			assert.Assert(t, back.Complete && system.runCount("chosen-by-the-client") == 1, "%v", back)
 		})
 	}
 }
--- a/endtoend/path_test.go
+++ b/endtoend/path_test.go
@@ -18,12 +18,12 @@
 		for _, streamed := range []bool{false, true} {
 			for _, call := range []caller.Call{completion("a completion by "+entry.name, 12, streamed), chat("a chat by "+entry.name, 12, streamed)} {
 				reply := entry.send(call)
-				assert.Assert(t, reply.Whole && reply.Tokens == 12 && reply.Own(call), "%s %s: %v", entry.name, call.Path, reply)
+				assert.Assert(t, reply.Complete && reply.Tokens == 12 && reply.MatchesCall(call), "%s %s: %v", entry.name, call.Path, reply)
 			}
 		}
 		key := "order-by-" + entry.name
 		first := entry.send(reservation(key))
-		assert.Assert(t, first.Whole && gjson.Get(first.Body, "runs").Int() == 1, "%s: %v %s", entry.name, first, first.Body)
+		assert.Assert(t, first.Complete && gjson.Get(first.Body, "runs").Int() == 1, "%s: %v %s", entry.name, first, first.Body)
 		for _, again := range system.entries {
 			assert.Equal(t, again.sendUntilSettled(key).Body, first.Body)
 		}
@@ -40,7 +40,7 @@
 		assert.DeepEqual(t, entry.models(t), []string{modelName})
 	}
 	for _, entry := range system.entries {
-		entry.process.Stop()
+		entry.process.Terminate()
 		assert.Equal(t, entry.process.exitCode(hangTimeout), 0)
 	}
 }
--- a/endtoend/process_test.go
+++ b/endtoend/process_test.go
@@ -44,7 +44,7 @@
 	child.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
-	address, err := child.Listening(ctx)
+	address, err := child.ListenAddress(ctx)
 	assert.NilError(child.t, err, child.name)
 	return address
 }
@@ -56,7 +56,7 @@
 		return
 	}
 	for _, child := range children {
-		text, err := child.Text()
+		text, err := child.Output()
 		assert.NilError(t, err)
 		if text != "" {
 			t.Logf("--- %s\n%s", child.name, text[max(0, len(text)-shown):])
--- a/endtoend/relay_test.go
+++ b/endtoend/relay_test.go
@@ -20,7 +20,7 @@
 // whose connections the relay can distinguish.
 func startRelay(t *testing.T, host, target string, names ...string) *runningRelay {
 	t.Helper()
-	relay := relay.New(relay.WithTarget(target), relay.WithPeers(names...), relay.WithCounted("POST /v1/"))
+	relay := relay.New(relay.WithTarget(target), relay.WithPeers(names...), relay.WithCountedPrefix("POST /v1/"))
 	running, err := runner.Start(context.Background(), relay, host+":0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { assert.NilError(t, running.Stop()) })
--- a/endtoend/restart_test.go
+++ b/endtoend/restart_test.go
@@ -82,13 +82,13 @@
 	eventually(t, startTimeout, "the first process serves", served("first"))
 
 	current := first
-	for index, fail := range []func(){first.Kill, func() { current.Freeze() }} {
+	for index, fail := range []func(){first.Kill, func() { current.Suspend() }} {
 		status := make(chan int, 1)
 		go func() {
 			status <- caller.send(entry.request("/long/")).status
 		}()
 		eventually(t, startTimeout, "the request is running", func() bool {
-			text, err := current.Text()
+			text, err := current.Output()
 			return err == nil && strings.Contains(text, "works")
 		})
 		fail()
--- a/endtoend/standins_test.go
+++ b/endtoend/standins_test.go
@@ -62,13 +62,13 @@
 // setServiceFaults sets faults of the service.
 func (system *system) setServiceFaults(faults any) {
 	system.t.Helper()
-	assert.NilError(system.t, system.service.controller().ServiceFaults(context.Background(), faults))
+	assert.NilError(system.t, system.service.controller().SetServiceFaults(context.Background(), faults))
 }
 
 // setPlatformFaults sets faults of the platform.
 func (system *system) setPlatformFaults(faults any) {
 	system.t.Helper()
-	assert.NilError(system.t, controller.New(system.platformAddress).Faults(context.Background(), faults))
+	assert.NilError(system.t, controller.New(system.platformAddress).SetFaults(context.Background(), faults))
 }
 
 // putVM sets an entry in the platform's list of VMs.
--- a/endtoend/stream_fault_test.go
+++ b/endtoend/stream_fault_test.go
@@ -48,7 +48,7 @@
 // servingEngine returns the engine that runs the scenario's request, or the first engine if none
 // does.
 func (scenario *scenario) servingEngine() *upstream {
-	if holding := scenario.holdingUpstream(relay.Forward); holding != nil {
+	if holding := scenario.holdingUpstream(relay.ToTarget); holding != nil {
 		return holding
 	}
 	for _, engine := range scenario.engines {
@@ -75,8 +75,8 @@
 	}
 	return append(faults,
 		engineFault("engineKilled", func(_ *scenario, engine *upstream) { engine.process.Kill() }, func(scenario *scenario, engine *upstream) { engine.restart(scenario.system) }),
-		engineFault("engineFrozen", func(_ *scenario, engine *upstream) { engine.process.Freeze() }, func(_ *scenario, engine *upstream) { engine.process.Thaw() }),
-		engineFault("engineCut", func(_ *scenario, engine *upstream) { engine.relay.Set(relay.Everyone, relay.Cutting) }, func(_ *scenario, engine *upstream) { engine.relay.Set(relay.Everyone, relay.Passing) }),
+		engineFault("engineFrozen", func(_ *scenario, engine *upstream) { engine.process.Suspend() }, func(_ *scenario, engine *upstream) { engine.process.Resume() }),
+		engineFault("engineCut", func(_ *scenario, engine *upstream) { engine.relay.SetMode(relay.AllPeers, relay.Disconnecting) }, func(_ *scenario, engine *upstream) { engine.relay.SetMode(relay.AllPeers, relay.Forwarding) }),
 	)
 }
 
@@ -130,12 +130,12 @@
 	first, during := scenario.injectAt(fault.fault, step)
 	t.Logf("%s: first %v; during %v", key, first, during)
 	for _, reply := range []caller.Reply{first, during} {
-		assert.Assert(t, reply.Own(call), "%s: response to another request: %v", key, reply)
-		assert.Assert(t, !reply.Whole || reply.Tokens == streamTokens, "%s: %v", key, reply)
-		assert.Assert(t, reply.Took < hangTimeout, "%s hung: %v", key, reply)
+		assert.Assert(t, reply.MatchesCall(call), "%s: response to another request: %v", key, reply)
+		assert.Assert(t, !reply.Complete || reply.Tokens == streamTokens, "%s: %v", key, reply)
+		assert.Assert(t, reply.Duration < hangTimeout, "%s hung: %v", key, reply)
 	}
-	assert.Assert(t, first.Whole || first.Code != "" || fault.hitsCaller, "%s ended without an error code: %v", key, first)
-	assert.Assert(t, first.Whole || !fault.mustSucceed, "%s: %v", key, first)
+	assert.Assert(t, first.Complete || first.Code != "" || fault.hitsCaller, "%s ended without an error code: %v", key, first)
+	assert.Assert(t, first.Complete || !fault.mustSucceed, "%s: %v", key, first)
 	for _, filler := range scenario.fillers {
 		<-filler
 	}
@@ -144,7 +144,7 @@
 		eventually(t, hangTimeout, entry.name+" serves again", func() bool {
 			reply := entry.send(again)
 			again = completion(key+" after", 5, true)
-			return reply.Whole && reply.Own(again)
+			return reply.Complete && reply.MatchesCall(again)
 		})
 	}
 }
--- a/endtoend/stream_resume_test.go
+++ b/endtoend/stream_resume_test.go
@@ -186,7 +186,7 @@
 	var callers conc.WaitGroup
 	streams := startClientStreams(first, &callers)
 	joined := fleet.startNode("joined-1")
-	stopped.Stop()
+	stopped.Terminate()
 	killed.Kill()
 	joined.awaitReady()
 	fleet.listUpstream("u1", upstreams[0].Listener.Addr().String(), "draining")
--- a/endtoend/system_test.go
+++ b/endtoend/system_test.go
@@ -281,7 +281,7 @@
 			continue
 		}
 		select {
-		case <-entry.process.Over():
+		case <-entry.process.Exited():
 		default:
 			alive = append(alive, entry)
 		}
--- a/entry_test.go
+++ b/entry_test.go
@@ -111,7 +111,7 @@
 // the end of the test.
 func (deployment *deployment) startEntryOverLink(name string, link *store.Link) *runningEntry {
 	t := deployment.t
-	server := httptest.NewServer(link.Over(deployment.store.Handler()))
+	server := httptest.NewServer(link.Wrap(deployment.store.Handler()))
 	address, err := netip.ParseAddrPort(server.Listener.Addr().String())
 	assert.NilError(t, err)
 	client := platform.NewStore(address)
@@ -220,11 +220,11 @@
 	deployment.putConfiguration("/c/", "key")
 	second.awaitStatus("/c/", "key", http.StatusOK)
 
-	deployment.store.Refuse(http.StatusServiceUnavailable)
+	deployment.store.SetErrorStatus(http.StatusServiceUnavailable)
 	second.awaitStatus("/c/", "key", http.StatusServiceUnavailable)
 	assert.Equal(t, second.readinessStatus(), http.StatusServiceUnavailable)
 	second.awaitStatus("/d/", "key", http.StatusServiceUnavailable)
-	deployment.store.Refuse(0)
+	deployment.store.SetErrorStatus(0)
 	second.awaitStatus("/c/", "key", http.StatusOK)
 }
 
--- a/generator/report.go
+++ b/generator/report.go
@@ -7,8 +7,8 @@
 type Report struct {
 	ElapsedMs float64 `json:"tookMs"`
 	// GoodputTokens is the number of tokens in complete answers, per second.
-	GoodputTokens float64        `json:"goodputTokens"`
-	Streams       []StreamReport `json:"streams"`
+	GoodputTokensPerSecond float64        `json:"goodputTokens"`
+	Streams                []StreamReport `json:"streams"`
 }
 
 // StreamReport is the JSON form of a stream's result.
@@ -18,10 +18,10 @@
 	Attainment float64 `json:"attainment"`
 	// GoodputTokens and GoodputAnswers are the tokens and the number of complete answers, per
 	// second.
-	GoodputTokens  float64   `json:"goodputTokens"`
-	GoodputAnswers float64   `json:"goodputAnswers"`
-	FirstToken     Quantiles `json:"firstTokenMs"`
-	Total          Quantiles `json:"totalMs"`
+	GoodputTokensPerSecond  float64   `json:"goodputTokens"`
+	GoodputAnswersPerSecond float64   `json:"goodputAnswers"`
+	FirstToken              Quantiles `json:"firstTokenMs"`
+	Total                   Quantiles `json:"totalMs"`
 }
 
 // Quantiles are latency quantiles of complete answers in milliseconds, measured from the intended
@@ -37,15 +37,15 @@
 // Report returns the JSON form of the result.
 func (result *Result) Report() Report {
 	seconds := max(result.elapsed.Seconds(), 1e-9)
-	report := Report{ElapsedMs: toMilliseconds(result.elapsed), GoodputTokens: result.Goodput()}
+	report := Report{ElapsedMs: toMilliseconds(result.elapsed), GoodputTokensPerSecond: result.Goodput()}
 	for _, stream := range result.streams {
 		report.Streams = append(report.Streams, StreamReport{
-			StreamResult:   stream,
-			Attainment:     stream.Attainment(),
-			GoodputTokens:  float64(stream.Tokens) / seconds,
-			GoodputAnswers: float64(stream.Completed) / seconds,
-			FirstToken:     newQuantiles(stream.FirstToken),
-			Total:          newQuantiles(stream.Total),
+			StreamResult:            stream,
+			Attainment:              stream.Attainment(),
+			GoodputTokensPerSecond:  float64(stream.Tokens) / seconds,
+			GoodputAnswersPerSecond: float64(stream.Completed) / seconds,
+			FirstToken:              newQuantiles(stream.FirstToken),
+			Total:                   newQuantiles(stream.Total),
 		})
 	}
 	return report
--- a/generator/waste.go
+++ b/generator/waste.go
@@ -28,7 +28,7 @@
 
 // ReadWaste returns the total waste of the stand-in engines at the addresses. It returns an error
 // of kind Unreadable if any engine cannot be read.
-func ReadWaste(ctx context.Context, engines []string) (Waste, error) {
+func TotalWaste(ctx context.Context, engines []string) (Waste, error) {
 	var total Waste
 	for _, address := range engines {
 		waste, err := readWaste(ctx, address)
@@ -42,13 +42,13 @@
 }
 
 // Since returns the difference from an earlier reading.
-func (waste Waste) Since(earlier Waste) Waste {
+func (waste Waste) Sub(earlier Waste) Waste {
 	return Waste{Computed: waste.Computed - earlier.Computed, Discarded: waste.Discarded - earlier.Discarded}
 }
 
 // WasteOf returns the waste of each stand-in engine by address. It omits engines that cannot be
 // read.
-func WasteOf(ctx context.Context, engines []string) map[string]Waste {
+func WasteByEngine(ctx context.Context, engines []string) map[string]Waste {
 	wasteByEngine := make(map[string]Waste, len(engines))
 	for _, address := range engines {
 		if waste, err := readWaste(ctx, address); err == nil {
--- a/issuer/issuer_test.go
+++ b/issuer/issuer_test.go
@@ -32,7 +32,7 @@
 					granted = append(granted, now)
 				}
 			}
-			most := measurer.Busiest(granted, window)
+			most := measurer.MaxInWindow(granted, window)
 			allowed := rate*window.Seconds() + max(2, rate/4) + 1
 			assert.Assert(t, float64(most) <= allowed, "%d permits in %v", most, window)
 			assert.Assert(t, float64(len(granted)) >= 0.9*rate*span.Seconds()-1, "%d permits in %v", len(granted), span)
--- a/large_configuration_test.go
+++ b/large_configuration_test.go
@@ -115,13 +115,13 @@
 	running.awaitStatus("/old/", "", http.StatusOK)
 
 	const late = 2 * time.Second
-	link.Delay(late)
+	link.SetDelay(late)
 	for change := range 3 {
 		deployment.putPaddedConfiguration(fmt.Sprintf("/new-%d/", change), largeConfigurationBytes)
 	}
 	wellAgain := time.After(2 * late)
 	<-wellAgain
-	link.Delay(0)
+	link.SetDelay(0)
 	running.awaitStatusWithin(applyTimeout, "/new-2/", "", http.StatusOK)
 }
 
@@ -133,7 +133,7 @@
 	deployment.startUpstream("u1", 0)
 	const late = 2 * time.Second
 	link := store.NewLink(0)
-	link.Delay(late)
+	link.SetDelay(late)
 	running := deployment.startEntryOverLink("entry-1", link)
 	running.awaitStatusWithin(3*late, "/old/", "", http.StatusOK)
 	deployment.putPaddedConfiguration("/new/", 0)
@@ -145,11 +145,11 @@
 func TestLostAnswerDoesNotKeepANodeUnlisted(t *testing.T) {
 	deployment := newDeployment(t)
 	link := store.NewLink(0)
-	link.Delay(time.Hour)
+	link.SetDelay(time.Hour)
 	deployment.startEntryOverLink("entry-1", link)
 	<-time.After(time.Second)
 	deployment.store.Remove("limpetcleat-nodes", "entry-1")
-	link.Delay(0)
+	link.SetDelay(0)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if _, listed := deployment.store.Object("limpetcleat-nodes", "entry-1"); listed {
 			return poll.Success()
--- a/messenger/capacity_test.go
+++ b/messenger/capacity_test.go
@@ -113,13 +113,13 @@
 		t.Logf("slope %s.connection=%d B", name, bytes.Load())
 		for kind, message := range sizedMessages(0) {
 			send(message)
-			before, busy := bytes.Load(), measurer.ProcessorTime()
+			before, busy := bytes.Load(), measurer.CPUTime()
 			for range count {
 				send(message)
 			}
 			each := float64(bytes.Load()-before) / count
 			t.Logf("slope %s.%s=%.0f B", name, kind, each)
-			t.Logf("slope %s.%s.processor=%.0f us", name, kind, float64((measurer.ProcessorTime()-busy).Microseconds())/count)
+			t.Logf("slope %s.%s.processor=%.0f us", name, kind, float64((measurer.CPUTime()-busy).Microseconds())/count)
 			assert.Assert(t, each < most, "%s takes %.0f bytes", kind, each)
 		}
 		before := bytes.Load()
--- a/messenger/messenger_test.go
+++ b/messenger/messenger_test.go
@@ -165,17 +165,17 @@
 
 func TestCountsAreWireBytes(t *testing.T) {
 	ours := newAuthority(t)
-	first := startEndpoint(t, "127.0.0.1:0", secure(t, ours, authority.InnerName))
-	second := startEndpoint(t, "127.0.0.1:0", secure(t, ours, authority.InnerName))
+	first := startEndpoint(t, "127.0.0.1:0", secure(t, ours, authority.NodeServerName))
+	second := startEndpoint(t, "127.0.0.1:0", secure(t, ours, authority.NodeServerName))
 	counting, address := startRelay(t, second.address)
 	first.Send(first.ctx, address, &messenger.Heartbeat{Target: "hello"})
 	eventually(t, "the message", func() bool { return len(second.receivedTargets()) == 1 })
 	eventually(t, "equal counts", func() bool {
-		forward, back := counting.Bytes(relay.Forward), counting.Bytes(relay.Backward)
+		forward, back := counting.ForwardedBytes(relay.ToTarget), counting.ForwardedBytes(relay.ToPeer)
 		return first.sent.Load() == forward && second.received.Load() == forward &&
 			second.sent.Load() == back && first.received.Load() == back
 	})
-	assert.Assert(t, counting.Bytes(relay.Forward) > int64(len("hello")))
+	assert.Assert(t, counting.ForwardedBytes(relay.ToTarget) > int64(len("hello")))
 }
 
 func TestUnprovenPeersAreRejected(t *testing.T) {
@@ -184,13 +184,13 @@
 		name   string
 		client messenger.Option
 	}{
-		{"without a certificate", messenger.WithTLS(nil, &tls.Config{RootCAs: ours.Pool(), ServerName: authority.InnerName, MinVersion: tls.VersionTLS13})},
+		{"without a certificate", messenger.WithTLS(nil, &tls.Config{RootCAs: ours.Pool(), ServerName: authority.NodeServerName, MinVersion: tls.VersionTLS13})},
 		{"of another authority", messenger.WithTLS(nil, trusting(t, stranger, ours))},
 		{"without TLS", messenger.WithTLS(nil, nil)},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			server := startEndpoint(t, "127.0.0.1:0", secure(t, ours, authority.InnerName))
+			server := startEndpoint(t, "127.0.0.1:0", secure(t, ours, authority.NodeServerName))
 			client := startEndpoint(t, "127.0.0.1:0", test.client)
 			client.say(server, "let me in")
 			eventually(t, "the rejection is reported", func() bool { return server.countReports(messenger.PeerRejected) > 0 })
@@ -203,7 +203,7 @@
 func TestPeerUnderAnotherNameIsNotTalkedTo(t *testing.T) {
 	ours := newAuthority(t)
 	server := startEndpoint(t, "127.0.0.1:0", secure(t, ours, "another-name"))
-	client := startEndpoint(t, "127.0.0.1:0", secure(t, ours, authority.InnerName))
+	client := startEndpoint(t, "127.0.0.1:0", secure(t, ours, authority.NodeServerName))
 	client.say(server, "secret")
 	eventually(t, "the loss is reported", func() bool { return client.countReports(messenger.PeerLost) == 1 })
 	assert.Equal(t, len(server.receivedTargets()), 0)
@@ -218,7 +218,7 @@
 		name    string
 		options []messenger.Option
 	}{
-		{"TLS", []messenger.Option{secure(t, ours, authority.InnerName)}},
+		{"TLS", []messenger.Option{secure(t, ours, authority.NodeServerName)}},
 		{"plain", nil},
 	}
 	for _, test := range cases {
--- a/messenger/secure_test.go
+++ b/messenger/secure_test.go
@@ -27,7 +27,7 @@
 // the issuer and which trusts servers of another authority.
 func trusting(t *testing.T, issuer, trusted *authority.Authority) *tls.Config {
 	t.Helper()
-	_, client, err := issuer.Configs(authority.InnerName)
+	_, client, err := issuer.TLSConfigs(authority.NodeServerName)
 	assert.NilError(t, err)
 	client.RootCAs = trusted.Pool()
 	return client
@@ -36,7 +36,7 @@
 // secure returns the option for mutual TLS with a certificate of the given name.
 func secure(t *testing.T, issuer *authority.Authority, name string) messenger.Option {
 	t.Helper()
-	server, client, err := issuer.Configs(name)
+	server, client, err := issuer.TLSConfigs(name)
 	assert.NilError(t, err)
 	return messenger.WithTLS(server, client)
 }
--- a/scheduler/capacity_test.go
+++ b/scheduler/capacity_test.go
@@ -19,7 +19,7 @@
 		scheduler := New(messenger.Shard{Pool: "shared"}, definer.Member{VM: "vm1"}, WithPool(pool))
 		scheduler.Configure(start(), pool.Upstreams(), classes)
 		ask := func(from, to int) float64 {
-			before := measurer.HeapInUse()
+			before := measurer.HeapAlloc()
 			for index := from; index < to; index++ {
 				now := start().Add(time.Duration(index) * time.Microsecond)
 				scheduler.Ask(now, Ask{
@@ -27,7 +27,7 @@
 					Organisation: definer.OrganisationName(fmt.Sprint("organisation", index%1900)), Arrival: now,
 				})
 			}
-			return (measurer.HeapInUse() - before) / float64(to-from)
+			return (measurer.HeapAlloc() - before) / float64(to-from)
 		}
 		b.ReportMetric(ask(0, 1024), "B/grant")
 		b.ReportMetric(ask(1024, 11_024), "B/queued")
--- a/scheduler/limit_test.go
+++ b/scheduler/limit_test.go
@@ -37,7 +37,7 @@
 				take(harness.ask(classes[count%len(classes)], nil))
 				take(harness.Expire(harness.now))
 			}
-			most := measurer.Busiest(granted, 4*time.Second)
+			most := measurer.MaxInWindow(granted, 4*time.Second)
 			assert.Assert(t, float64(most) <= perSecond*4+max(minBurst, perSecond/4+1)+1, "%d in 4 s", most)
 			assert.Assert(t, float64(len(granted)) >= 0.8*perSecond*span.Seconds()-1, "%d granted", len(granted))
 		})
--- a/server/announcing_service_test.go
+++ b/server/announcing_service_test.go
@@ -84,7 +84,7 @@
 			counted = append(counted, at)
 		}
 	}
-	return len(counted), measurer.Busiest(counted, limitWindow)
+	return len(counted), measurer.MaxInWindow(counted, limitWindow)
 }
 
 // startAnnouncingServices starts count services and a system of two nodes in which these services
--- a/server/client_test.go
+++ b/server/client_test.go
@@ -51,7 +51,7 @@
 
 	text, err := client.Completions.New(ctx, completionParams(prompt))
 	assert.NilError(t, err)
-	assert.Equal(t, text.Choices[0].Text, engine.Answer(model, prompt, 0, 20))
+	assert.Equal(t, text.Choices[0].Text, engine.ResponseText(model, prompt, 0, 20))
 
 	parts := client.Completions.NewStreaming(ctx, completionParams(prompt))
 	joined := ""
@@ -59,7 +59,7 @@
 		joined += parts.Current().Choices[0].Text
 	}
 	assert.NilError(t, parts.Err())
-	assert.Equal(t, joined, engine.Answer(model, prompt, 0, 20))
+	assert.Equal(t, joined, engine.ResponseText(model, prompt, 0, 20))
 
 	models, err := client.Models.List(ctx)
 	assert.NilError(t, err)
@@ -68,7 +68,7 @@
 }
 
 func TestOfficialClientRefusals(t *testing.T) {
-	system := start(t, setup{slots: 1, engine: []engine.Option{engine.WithTokenTime(10*time.Millisecond, 0)}})
+	system := start(t, setup{slots: 1, engine: []engine.Option{engine.WithTokenInterval(10*time.Millisecond, 0)}})
 	cases := []struct {
 		name, key, model, code string
 		busy                   bool
--- a/server/crash_test.go
+++ b/server/crash_test.go
@@ -95,7 +95,7 @@
 			request.Header.Set("Idempotency-Key", test.key)
 			recorder := httptest.NewRecorder()
 			served.Handler().ServeHTTP(recorder, request)
-			answer := caller.Read(recorder.Result(), nil)
+			answer := caller.ReadReply(recorder.Result(), nil)
 			assert.Equal(t, answer.Status, test.status)
 			assert.Equal(t, answer.Outcome, test.outcome)
 			assert.Equal(t, answer.Header.Get("Retry-After") != "", test.retryAfter)
--- a/server/input_test.go
+++ b/server/input_test.go
@@ -287,7 +287,7 @@
 
 func TestKeysAreOfferedInAnOutage(t *testing.T) {
 	system := start(t, setup{})
-	assert.NilError(t, controllerOf(system.platformAddress).Faults(context.Background(), json.RawMessage(`{"outage":true}`)))
+	assert.NilError(t, controllerOf(system.platformAddress).SetFaults(context.Background(), json.RawMessage(`{"outage":true}`)))
 	own := system.do(system.request("/services/stock/x", "{}", "X-Repeat", "keyed", "Idempotency-Key", "mine"))
 	assert.Equal(t, own.Status, http.StatusServiceUnavailable, own.Body)
 	assert.Equal(t, own.Outcome, "unknown")
--- a/server/system_test.go
+++ b/server/system_test.go
@@ -80,7 +80,7 @@
 	})
 	system.platformAddress = system.run(ctx, platform.New(platform.WithListLag(0)))
 	for range setup.engines {
-		options := append([]engine.Option{engine.WithModels(model), engine.WithTokenTime(time.Millisecond, 0), engine.WithPrefillTime(time.Millisecond), engine.WithLoadLag(0)}, setup.engine...)
+		options := append([]engine.Option{engine.WithModels(model), engine.WithTokenInterval(time.Millisecond, 0), engine.WithPrefillTime(time.Millisecond), engine.WithLoadLag(0)}, setup.engine...)
 		system.engineAddresses = append(system.engineAddresses, system.run(ctx, engine.New(options...)))
 	}
 	system.serviceAddress = system.run(ctx, service.New(service.WithName("stock"), service.WithLatency(time.Millisecond)))
@@ -189,7 +189,7 @@
 
 // expected returns the text that an engine generates for a prompt.
 func expected(prompt string, tokens int) string {
-	return engine.Answer(model, "user: "+prompt+"\n", 0, tokens)
+	return engine.ResponseText(model, "user: "+prompt+"\n", 0, tokens)
 }
 
 // controllerOf returns the controller of the stand-in at an address.
@@ -202,11 +202,11 @@
 	system.t.Helper()
 	for _, address := range system.engineAddresses {
 		if engines != "" {
-			assert.NilError(system.t, controllerOf(address).Faults(context.Background(), json.RawMessage(engines)))
+			assert.NilError(system.t, controllerOf(address).SetFaults(context.Background(), json.RawMessage(engines)))
 		}
 	}
 	if services != "" {
-		assert.NilError(system.t, controllerOf(system.serviceAddress).ServiceFaults(context.Background(), json.RawMessage(services)))
+		assert.NilError(system.t, controllerOf(system.serviceAddress).SetServiceFaults(context.Background(), json.RawMessage(services)))
 	}
 }
 
@@ -230,7 +230,7 @@
 	services, err := controllerOf(system.serviceAddress).ServiceRuns(context.Background(), "")
 	assert.NilError(system.t, err)
 	for attempt, count := range services.Attempts {
-		if controller.IsOf(attempt, request) {
+		if controller.IsAttemptOf(attempt, request) {
 			total += count
 		}
 	}
--- a/standin/authority/authority.go
+++ b/standin/authority/authority.go
@@ -16,7 +16,7 @@
 )
 
 // InnerName is the DNS name in the certificates of all nodes, which peers verify.
-const InnerName = "limpetcleat-inner"
+const NodeServerName = "limpetcleat-inner"
 
 const (
 	defaultLifetime = 30 * 24 * time.Hour
@@ -91,7 +91,7 @@
 
 // Configs returns the server and client configurations for mutual TLS between nodes, with a
 // certificate for the given DNS name. The client configuration expects peers to have InnerName.
-func (authority *Authority) Configs(dnsName string) (serverConfig, clientConfig *tls.Config, err error) {
+func (authority *Authority) TLSConfigs(dnsName string) (serverConfig, clientConfig *tls.Config, err error) {
 	certificate, err := authority.Issue(dnsName, dnsName)
 	if err != nil {
 		return nil, nil, err
@@ -105,7 +105,7 @@
 	clientConfig = &tls.Config{
 		Certificates: []tls.Certificate{certificate.TLSCertificate()},
 		RootCAs:      authority.Pool(),
-		ServerName:   InnerName,
+		ServerName:   NodeServerName,
 		MinVersion:   tls.VersionTLS13,
 	}
 	return serverConfig, clientConfig, nil
--- a/standin/authority/authority_test.go
+++ b/standin/authority/authority_test.go
@@ -41,11 +41,11 @@
 			use   x509.ExtKeyUsage
 			valid bool
 		}{
-			{authority.InnerName, pool, x509.ExtKeyUsageServerAuth, true},
-			{authority.InnerName, pool, x509.ExtKeyUsageClientAuth, true},
-			{authority.InnerName, pool, x509.ExtKeyUsageCodeSigning, false},
+			{authority.NodeServerName, pool, x509.ExtKeyUsageServerAuth, true},
+			{authority.NodeServerName, pool, x509.ExtKeyUsageClientAuth, true},
+			{authority.NodeServerName, pool, x509.ExtKeyUsageCodeSigning, false},
 			{node, pool, x509.ExtKeyUsageServerAuth, false},
-			{authority.InnerName, untrusted.Pool(), x509.ExtKeyUsageServerAuth, false},
+			{authority.NodeServerName, untrusted.Pool(), x509.ExtKeyUsageServerAuth, false},
 		}
 		for _, test := range cases {
 			_, err := pair.Leaf.Verify(x509.VerifyOptions{DNSName: test.name, Roots: test.pool, KeyUsages: []x509.ExtKeyUsage{test.use}})
--- a/standin/authority/files.go
+++ b/standin/authority/files.go
@@ -67,7 +67,7 @@
 	}
 	paths := []string{path}
 	for _, node := range nodes {
-		certificate, err := authority.Issue(node, InnerName)
+		certificate, err := authority.Issue(node, NodeServerName)
 		if err != nil {
 			return paths, err
 		}
--- a/standin/caller/call.go
+++ b/standin/caller/call.go
@@ -20,14 +20,14 @@
 	// APIKey is the bearer token; none is sent when it is empty.
 	APIKey string
 	// Key is the Idempotency-Key; none is sent when it is empty.
-	Key  string
-	Body io.Reader
+	IdempotencyKey string
+	Body           io.Reader
 	// Model and Prompt are set for a completion and determine the answer of a stand-in engine. They
 	// are not sent by themselves; Body contains them.
 	Model, Prompt string
 	// Deadline is sent as X-Request-Timeout-Ms, unless it is zero.
-	Deadline time.Duration
-	Header   map[string]string
+	Timeout time.Duration
+	Header  map[string]string
 	// Progress, if set, is called after each token of a streamed response with the number of tokens
 	// received so far.
 	Progress func(count int)
@@ -37,7 +37,7 @@
 func Completion(model, prompt string, tokens int, streamed bool) Call {
 	prompt = withAnswerLength(prompt, tokens)
 	body := map[string]any{"model": model, "prompt": prompt, "stream": streamed, "max_tokens": tokens}
-	return Call{Path: "/v1/completions", Body: Encode(body), Model: model, Prompt: prompt}
+	return Call{Path: "/v1/completions", Body: EncodeJSON(body), Model: model, Prompt: prompt}
 }
 
 // Chat returns a call of the chat completions API for an answer of the given number of tokens. It
@@ -46,11 +46,11 @@
 	prompt = withAnswerLength(prompt, tokens)
 	messages := []map[string]string{{"role": "user", "content": prompt}}
 	body := map[string]any{"model": model, "stream": streamed, "messages": messages}
-	return Call{Path: "/v1/chat/completions", Body: Encode(body), Model: model, Prompt: "user: " + prompt + "\n"}
+	return Call{Path: "/v1/chat/completions", Body: EncodeJSON(body), Model: model, Prompt: "user: " + prompt + "\n"}
 }
 
 // Encode returns the value as a JSON body, or an empty body if the value cannot be encoded.
-func Encode(body any) io.Reader {
+func EncodeJSON(body any) io.Reader {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return http.NoBody
@@ -79,11 +79,11 @@
 	if call.APIKey != "" {
 		request.Header.Set("Authorization", "Bearer "+call.APIKey)
 	}
-	if call.Deadline > 0 {
-		request.Header.Set("X-Request-Timeout-Ms", strconv.FormatInt(call.Deadline.Milliseconds(), 10))
+	if call.Timeout > 0 {
+		request.Header.Set("X-Request-Timeout-Ms", strconv.FormatInt(call.Timeout.Milliseconds(), 10))
 	}
-	if call.Key != "" {
-		request.Header.Set("Idempotency-Key", call.Key)
+	if call.IdempotencyKey != "" {
+		request.Header.Set("Idempotency-Key", call.IdempotencyKey)
 	}
 	for name, value := range call.Header {
 		request.Header.Set(name, value)
--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -46,10 +46,10 @@
 	began := time.Now()
 	response, err := caller.transport.RoundTrip(request)
 	if err != nil {
-		return Reply{Err: err, Code: err.Error(), Took: time.Since(began)}
+		return Reply{Err: err, Code: err.Error(), Duration: time.Since(began)}
 	}
 	defer func() { _ = response.Body.Close() }()
-	reply := Read(response, progress)
-	reply.Took = time.Since(began)
+	reply := ReadReply(response, progress)
+	reply.Duration = time.Since(began)
 	return reply
 }
--- a/standin/caller/reply.go
+++ b/standin/caller/reply.go
@@ -29,7 +29,7 @@
 	Tokens int
 	// Whole is true if the response was received completely: a stream with its last event, any
 	// other body as valid JSON of status 200.
-	Whole bool
+	Complete bool
 	// Failed is true if an error was reported, by the status or within a stream.
 	Failed bool
 	// Code is the error's code, or the text of Err if no response was received.
@@ -40,12 +40,12 @@
 	// Err is why the response is missing or incomplete.
 	Err error
 	// Took is the time from sending the request to the end of the response.
-	Took time.Duration
+	Duration time.Duration
 }
 
 // Read reads a response to its end without closing the body. If progress is not nil, it is called
 // after each token of a streamed response with the number of tokens received so far.
-func Read(response *http.Response, progress func(count int)) Reply {
+func ReadReply(response *http.Response, progress func(count int)) Reply {
 	reply := Reply{Status: response.StatusCode, Header: response.Header, Outcome: response.Header.Get("X-Outcome")}
 	reply.Failed = response.StatusCode/100 != 2
 	body := &recordingReader{source: response.Body}
@@ -64,7 +64,7 @@
 func (reply Reply) RetryAfter() string { return reply.Header.Get("Retry-After") }
 
 // Offer returns the idempotency key offered in place of a rejected one, or an empty string.
-func (reply Reply) Offer() string { return reply.Header.Get("Idempotency-Key-Offer") }
+func (reply Reply) OfferedKey() string { return reply.Header.Get("Idempotency-Key-Offer") }
 
 // Replayed reports whether the response is the stored answer of an earlier call with the same key.
 func (reply Reply) Replayed() bool { return reply.Header.Get("Idempotency-Replayed") == "true" }
@@ -74,14 +74,14 @@
 
 // Own reports whether the text received is the beginning of the stand-in engine's answer to the
 // call, with no token missing or duplicated.
-func (reply Reply) Own(call Call) bool {
-	return reply.Text == engine.Answer(call.Model, call.Prompt, 0, reply.Tokens)
+func (reply Reply) MatchesCall(call Call) bool {
+	return reply.Text == engine.ResponseText(call.Model, call.Prompt, 0, reply.Tokens)
 }
 
 // String returns a summary of the reply for failure messages.
 func (reply Reply) String() string {
 	return fmt.Sprintf("status %d outcome %q code %q whole %v tokens %d after %v",
-		reply.Status, reply.Outcome, reply.Code, reply.Whole, reply.Tokens, reply.Took.Round(time.Millisecond))
+		reply.Status, reply.Outcome, reply.Code, reply.Complete, reply.Tokens, reply.Duration.Round(time.Millisecond))
 }
 
 func (reply *Reply) readBody(body *recordingReader) {
@@ -89,7 +89,7 @@
 	parsed := gjson.Parse(reply.Body)
 	reply.Text = choiceText(parsed, "message")
 	reply.Tokens = int(parsed.Get("usage.completion_tokens").Int())
-	reply.Whole = reply.Err == nil && gjson.Valid(reply.Body) && reply.Status == http.StatusOK
+	reply.Complete = reply.Err == nil && gjson.Valid(reply.Body) && reply.Status == http.StatusOK
 	failure := parsed.Get("error")
 	reply.Code = failure.Get("code").String()
 	if outcome := failure.Get("outcome"); reply.Failed && outcome.Exists() {
@@ -116,7 +116,7 @@
 // addEvent adds the data of one event to the reply.
 func (reply *Reply) addEvent(data string, progress func(count int)) {
 	if data == streamEndData {
-		reply.Whole = true
+		reply.Complete = true
 		return
 	}
 	parsed := gjson.Parse(data)
--- a/standin/clock/clock.go
+++ b/standin/clock/clock.go
@@ -24,19 +24,19 @@
 
 // After schedules an action to run once the wait has elapsed. Actions due at the same time run in
 // the order in which they were scheduled. A negative wait counts as zero.
-func (clock *Clock) After(wait time.Duration, action func()) {
+func (clock *Clock) Schedule(wait time.Duration, action func()) {
 	clock.scheduled++
 	heap.Push(&clock.queue, event{at: clock.now.Add(max(wait, 0)), sequence: clock.scheduled, action: action})
 }
 
 // Run advances the clock by the length and runs every event that falls due, its end included.
-func (clock *Clock) Run(length time.Duration) {
-	clock.RunUntil(length, func() bool { return false })
+func (clock *Clock) Advance(length time.Duration) {
+	clock.AdvanceUntil(length, func() bool { return false })
 }
 
 // RunUntil is like Run, but stops after the first event after which done returns true. It reports
 // whether done returned true; if so, the clock stays at the time of that event.
-func (clock *Clock) RunUntil(length time.Duration, done func() bool) bool {
+func (clock *Clock) AdvanceUntil(length time.Duration, done func() bool) bool {
 	end := clock.now.Add(length)
 	for len(clock.queue) > 0 && !clock.queue[0].at.After(end) {
 		next, _ := heap.Pop(&clock.queue).(event)
--- a/standin/clock/clock_test.go
+++ b/standin/clock/clock_test.go
@@ -21,24 +21,24 @@
 	set := func(name string, after time.Duration) {
 		timers.Set(simulated, name, begin.Add(after), do(name))
 	}
-	simulated.After(2*time.Second, do("second"))
-	simulated.After(2*time.Second, do("third"))
-	simulated.After(time.Second, func() {
+	simulated.Schedule(2*time.Second, do("second"))
+	simulated.Schedule(2*time.Second, do("third"))
+	simulated.Schedule(time.Second, func() {
 		do("first")()
-		simulated.After(-time.Minute, do("at once"))
+		simulated.Schedule(-time.Minute, do("at once"))
 	})
-	simulated.After(time.Hour, do("later"))
+	simulated.Schedule(time.Hour, do("later"))
 	set("moved", time.Second)
 	set("moved", 4*time.Second)
 	set("cleared", 3*time.Second)
 	timers.Clear("cleared")
-	simulated.Run(3 * time.Second)
+	simulated.Advance(3 * time.Second)
 	assert.Equal(t, strings.Join(done, " "), "first@1s at once@1s second@2s third@2s")
 	assert.Equal(t, simulated.Now(), begin.Add(3*time.Second))
 	count := len(done)
-	assert.Assert(t, simulated.RunUntil(2*time.Hour, func() bool { return len(done) > count }))
+	assert.Assert(t, simulated.AdvanceUntil(2*time.Hour, func() bool { return len(done) > count }))
 	assert.Equal(t, done[count], "moved@4s")
 	assert.Equal(t, simulated.Now(), begin.Add(4*time.Second))
-	assert.Assert(t, !simulated.RunUntil(time.Minute, func() bool { return false }))
+	assert.Assert(t, !simulated.AdvanceUntil(time.Minute, func() bool { return false }))
 	assert.Equal(t, len(done), count+1)
 }
--- a/standin/clock/timers.go
+++ b/standin/clock/timers.go
@@ -12,7 +12,7 @@
 func (timers Timers[Key]) Set(clock *Clock, key Key, at time.Time, fire func()) {
 	timers[key]++
 	generation := timers[key]
-	clock.After(at.Sub(clock.now), func() {
+	clock.Schedule(at.Sub(clock.now), func() {
 		if timers[key] == generation {
 			fire()
 		}
--- a/standin/controller/controller.go
+++ b/standin/controller/controller.go
@@ -59,12 +59,12 @@
 
 // Faults configures fault injection in an engine or in the platform. The value is encoded as JSON;
 // omitted fields keep their values.
-func (controller *Controller) Faults(ctx context.Context, faults any) error {
+func (controller *Controller) SetFaults(ctx context.Context, faults any) error {
 	return controller.order(ctx, http.MethodPost, "/faults", faults)
 }
 
 // ServiceFaults configures fault injection in a plain service, in the same way as Faults.
-func (controller *Controller) ServiceFaults(ctx context.Context, faults any) error {
+func (controller *Controller) SetServiceFaults(ctx context.Context, faults any) error {
 	return controller.order(ctx, http.MethodPost, "/_standin/faults", faults)
 }
 
@@ -101,11 +101,11 @@
 // AttemptsOf returns an engine's records of the attempts of a request.
 func (controller *Controller) AttemptsOf(ctx context.Context, requestID string) ([]engine.Record, error) {
 	runs, err := controller.EngineRuns(ctx)
-	return slices.DeleteFunc(runs.Attempts, func(record engine.Record) bool { return !IsOf(record.AttemptID, requestID) }), err
+	return slices.DeleteFunc(runs.Attempts, func(record engine.Record) bool { return !IsAttemptOf(record.AttemptID, requestID) }), err
 }
 
 // IsOf reports whether an attempt belongs to the request. It is false for an empty request ID.
-func IsOf(attemptID, requestID string) bool {
+func IsAttemptOf(attemptID, requestID string) bool {
 	return requestID != "" && strings.HasPrefix(attemptID, requestID+".")
 }
 
--- a/standin/controller/controller_test.go
+++ b/standin/controller/controller_test.go
@@ -28,7 +28,7 @@
 
 func TestOrdersTakeEffectAndRecordsAreRead(t *testing.T) {
 	ctx := t.Context()
-	testEngine := engine.New(engine.WithModels("m"), engine.WithTokenTime(time.Microsecond, 0))
+	testEngine := engine.New(engine.WithModels("m"), engine.WithTokenInterval(time.Microsecond, 0))
 	defer func() { assert.NilError(t, testEngine.Close()) }()
 	engineController, address := serve(t, testEngine.Handler())
 	complete := func(attemptID string) int {
@@ -41,20 +41,20 @@
 	records, err := engineController.AttemptsOf(ctx, "a")
 	assert.NilError(t, err)
 	assert.Assert(t, len(records) == 1 && records[0].AttemptID == "a.1", "%v", records)
-	assert.NilError(t, engineController.Faults(ctx, json.RawMessage(`{"failAfter":1}`)))
+	assert.NilError(t, engineController.SetFaults(ctx, json.RawMessage(`{"failAfter":1}`)))
 	assert.Equal(t, complete("b.1"), 500)
 	assert.NilError(t, engineController.Leave(ctx))
 	assert.Equal(t, complete("c.1"), 503)
-	assert.ErrorContains(t, engineController.Faults(ctx, map[string]int{"none": 1}), "400")
+	assert.ErrorContains(t, engineController.SetFaults(ctx, map[string]int{"none": 1}), "400")
 
 	testService := service.New(service.WithLatency(0))
 	defer func() { assert.NilError(t, testService.Close()) }()
 	serviceController, address := serve(t, testService.Handler())
 	for _, key := range []string{"k", "k", "l"} {
-		caller.New().Send(ctx, address, caller.Call{Path: "/x", Key: key})
+		caller.New().Send(ctx, address, caller.Call{Path: "/x", IdempotencyKey: key})
 	}
-	assert.NilError(t, serviceController.ServiceFaults(ctx, map[string]int{"failBefore": 1}))
-	assert.Equal(t, caller.New().Send(ctx, address, caller.Call{Path: "/x", Key: "k"}).Status, 503)
+	assert.NilError(t, serviceController.SetServiceFaults(ctx, map[string]int{"failBefore": 1}))
+	assert.Equal(t, caller.New().Send(ctx, address, caller.Call{Path: "/x", IdempotencyKey: "k"}).Status, 503)
 	runs, err := serviceController.ServiceRuns(ctx, "k")
 	assert.NilError(t, err)
 	assert.Equal(t, len(runs.Runs), 2)
@@ -72,7 +72,7 @@
 	calls, err := platformController.PlatformCalls(ctx)
 	assert.NilError(t, err)
 	assert.Equal(t, calls.Reads, int64(1))
-	assert.NilError(t, platformController.Faults(ctx, map[string]bool{"outage": true}))
+	assert.NilError(t, platformController.SetFaults(ctx, map[string]bool{"outage": true}))
 	_, err = client.VMs(ctx)
 	assert.Assert(t, err != nil)
 }
--- a/standin/engine/client_test.go
+++ b/standin/engine/client_test.go
@@ -30,7 +30,7 @@
 func startEngine(t *testing.T, opts ...engine.Option) client {
 	t.Helper()
 	defaults := []engine.Option{
-		engine.WithModels(model), engine.WithTokenTime(100*time.Microsecond, 0),
+		engine.WithModels(model), engine.WithTokenInterval(100*time.Microsecond, 0),
 		engine.WithPrefillTime(time.Millisecond), engine.WithLoadLag(0),
 	}
 	standin := engine.New(append(defaults, opts...)...)
@@ -225,7 +225,7 @@
 
 // expectedText returns the text of tokens [first, end) of the response to the prompt.
 func expectedText(prompt string, first, end int) string {
-	return engine.Answer(model, "user: "+prompt+"\n", first, end)
+	return engine.ResponseText(model, "user: "+prompt+"\n", first, end)
 }
 
 // untilTokens returns a condition that stops read after count tokens.
--- a/standin/engine/completion.go
+++ b/standin/engine/completion.go
@@ -33,11 +33,11 @@
 		raw, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, maxBodyBytes))
 		if err != nil {
 			writer.Header().Set(HeaderNotRun, "1")
-			host.Fail(writer, http.StatusRequestEntityTooLarge, string(KindInvalid), err.Error())
+			host.WriteError(writer, http.StatusRequestEntityTooLarge, string(KindInvalid), err.Error())
 			return
 		}
 		announcement := engine.announcement()
-		announcement.Write(writer.Header())
+		announcement.SetHeaders(writer.Header())
 		attempt, err := newAttempt(request.Header, raw)
 		if err != nil {
 			writeRefusal(writer, "", err, announcement)
@@ -84,7 +84,7 @@
 func writeRefusal(writer http.ResponseWriter, attemptID string, err error, announcement host.Announcement) {
 	var refusal *Error
 	if !errors.As(err, &refusal) {
-		host.Fail(writer, http.StatusInternalServerError, string(KindInjected), err.Error())
+		host.WriteError(writer, http.StatusInternalServerError, string(KindInjected), err.Error())
 		return
 	}
 	if attemptID != "" {
@@ -94,9 +94,9 @@
 		writer.Header().Set(HeaderNotRun, "1")
 	}
 	if refusal.status() == http.StatusServiceUnavailable {
-		announcement.WriteRetryAfter(writer.Header())
+		announcement.SetRetryAfter(writer.Header())
 	}
-	host.Fail(writer, refusal.status(), string(refusal.Kind), refusal.Error())
+	host.WriteError(writer, refusal.status(), string(refusal.Kind), refusal.Error())
 }
 
 func (completion *completion) respond() {
@@ -119,7 +119,7 @@
 	}
 	completion.writer.Header().Set(HeaderAttemptID, completion.id)
 	if completion.plan.failAfter {
-		host.Fail(completion.writer, http.StatusInternalServerError, string(KindInjected), "failed after computing")
+		host.WriteError(completion.writer, http.StatusInternalServerError, string(KindInjected), "failed after computing")
 		return
 	}
 	sequence := completion.reader.sequence
@@ -127,7 +127,7 @@
 	choice.FinishReason = new(sequence.finishReason())
 	chunk := completion.chunk(completion.format.responseObject(), choice)
 	chunk.Usage = completion.usage()
-	host.Answer(completion.writer, http.StatusOK, chunk)
+	host.WriteJSON(completion.writer, http.StatusOK, chunk)
 	completion.engine.recordSent(completion.reader, sequence.length)
 }
 
@@ -141,7 +141,7 @@
 	for {
 		snapshot := completion.engine.snapshot(completion.reader)
 		if snapshot.replaced {
-			host.Cut(completion.writer)
+			host.CloseConnection(completion.writer)
 			return snapshot, false
 		}
 		if snapshot.state == stateFinished || snapshot.state == stateCancelled || enough(snapshot) {
@@ -152,7 +152,7 @@
 		case <-completion.request.Context().Done():
 			return snapshot, false
 		case <-completion.engine.host.Done():
-			host.Cut(completion.writer)
+			host.CloseConnection(completion.writer)
 			return snapshot, false
 		}
 	}
@@ -163,7 +163,7 @@
 	if !snapshot.started {
 		completion.writer.Header().Set(HeaderNotRun, "1")
 	}
-	host.Fail(completion.writer, http.StatusServiceUnavailable, string(KindCancelled), "the attempt was cancelled")
+	host.WriteError(completion.writer, http.StatusServiceUnavailable, string(KindCancelled), "the attempt was cancelled")
 }
 
 func (completion *completion) chunk(object string, choices ...Choice) Chunk {
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -143,7 +143,7 @@
 	client.post("/faults", `{"crossed":1}`)
 	for _, crossed := range []bool{true, false} {
 		_, body := client.post("/v1/completions", `{"model":"m","prompt":"x #len=4"}`)
-		want := engine.Answer(model, "x #len=4", 0, 4)
+		want := engine.ResponseText(model, "x #len=4", 0, 4)
 		assert.Equal(t, strings.Contains(body, `"text":"`+want), !crossed, body)
 	}
 	status, _ := client.post("/v1/completions", `{"model":"m","prompt":"x","max_tokens":0}`)
@@ -165,7 +165,7 @@
 		{"cut", `{"cutAfterTokens":4,"cutCount":1}`, expectedText(prompt, 0, 4), true, false},
 		{"cut before the end mark", `{"cutAfterTokens":99,"cutCount":1}`, expectedText(prompt, 0, 10), true, false},
 		{"doubled", `{"doubled":1}`, expectedText(prompt, 0, 6) + expectedText(prompt, 5, 10), false, false},
-		{"crossed", `{"crossed":1}`, engine.Answer(model, "other", 0, 10), false, true},
+		{"crossed", `{"crossed":1}`, engine.ResponseText(model, "other", 0, 10), false, true},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -255,7 +255,7 @@
 }
 
 func TestQueueIsBoundedAndInOrderOfPriority(t *testing.T) {
-	client := startEngine(t, engine.WithMaxRunning(1), engine.WithQueueBound(2), engine.WithPrefillTime(0))
+	client := startEngine(t, engine.WithMaxRunning(1), engine.WithMaxQueued(2), engine.WithPrefillTime(0))
 	running, err := client.open(completionCall{attempt: "running", prompt: "r #len=100000"})
 	assert.NilError(t, err)
 	running.read(untilTokens(1))
@@ -317,7 +317,7 @@
 	client.get("/load", &load)
 	assert.Equal(t, load.CachedBlocks, 0, "the load report lags by an hour")
 
-	small := startEngine(t, engine.WithCacheBlocks(2))
+	small := startEngine(t, engine.WithPrefixCacheBlocks(2))
 	small.complete(completionCall{attempt: "a1", prompt: prompt})
 	again := small.complete(completionCall{attempt: "a2", prompt: prompt})
 	assert.Equal(t, again.usage.PromptDetails.CachedTokens, 0, "the cache capacity is 2 blocks")
--- a/standin/engine/faults.go
+++ b/standin/engine/faults.go
@@ -82,7 +82,7 @@
 	defer engine.mu.Unlock()
 	defer engine.notifyLoop()
 	faults := engine.faults
-	if !host.Update(writer, request, &faults) {
+	if !host.DecodeJSON(writer, request, &faults) {
 		return
 	}
 	if faults.StallMs > 0 {
@@ -91,13 +91,13 @@
 	}
 	engine.faults = faults
 	engine.nextStep = time.Time{}
-	host.Answer(writer, http.StatusOK, faults)
+	host.WriteJSON(writer, http.StatusOK, faults)
 }
 
 func (engine *Engine) getFaults(writer http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
-	host.Answer(writer, http.StatusOK, engine.faults)
+	host.WriteJSON(writer, http.StatusOK, engine.faults)
 }
 
 // hangIfDead wraps a handler. While the Dead fault is set, it blocks until the client disconnects
@@ -108,8 +108,8 @@
 		dead := engine.faults.Dead
 		engine.mu.Unlock()
 		if dead {
-			engine.host.Hang(request.Context())
-			host.Cut(writer)
+			engine.host.WaitUntilDone(request.Context())
+			host.CloseConnection(writer)
 			return
 		}
 		next(writer, request, params)
--- a/standin/engine/options.go
+++ b/standin/engine/options.go
@@ -75,13 +75,13 @@
 }
 
 // WithQueueBound sets the maximum number of queued sequences that have not started.
-func WithQueueBound(sequences int) Option {
+func WithMaxQueued(sequences int) Option {
 	return func(options *options) { options.maxQueued = sequences }
 }
 
 // WithTokenTime sets the time between tokens of a sequence that runs alone, and the time that each
 // additional running sequence adds to it.
-func WithTokenTime(base, slope time.Duration) Option {
+func WithTokenInterval(base, slope time.Duration) Option {
 	return func(options *options) { options.tokenInterval, options.tokenIntervalSlope = base, slope }
 }
 
@@ -91,7 +91,7 @@
 }
 
 // WithCacheBlocks sets the capacity of the prefix cache in blocks of 16 tokens.
-func WithCacheBlocks(blocks int) Option {
+func WithPrefixCacheBlocks(blocks int) Option {
 	return func(options *options) { options.cacheBlocks = blocks }
 }
 
--- a/standin/engine/routes.go
+++ b/standin/engine/routes.go
@@ -72,7 +72,7 @@
 	load := engine.loadHistory.Get(now)
 	engine.mu.Unlock()
 	load.AtMs = now.Add(-engine.options.loadLag).UnixMilli()
-	host.Answer(writer, http.StatusOK, load)
+	host.WriteJSON(writer, http.StatusOK, load)
 }
 
 func (engine *Engine) getHealth(writer http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
@@ -80,10 +80,10 @@
 	leaving := engine.leaving
 	engine.mu.Unlock()
 	if leaving {
-		host.Fail(writer, http.StatusServiceUnavailable, string(KindLeaving), "the engine is leaving")
+		host.WriteError(writer, http.StatusServiceUnavailable, string(KindLeaving), "the engine is leaving")
 		return
 	}
-	host.Answer(writer, http.StatusOK, struct{}{})
+	host.WriteJSON(writer, http.StatusOK, struct{}{})
 }
 
 func (engine *Engine) postLeave(writer http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
@@ -91,15 +91,15 @@
 	engine.leaving = true
 	engine.publishLoadLocked(time.Now())
 	engine.mu.Unlock()
-	host.Answer(writer, http.StatusOK, struct{}{})
+	host.WriteJSON(writer, http.StatusOK, struct{}{})
 }
 
 func (engine *Engine) postCancel(writer http.ResponseWriter, request *http.Request, _ httprouter.Params) {
 	var body cancelRequest
-	if !host.Update(writer, request, &body) {
+	if !host.DecodeJSON(writer, request, &body) {
 		return
 	}
-	host.Answer(writer, http.StatusOK, engine.cancel(body.AttemptID))
+	host.WriteJSON(writer, http.StatusOK, engine.cancel(body.AttemptID))
 }
 
 func (engine *Engine) listModels(writer http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
@@ -110,7 +110,7 @@
 	for _, model := range models {
 		list.Data = append(list.Data, modelItem{ID: model, Object: "model"})
 	}
-	host.Answer(writer, http.StatusOK, list)
+	host.WriteJSON(writer, http.StatusOK, list)
 }
 
 func (engine *Engine) getRuns(writer http.ResponseWriter, request *http.Request, _ httprouter.Params) {
@@ -123,5 +123,5 @@
 		runs.Attempts = append(runs.Attempts, *record)
 	}
 	engine.mu.Unlock()
-	host.Answer(writer, http.StatusOK, runs)
+	host.WriteJSON(writer, http.StatusOK, runs)
 }
--- a/standin/engine/streamer.go
+++ b/standin/engine/streamer.go
@@ -53,11 +53,11 @@
 		}
 		streamer.writePauseEvents(snapshot)
 		if streamer.writeTokens(snapshot.next) {
-			host.Cut(streamer.writer)
+			host.CloseConnection(streamer.writer)
 			return
 		}
 		if snapshot.state == stateCancelled {
-			streamer.writeEvent(host.Failure{Error: host.FailureDetail{
+			streamer.writeEvent(host.ErrorResponse{Error: host.ErrorDetail{
 				Message: "the attempt was cancelled", Type: string(KindCancelled),
 			}})
 			streamer.flush()
--- a/standin/engine/text.go
+++ b/standin/engine/text.go
@@ -23,7 +23,7 @@
 }
 
 // Answer returns the concatenated tokens [first, end) of the response of the model to the prompt.
-func Answer(model, prompt string, first, end int) string {
+func ResponseText(model, prompt string, first, end int) string {
 	return newResponseText(model, prompt).join(first, end)
 }
 
--- a/standin/internal/host/announcement.go
+++ b/standin/internal/host/announcement.go
@@ -26,7 +26,7 @@
 }
 
 // Write sets HeaderLimit and HeaderLeaving in a response header.
-func (announcement Announcement) Write(header http.Header) {
+func (announcement Announcement) SetHeaders(header http.Header) {
 	if announcement.LimitPerSecond != "" {
 		header.Set(HeaderLimit, announcement.LimitPerSecond)
 	}
@@ -36,7 +36,7 @@
 }
 
 // WriteRetryAfter sets HeaderRetryAfter in the response header of a refusal, in decimal seconds.
-func (announcement Announcement) WriteRetryAfter(header http.Header) {
+func (announcement Announcement) SetRetryAfter(header http.Header) {
 	backoff := time.Second
 	if announcement.RetryAfterMs > 0 {
 		backoff = time.Duration(announcement.RetryAfterMs) * time.Millisecond
--- a/standin/internal/host/host.go
+++ b/standin/internal/host/host.go
@@ -52,7 +52,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	var tasks conc.WaitGroup
 	tasks.Go(func() {
-		host.Hang(ctx)
+		host.WaitUntilDone(ctx)
 		_ = server.Close()
 	})
 	err := server.Serve(listener)
@@ -65,7 +65,7 @@
 }
 
 // Wait sleeps for the duration. It returns false if ctx is done or the host is closed first.
-func (host *Host) Wait(ctx context.Context, duration time.Duration) bool {
+func (host *Host) Sleep(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
 		return true
 	}
@@ -83,7 +83,7 @@
 
 // Hang blocks until ctx is done or the host is closed. The context of a request is done when its
 // client disconnects.
-func (host *Host) Hang(ctx context.Context) {
+func (host *Host) WaitUntilDone(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 	case <-host.done:
@@ -91,31 +91,31 @@
 }
 
 // Answer writes a response with the status and the value as its JSON body.
-func Answer(writer http.ResponseWriter, status int, value any) {
+func WriteJSON(writer http.ResponseWriter, status int, value any) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
 	_ = json.NewEncoder(writer).Encode(value)
 }
 
 // Failure is the body of an error response, in the form of an OpenAI error.
-type Failure struct {
-	Error FailureDetail `json:"error"`
+type ErrorResponse struct {
+	Error ErrorDetail `json:"error"`
 }
 
 // FailureDetail is the error object in a Failure.
-type FailureDetail struct {
+type ErrorDetail struct {
 	Message string `json:"message"`
 	Type    string `json:"type"`
 }
 
 // Fail writes an error response with the status, whose error type is kind.
-func Fail(writer http.ResponseWriter, status int, kind, message string) {
-	Answer(writer, status, Failure{Error: FailureDetail{Message: message, Type: kind}})
+func WriteError(writer http.ResponseWriter, status int, kind, message string) {
+	WriteJSON(writer, status, ErrorResponse{Error: ErrorDetail{Message: message, Type: kind}})
 }
 
 // Cut closes the TCP connection of a response without completing the response. The caller must
 // flush what the client is to receive. Cut has no effect if the connection cannot be hijacked.
-func Cut(writer http.ResponseWriter) {
+func CloseConnection(writer http.ResponseWriter) {
 	controller := http.NewResponseController(writer)
 	connection, _, err := controller.Hijack()
 	if err != nil {
@@ -127,11 +127,11 @@
 // Update decodes the JSON body of the request into value, a pointer; fields that are absent from
 // the body keep their value. For malformed JSON or an unknown field it responds with status 400 and
 // returns false; value may then be partly updated.
-func Update(writer http.ResponseWriter, request *http.Request, value any) bool {
+func DecodeJSON(writer http.ResponseWriter, request *http.Request, value any) bool {
 	decoder := json.NewDecoder(request.Body)
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(value); err != nil {
-		Fail(writer, http.StatusBadRequest, "invalidBody", err.Error())
+		WriteError(writer, http.StatusBadRequest, "invalidBody", err.Error())
 		return false
 	}
 	return true
--- a/standin/measurer/measurer.go
+++ b/standin/measurer/measurer.go
@@ -9,7 +9,7 @@
 )
 
 // HeapInUse runs a garbage collection and returns the allocated heap memory in bytes.
-func HeapInUse() float64 {
+func HeapAlloc() float64 {
 	var statistics runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&statistics)
@@ -17,7 +17,7 @@
 }
 
 // ProcessorTime returns the CPU time that this process has used, in user and system mode.
-func ProcessorTime() time.Duration {
+func CPUTime() time.Duration {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
--- a/standin/measurer/wire.go
+++ b/standin/measurer/wire.go
@@ -47,7 +47,7 @@
 
 // Count adds the bytes of a message and of its receipt, and one message, to the
 // counts of both nodes. It returns the error of the encoder, if any.
-func (wire *Wire) Count(from, to definer.VM, dataCentre definer.DataCentre, message messenger.Message) error {
+func (wire *Wire) RecordExchange(from, to definer.VM, dataCentre definer.DataCentre, message messenger.Message) error {
 	sender := definer.Member{VM: from, Incarnation: typicalIncarnation}
 	envelope := messenger.Envelope{From: sender, DataCentre: dataCentre, Frames: []messenger.Frame{messenger.Wrap(message)}}
 	sent, err := wire.encodedSize(link{from: from, to: to}, rpc.Request{ServiceMethod: rpcMethod, Seq: typicalSequence}, envelope)
--- a/standin/office/office.go
+++ b/standin/office/office.go
@@ -67,7 +67,7 @@
 }
 
 // Refuse makes every request fail with the HTTP status. A status of 0 ends this.
-func (office *Office) Refuse(status int) {
+func (office *Office) SetErrorStatus(status int) {
 	office.mutex.Lock()
 	defer office.mutex.Unlock()
 	office.errorStatus = status
@@ -75,7 +75,7 @@
 
 // Delay makes subsequent requests get no response and be executed after the delay. A delay of 0
 // ends this.
-func (office *Office) Delay(delay time.Duration) {
+func (office *Office) SetDelay(delay time.Duration) {
 	office.mutex.Lock()
 	defer office.mutex.Unlock()
 	office.delay = delay
@@ -89,7 +89,7 @@
 }
 
 // Breaches returns a description of each violation of mutual exclusion between nodes.
-func (office *Office) Breaches() []string {
+func (office *Office) Violations() []string {
 	office.mutex.Lock()
 	defer office.mutex.Unlock()
 	return append([]string(nil), office.violations...)
--- a/standin/platform/faults.go
+++ b/standin/platform/faults.go
@@ -39,24 +39,24 @@
 	platform.mu.Lock()
 	defer platform.mu.Unlock()
 	faults := platform.faults
-	if !host.Update(writer, request, &faults) {
+	if !host.DecodeJSON(writer, request, &faults) {
 		return
 	}
 	platform.faults = faults
 	platform.notifyWatchersLocked()
-	host.Answer(writer, http.StatusOK, faults)
+	host.WriteJSON(writer, http.StatusOK, faults)
 }
 
 func (platform *Platform) getFaults(writer http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	platform.mu.Lock()
 	defer platform.mu.Unlock()
-	host.Answer(writer, http.StatusOK, platform.faults)
+	host.WriteJSON(writer, http.StatusOK, platform.faults)
 }
 
 func (platform *Platform) getCalls(writer http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	platform.mu.Lock()
 	defer platform.mu.Unlock()
-	host.Answer(writer, http.StatusOK, platform.calls)
+	host.WriteJSON(writer, http.StatusOK, platform.calls)
 }
 
 func (platform *Platform) currentFaults() Faults {
@@ -102,11 +102,11 @@
 		return false
 	}
 	if faults.OutageHang {
-		platform.host.Hang(request.Context())
-		host.Cut(writer)
+		platform.host.WaitUntilDone(request.Context())
+		host.CloseConnection(writer)
 		return true
 	}
-	host.Fail(writer, http.StatusServiceUnavailable, "outage", "the platform is away")
+	host.WriteError(writer, http.StatusServiceUnavailable, "outage", "the platform is away")
 	return true
 }
 
@@ -114,5 +114,5 @@
 // closed. A write takes effect even if its client has disconnected.
 func (platform *Platform) delayRequest(request *http.Request) {
 	duration := time.Duration(platform.currentFaults().SlowMs) * time.Millisecond
-	platform.host.Wait(request.Context(), duration)
+	platform.host.Sleep(request.Context(), duration)
 }
--- a/standin/platform/objects.go
+++ b/standin/platform/objects.go
@@ -24,10 +24,10 @@
 	object, found := platform.store.get(objectKeyOf(params))
 	platform.mu.Unlock()
 	if !found {
-		host.Fail(writer, http.StatusNotFound, string(KindNotFound), "no such object")
+		host.WriteError(writer, http.StatusNotFound, string(KindNotFound), "no such object")
 		return
 	}
-	host.Answer(writer, http.StatusOK, object)
+	host.WriteJSON(writer, http.StatusOK, object)
 }
 
 func (platform *Platform) listObjects(writer http.ResponseWriter, request *http.Request, params httprouter.Params) {
@@ -35,18 +35,18 @@
 	platform.mu.Lock()
 	items := platform.store.list(params.ByName("kind"))
 	platform.mu.Unlock()
-	host.Answer(writer, http.StatusOK, items)
+	host.WriteJSON(writer, http.StatusOK, items)
 }
 
 func (platform *Platform) putObject(writer http.ResponseWriter, request *http.Request, params httprouter.Params) {
 	value, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, maxValueBytes))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		host.Fail(writer, http.StatusRequestEntityTooLarge, "tooLarge", "a value has at most 1 MiB")
+		host.WriteError(writer, http.StatusRequestEntityTooLarge, "tooLarge", "a value has at most 1 MiB")
 		return
 	}
 	if err != nil || !json.Valid(value) {
-		host.Fail(writer, http.StatusBadRequest, "invalidBody", "the value is not JSON")
+		host.WriteError(writer, http.StatusBadRequest, "invalidBody", "the value is not JSON")
 		return
 	}
 	key := objectKeyOf(params)
@@ -68,14 +68,14 @@
 ) {
 	condition, err := parseCondition(request.Header)
 	if err != nil {
-		host.Fail(writer, http.StatusBadRequest, "invalidCondition", err.Error())
+		host.WriteError(writer, http.StatusBadRequest, "invalidCondition", err.Error())
 		return
 	}
 	platform.delayRequest(request)
 	platform.mu.Lock()
 	if platform.takeFailedWriteLocked() {
 		platform.mu.Unlock()
-		host.Fail(writer, http.StatusInternalServerError, "failed", "the write had no effect")
+		host.WriteError(writer, http.StatusInternalServerError, "failed", "the write had no effect")
 		return
 	}
 	object, err := change(condition)
@@ -86,7 +86,7 @@
 	}
 	platform.mu.Unlock()
 	if lost {
-		host.Cut(writer)
+		host.CloseConnection(writer)
 		return
 	}
 	respondToWrite(writer, object, err)
@@ -101,14 +101,14 @@
 func respondToWrite(writer http.ResponseWriter, object Object, err error) {
 	var rejection *Error
 	if !errors.As(err, &rejection) {
-		host.Answer(writer, http.StatusOK, object)
+		host.WriteJSON(writer, http.StatusOK, object)
 		return
 	}
 	if object.Version == 0 {
-		host.Answer(writer, rejection.status(), missingObject{})
+		host.WriteJSON(writer, rejection.status(), missingObject{})
 		return
 	}
-	host.Answer(writer, rejection.status(), object)
+	host.WriteJSON(writer, rejection.status(), object)
 }
 
 // parseCondition returns the condition in If-None-Match or If-Match. It returns an error if the
@@ -135,7 +135,7 @@
 	query := request.URL.Query()
 	since, err := strconv.ParseInt(query.Get("since"), 10, 64)
 	if err != nil {
-		host.Fail(writer, http.StatusBadRequest, "invalidSince", err.Error())
+		host.WriteError(writer, http.StatusBadRequest, "invalidSince", err.Error())
 		return
 	}
 	platform.delayRequest(request)
@@ -152,11 +152,11 @@
 		platform.mu.Unlock()
 		var rejection *Error
 		if errors.As(err, &rejection) {
-			host.Fail(writer, rejection.status(), string(rejection.Kind), "the history does not reach back so far")
+			host.WriteError(writer, rejection.status(), string(rejection.Kind), "the history does not reach back so far")
 			return
 		}
 		if expired || len(items.Items) > 0 {
-			host.Answer(writer, http.StatusOK, items)
+			host.WriteJSON(writer, http.StatusOK, items)
 			return
 		}
 		select {
@@ -166,7 +166,7 @@
 		case <-request.Context().Done():
 			return
 		case <-platform.host.Done():
-			host.Cut(writer)
+			host.CloseConnection(writer)
 			return
 		}
 	}
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -69,7 +69,7 @@
 }
 
 // WithHistory sets the number of changes that are retained for watches.
-func WithHistory(changes int) Option {
+func WithHistoryLimit(changes int) Option {
 	return func(platform *Platform) { platform.historyLimit = changes }
 }
 
--- a/standin/platform/platform_test.go
+++ b/standin/platform/platform_test.go
@@ -63,7 +63,7 @@
 }
 
 func TestCallsInOrder(t *testing.T) {
-	client := start(t, platform.WithHistory(4))
+	client := start(t, platform.WithHistoryLimit(4))
 	notFound := `{"error":{"message":"no such object","type":"notFound"}}`
 	steps := []struct {
 		method, path, body, header, value string
--- a/standin/platform/routes.go
+++ b/standin/platform/routes.go
@@ -36,7 +36,7 @@
 }
 
 func health(writer http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
-	host.Answer(writer, http.StatusOK, struct{}{})
+	host.WriteJSON(writer, http.StatusOK, struct{}{})
 }
 
 // authorised checks the bearer token. Administrative endpoints for tests have no further checks.
@@ -45,7 +45,7 @@
 	return func(writer http.ResponseWriter, request *http.Request, params httprouter.Params) {
 		given := []byte(request.Header.Get("Authorization"))
 		if platform.token != "" && subtle.ConstantTimeCompare(given, want) != 1 {
-			host.Fail(writer, http.StatusUnauthorized, "unauthorised", "wrong or missing token")
+			host.WriteError(writer, http.StatusUnauthorized, "unauthorised", "wrong or missing token")
 			return
 		}
 		next(writer, request, params)
@@ -61,7 +61,7 @@
 		}
 		if !allowed {
 			writer.Header().Set("Retry-After", retryAfterSeconds)
-			host.Fail(writer, http.StatusTooManyRequests, "rateLimited", "too many calls a second")
+			host.WriteError(writer, http.StatusTooManyRequests, "rateLimited", "too many calls a second")
 			return
 		}
 		next(writer, request, params)
--- a/standin/platform/vms.go
+++ b/standin/platform/vms.go
@@ -32,12 +32,12 @@
 	platform.mu.Lock()
 	list := platform.vmList.Get(platform.now())
 	platform.mu.Unlock()
-	host.Answer(writer, http.StatusOK, list)
+	host.WriteJSON(writer, http.StatusOK, list)
 }
 
 func (platform *Platform) putVM(writer http.ResponseWriter, request *http.Request, params httprouter.Params) {
 	var vm VM
-	if !host.Update(writer, request, &vm) {
+	if !host.DecodeJSON(writer, request, &vm) {
 		return
 	}
 	vm.Name = params.ByName("name")
@@ -45,7 +45,7 @@
 	defer platform.mu.Unlock()
 	platform.vms[vm.Name] = vm
 	platform.publishLocked()
-	host.Answer(writer, http.StatusOK, vm)
+	host.WriteJSON(writer, http.StatusOK, vm)
 }
 
 func (platform *Platform) deleteVM(writer http.ResponseWriter, _ *http.Request, params httprouter.Params) {
@@ -53,7 +53,7 @@
 	defer platform.mu.Unlock()
 	delete(platform.vms, params.ByName("name"))
 	platform.publishLocked()
-	host.Answer(writer, http.StatusOK, struct{}{})
+	host.WriteJSON(writer, http.StatusOK, struct{}{})
 }
 
 // publishLocked records a snapshot of the current VMs, which becomes visible after the delay.
--- a/standin/process/process.go
+++ b/standin/process/process.go
@@ -71,16 +71,16 @@
 }
 
 // Freeze suspends the process with SIGSTOP until Thaw is called.
-func (process *Process) Freeze() { process.signal(syscall.SIGSTOP) }
+func (process *Process) Suspend() { process.signal(syscall.SIGSTOP) }
 
 // Thaw resumes a suspended process with SIGCONT.
-func (process *Process) Thaw() { process.signal(syscall.SIGCONT) }
+func (process *Process) Resume() { process.signal(syscall.SIGCONT) }
 
 // Stop sends SIGTERM to the process, as a planned stop does, and does not wait for it to exit.
-func (process *Process) Stop() { process.signal(syscall.SIGTERM) }
+func (process *Process) Terminate() { process.signal(syscall.SIGTERM) }
 
 // Over returns a channel that is closed once the process has exited.
-func (process *Process) Over() <-chan struct{} { return process.exited }
+func (process *Process) Exited() <-chan struct{} { return process.exited }
 
 // ExitCode waits until the process has exited and returns its exit code, which is -1 if a signal
 // terminated it. If the context ends first, it returns an error of kind Unfinished.
@@ -95,19 +95,19 @@
 
 // Text returns the content of the log file: the output of the process and of all others that share
 // the file.
-func (process *Process) Text() (string, error) {
+func (process *Process) Output() (string, error) {
 	data, err := os.ReadFile(process.logPath)
 	return string(data), err
 }
 
 // Listening waits until a stand-in reports its listen address in the log file and returns the
 // address. If the process exits or the context ends first, it returns an error of kind Unfinished.
-func (process *Process) Listening(ctx context.Context) (string, error) {
+func (process *Process) ListenAddress(ctx context.Context) (string, error) {
 	for {
 		// The exit is checked before the log is read, so that the log of an exited process is
 		// complete.
 		exited := process.hasExited()
-		text, err := process.Text()
+		text, err := process.Output()
 		if err != nil {
 			return "", failer.New("process.Listening", Unfinished, "%w", err)
 		}
--- a/standin/process/process_test.go
+++ b/standin/process/process_test.go
@@ -21,11 +21,11 @@
 	}{
 		{"ends", announce + "exit 3", func(*process.Process) {}, 3, true},
 		{"killed", announce + "exec sleep 600", (*process.Process).Kill, -1, true},
-		{"stopped", announce + "exec sleep 600", (*process.Process).Stop, -1, true},
+		{"stopped", announce + "exec sleep 600", (*process.Process).Terminate, -1, true},
 		{"frozen and thawed", announce + "exec sleep 600", func(child *process.Process) {
-			child.Freeze()
-			child.Stop()
-			child.Thaw()
+			child.Suspend()
+			child.Terminate()
+			child.Resume()
 		}, -1, true},
 		{"says nothing", "exit 0", func(*process.Process) {}, 0, false},
 	}
@@ -36,14 +36,14 @@
 			child, err := process.Start(filepath.Join(t.TempDir(), "log"), "/bin/sh", "-c", test.script)
 			assert.NilError(t, err)
 			defer child.Kill()
-			address, err := child.Listening(ctx)
+			address, err := child.ListenAddress(ctx)
 			assert.Equal(t, err == nil, test.listens, "%v", err)
 			assert.Equal(t, address == "127.0.0.1:7", test.listens, address)
 			test.end(child)
 			code, err := child.ExitCode(ctx)
 			assert.NilError(t, err)
 			assert.Equal(t, code, test.code)
-			<-child.Over()
+			<-child.Exited()
 		})
 	}
 	_, err := process.Start(filepath.Join(t.TempDir(), "log"), "/nonexistent")
--- a/standin/relay/connection.go
+++ b/standin/relay/connection.go
@@ -32,8 +32,8 @@
 	}
 	connection := &connection{relay: relay, peerConn: peerConn, targetConn: targetConn}
 	var backward conc.WaitGroup
-	backward.Go(func() { connection.copy(Backward) })
-	connection.copy(Forward)
+	backward.Go(func() { connection.copy(ToPeer) })
+	connection.copy(ToTarget)
 	backward.Wait()
 }
 
@@ -41,8 +41,8 @@
 func (relay *Relay) register(conn net.Conn) bool {
 	relay.mutex.Lock()
 	defer relay.mutex.Unlock()
-	relay.connections[conn] = Everyone
-	return !relay.stopped && relay.modes[Everyone] != Cutting
+	relay.connections[conn] = AllPeers
+	return !relay.stopped && relay.modes[AllPeers] != Disconnecting
 }
 
 func (relay *Relay) closeConn(conn net.Conn) {
@@ -56,7 +56,7 @@
 // ends, which also ends the copy in the other direction.
 func (connection *connection) copy(direction Direction) {
 	from, to := connection.peerConn, connection.targetConn
-	if direction == Backward {
+	if direction == ToPeer {
 		from, to = to, from
 	}
 	defer func() {
@@ -69,7 +69,7 @@
 		if err != nil {
 			return
 		}
-		if direction == Forward {
+		if direction == ToTarget {
 			connection.inspect(buffer[:count])
 		}
 		if !connection.awaitForwarding(direction) {
@@ -91,7 +91,7 @@
 	}
 	relay.mutex.Lock()
 	defer relay.mutex.Unlock()
-	if relay.connections[connection.peerConn] != Everyone {
+	if relay.connections[connection.peerConn] != AllPeers {
 		return
 	}
 	// The sender's name precedes all other names, which may follow in its messages.
@@ -115,9 +115,9 @@
 	for {
 		mode := relay.effectiveMode(connection.peerConn)
 		switch {
-		case relay.stopped || mode == Cutting:
+		case relay.stopped || mode == Disconnecting:
 			return false
-		case mode == Passing || mode == Muting && direction == Forward:
+		case mode == Forwarding || mode == StallingReturn && direction == ToTarget:
 			return true
 		}
 		relay.awaitModeChange()
@@ -126,7 +126,7 @@
 
 // effectiveMode returns the current mode of a connection; the caller holds the mutex.
 func (relay *Relay) effectiveMode(peerConn net.Conn) Mode {
-	if mode := relay.modes[Everyone]; mode != Passing {
+	if mode := relay.modes[AllPeers]; mode != Forwarding {
 		return mode
 	}
 	return relay.modes[relay.connections[peerConn]]
--- a/standin/relay/relay.go
+++ b/standin/relay/relay.go
@@ -17,21 +17,21 @@
 )
 
 // Everyone selects all peers of a relay, including unidentified ones.
-const Everyone = ""
+const AllPeers = ""
 
 // Mode is how a relay handles a peer's connections.
 type Mode int
 
 const (
 	// Passing forwards in both directions.
-	Passing Mode = iota
+	Forwarding Mode = iota
 	// Cutting closes open connections, and new ones once the peer is identified. For Everyone it
 	// closes new ones as soon as they are accepted.
-	Cutting
+	Disconnecting
 	// Stalling keeps connections open and forwards nothing in either direction.
 	Stalling
 	// Muting forwards what the peer sends and nothing in return.
-	Muting
+	StallingReturn
 )
 
 // Direction is a direction of traffic through a relay.
@@ -39,9 +39,9 @@
 
 const (
 	// Forward is from the peer to the target.
-	Forward Direction = iota
+	ToTarget Direction = iota
 	// Backward is from the target to the peer.
-	Backward
+	ToPeer
 	directionCount
 )
 
@@ -49,7 +49,7 @@
 type Kind string
 
 // Accepting marks a failure of the listener to accept connections.
-const Accepting Kind = "accepting"
+const AcceptFailed Kind = "accepting"
 
 // Error is the one error type of this package.
 type Error = failer.Error[Kind]
@@ -96,7 +96,7 @@
 }
 
 // WithCounted counts the requests that begin with the prefix, such as "POST /v1/".
-func WithCounted(prefix string) Option {
+func WithCountedPrefix(prefix string) Option {
 	return func(relay *Relay) { relay.countedPrefix = []byte(prefix) }
 }
 
@@ -116,31 +116,31 @@
 
 // Set changes the mode of one peer, or of Everyone. A mode of Everyone other than Passing overrides
 // the modes of single peers. Cutting closes the connections that are open.
-func (relay *Relay) Set(peer string, mode Mode) {
+func (relay *Relay) SetMode(peer string, mode Mode) {
 	relay.mutex.Lock()
 	defer relay.mutex.Unlock()
 	relay.modes[peer] = mode
-	if mode == Cutting {
+	if mode == Disconnecting {
 		relay.closeConnections(peer)
 	}
 	relay.notifyModeChange()
 }
 
 // Holds reports whether bytes wait to be forwarded in the direction.
-func (relay *Relay) Holds(direction Direction) bool {
+func (relay *Relay) Holding(direction Direction) bool {
 	relay.mutex.Lock()
 	defer relay.mutex.Unlock()
 	return relay.heldReads[direction] > 0
 }
 
 // Bytes returns the number of bytes forwarded in the direction.
-func (relay *Relay) Bytes(direction Direction) int64 {
+func (relay *Relay) ForwardedBytes(direction Direction) int64 {
 	return relay.forwardedBytes[direction].Load()
 }
 
 // Counted returns the number of requests received that begin with the prefix of WithCounted,
 // including requests that were not forwarded.
-func (relay *Relay) Counted() int {
+func (relay *Relay) CountedRequests() int {
 	return int(relay.countedRequests.Load())
 }
 
@@ -178,7 +178,7 @@
 			return nil
 		}
 		if err != nil {
-			return failer.New("relay.Serve", Accepting, "%w", err)
+			return failer.New("relay.Serve", AcceptFailed, "%w", err)
 		}
 		workers.Go(func() { relay.forward(ctx, peerConn) })
 	}
@@ -188,14 +188,14 @@
 	relay.mutex.Lock()
 	defer relay.mutex.Unlock()
 	relay.stopped = true
-	relay.closeConnections(Everyone)
+	relay.closeConnections(AllPeers)
 	relay.notifyModeChange()
 }
 
 // closeConnections closes the connections of a peer; the caller holds the mutex.
 func (relay *Relay) closeConnections(peer string) {
 	for conn, owner := range relay.connections {
-		if peer == Everyone || peer == owner {
+		if peer == AllPeers || peer == owner {
 			_ = conn.Close()
 		}
 	}
--- a/standin/relay/relay_test.go
+++ b/standin/relay/relay_test.go
@@ -32,7 +32,7 @@
 	t.Helper()
 	target, err := net.Listen("tcp", runner.Loopback)
 	assert.NilError(t, err)
-	relay := relay.New(relay.WithTarget(target.Addr().String()), relay.WithPeers("anna", "boris"), relay.WithCounted("anna asks"))
+	relay := relay.New(relay.WithTarget(target.Addr().String()), relay.WithPeers("anna", "boris"), relay.WithCountedPrefix("anna asks"))
 	running, err := runner.Start(t.Context(), relay, runner.Loopback)
 	assert.NilError(t, err)
 	t.Cleanup(func() {
@@ -87,7 +87,7 @@
 }
 
 func (fixture *fixture) awaitHeldRead(direction relay.Direction) {
-	for began := time.Now(); !fixture.Holds(direction); {
+	for began := time.Now(); !fixture.Holding(direction); {
 		assert.Assert(fixture.t, time.Since(began) < testTimeout)
 	}
 }
@@ -102,9 +102,9 @@
 	assert.NilError(t, near.Close())
 	far.expectClosed()
 	assert.NilError(t, fixture.Stop())
-	assert.Equal(t, fixture.Counted(), 1)
-	assert.Equal(t, fixture.Bytes(relay.Forward), int64(len("anna asksanna tells")))
-	assert.Equal(t, fixture.Bytes(relay.Backward), int64(len("an answer")))
+	assert.Equal(t, fixture.CountedRequests(), 1)
+	assert.Equal(t, fixture.ForwardedBytes(relay.ToTarget), int64(len("anna asksanna tells")))
+	assert.Equal(t, fixture.ForwardedBytes(relay.ToPeer), int64(len("an answer")))
 }
 
 func TestHoldingBack(t *testing.T) {
@@ -113,18 +113,18 @@
 		mode       relay.Mode
 		held       relay.Direction
 	}{
-		{"stalling one", "anna", relay.Stalling, relay.Forward},
-		{"muting one", "anna", relay.Muting, relay.Backward},
-		{"stalling everyone", relay.Everyone, relay.Stalling, relay.Forward},
-		{"muting everyone", relay.Everyone, relay.Muting, relay.Backward},
+		{"stalling one", "anna", relay.Stalling, relay.ToTarget},
+		{"muting one", "anna", relay.StallingReturn, relay.ToPeer},
+		{"stalling everyone", relay.AllPeers, relay.Stalling, relay.ToTarget},
+		{"muting everyone", relay.AllPeers, relay.StallingReturn, relay.ToPeer},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			fixture := start(t)
 			near, far := fixture.dial("anna, not boris")
 			other, behind := fixture.dial("boris, not anna")
-			fixture.Set(test.peer, test.mode)
-			if test.held == relay.Backward {
+			fixture.SetMode(test.peer, test.mode)
+			if test.held == relay.ToPeer {
 				near.send("still passes")
 				far.expect("still passes")
 				near, far = far, near
@@ -135,31 +135,31 @@
 			_, err := far.Read(make([]byte, 1))
 			assert.Assert(t, errors.Is(err, os.ErrDeadlineExceeded), "%v", err)
 			assert.NilError(t, far.SetReadDeadline(time.Now().Add(testTimeout)))
-			if test.peer != relay.Everyone {
+			if test.peer != relay.AllPeers {
 				behind.send("of another")
 				other.expect("of another")
 			}
-			fixture.Set(test.peer, relay.Passing)
+			fixture.SetMode(test.peer, relay.Forwarding)
 			far.expect("held")
 		})
 	}
 }
 
 func TestCutting(t *testing.T) {
-	for _, peer := range []string{"anna", relay.Everyone} {
+	for _, peer := range []string{"anna", relay.AllPeers} {
 		fixture := start(t)
 		near, far := fixture.dial("anna")
 		other, behind := fixture.dial("boris")
-		fixture.Set(peer, relay.Cutting)
+		fixture.SetMode(peer, relay.Disconnecting)
 		near.expectClosed()
 		far.expectClosed()
-		if peer == relay.Everyone {
+		if peer == relay.AllPeers {
 			other.expectClosed()
 		} else {
 			other.send("of another")
 			behind.expect("of another")
 		}
-		fixture.Set(peer, relay.Passing)
+		fixture.SetMode(peer, relay.Forwarding)
 		fixture.dial("anna again")
 	}
 }
@@ -167,9 +167,9 @@
 func TestCloseEndsWhatIsHeld(t *testing.T) {
 	fixture := start(t)
 	near, far := fixture.dial("anna")
-	fixture.Set(relay.Everyone, relay.Stalling)
+	fixture.SetMode(relay.AllPeers, relay.Stalling)
 	near.send("held")
-	fixture.awaitHeldRead(relay.Forward)
+	fixture.awaitHeldRead(relay.ToTarget)
 	assert.NilError(t, fixture.Stop())
 	near.expectClosed()
 	far.expectClosed()
--- a/standin/service/call.go
+++ b/standin/service/call.go
@@ -40,7 +40,7 @@
 	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, maxBodyBytes))
 	if err != nil {
 		writer.Header().Set(HeaderNotRun, "1")
-		host.Fail(writer, http.StatusRequestEntityTooLarge, "invalidBody", err.Error())
+		host.WriteError(writer, http.StatusRequestEntityTooLarge, "invalidBody", err.Error())
 		return
 	}
 	if service.hangIfDead(writer, request) {
@@ -55,14 +55,14 @@
 	}
 	runs, faults, accepted := service.startRun(run)
 	announcement := service.currentAnnouncement()
-	announcement.Write(writer.Header())
+	announcement.SetHeaders(writer.Header())
 	if !accepted {
 		writeRefusal(writer, run.AttemptID, announcement)
 		return
 	}
 	service.simulateRun(request, run.Path, faults)
 	if faults.failAfter {
-		host.Cut(writer)
+		host.CloseConnection(writer)
 		return
 	}
 	digest := sha256.Sum256(body)
@@ -92,11 +92,11 @@
 // simulateRun waits for the duration of a run. The run stays recorded if its
 // client disconnects meanwhile.
 func (service *Service) simulateRun(request *http.Request, path string, faults runFaults) {
-	service.host.Wait(request.Context(), service.pathLatency(path)+faults.addedLatency)
+	service.host.Sleep(request.Context(), service.pathLatency(path)+faults.addedLatency)
 	service.mu.Lock()
 	stall := time.Until(service.stalledUntil)
 	service.mu.Unlock()
-	service.host.Wait(request.Context(), stall)
+	service.host.Sleep(request.Context(), stall)
 	service.mu.Lock()
 	service.activeRuns--
 	service.mu.Unlock()
@@ -113,11 +113,11 @@
 func writeRefusal(writer http.ResponseWriter, attemptID string, announcement host.Announcement) {
 	header := writer.Header()
 	header.Set(HeaderNotRun, "1")
-	announcement.WriteRetryAfter(header)
+	announcement.SetRetryAfter(header)
 	if attemptID != "" {
 		header.Set(HeaderAttemptID, attemptID)
 	}
-	host.Fail(writer, http.StatusServiceUnavailable, "notRun", "refused without running")
+	host.WriteError(writer, http.StatusServiceUnavailable, "notRun", "refused without running")
 }
 
 // writeAnswer writes the answer. If the body is to be cut, it writes the first
@@ -125,7 +125,7 @@
 func writeAnswer(writer http.ResponseWriter, answer Answer, faults runFaults) {
 	encoded, err := json.Marshal(answer)
 	if err != nil {
-		host.Fail(writer, http.StatusInternalServerError, "encoding", err.Error())
+		host.WriteError(writer, http.StatusInternalServerError, "encoding", err.Error())
 		return
 	}
 	header := writer.Header()
@@ -140,5 +140,5 @@
 	}
 	_, _ = writer.Write(encoded[:min(faults.cutAfterBytes, len(encoded))])
 	_ = http.NewResponseController(writer).Flush()
-	host.Cut(writer)
+	host.CloseConnection(writer)
 }
--- a/standin/service/faults.go
+++ b/standin/service/faults.go
@@ -79,7 +79,7 @@
 	if service.hangIfDead(writer, request) {
 		return
 	}
-	host.Answer(writer, http.StatusOK, struct{}{})
+	host.WriteJSON(writer, http.StatusOK, struct{}{})
 }
 
 func (service *Service) getRuns(writer http.ResponseWriter, request *http.Request, _ httprouter.Params) {
@@ -87,20 +87,20 @@
 	service.mu.Lock()
 	runs := service.runs.find(query.Get("attemptId"), query.Get("key"))
 	service.mu.Unlock()
-	host.Answer(writer, http.StatusOK, runs)
+	host.WriteJSON(writer, http.StatusOK, runs)
 }
 
 func (service *Service) getFaults(writer http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	service.mu.Lock()
 	defer service.mu.Unlock()
-	host.Answer(writer, http.StatusOK, service.faults)
+	host.WriteJSON(writer, http.StatusOK, service.faults)
 }
 
 func (service *Service) setFaults(writer http.ResponseWriter, request *http.Request, _ httprouter.Params) {
 	service.mu.Lock()
 	defer service.mu.Unlock()
 	faults := service.faults
-	if !host.Update(writer, request, &faults) {
+	if !host.DecodeJSON(writer, request, &faults) {
 		return
 	}
 	if faults.CutAfterBytes > 0 && faults.CutCount == 0 {
@@ -111,7 +111,7 @@
 		faults.StallMs = 0
 	}
 	service.faults = faults
-	host.Answer(writer, http.StatusOK, faults)
+	host.WriteJSON(writer, http.StatusOK, faults)
 }
 
 // hangIfDead reports whether the Dead fault is set. If so, it first blocks until
@@ -123,7 +123,7 @@
 	if !dead {
 		return false
 	}
-	service.host.Hang(request.Context())
-	host.Cut(writer)
+	service.host.WaitUntilDone(request.Context())
+	host.CloseConnection(writer)
 	return true
 }
--- a/standin/store/link.go
+++ b/standin/store/link.go
@@ -30,7 +30,7 @@
 func NewLink(bytesPerSecond int64) *Link { return &Link{bytesPerSecond: bytesPerSecond} }
 
 // Delay sets the delay before the status line of each subsequent response.
-func (link *Link) Delay(delay time.Duration) {
+func (link *Link) SetDelay(delay time.Duration) {
 	link.mutex.Lock()
 	defer link.mutex.Unlock()
 	link.delay = delay
@@ -44,7 +44,7 @@
 }
 
 // Over returns the handler with its responses sent over the link.
-func (link *Link) Over(handler http.Handler) http.Handler {
+func (link *Link) Wrap(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		handler.ServeHTTP(&linkWriter{ResponseWriter: writer, ctx: request.Context(), link: link}, request)
 	})
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -66,7 +66,7 @@
 type Option func(*Store)
 
 // WithPage sets the maximum number of objects in the response to a list.
-func WithPage(objects int) Option { return func(store *Store) { store.pageSize = objects } }
+func WithPageSize(objects int) Option { return func(store *Store) { store.pageSize = objects } }
 
 // New returns an empty store.
 func New(options ...Option) *Store {
@@ -99,7 +99,7 @@
 
 // Refuse makes every request fail with the HTTP status, pending watches included. A status of 0
 // ends this.
-func (store *Store) Refuse(status int) {
+func (store *Store) SetErrorStatus(status int) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.errorStatus = status
--- a/throttler/world_test.go
+++ b/throttler/world_test.go
@@ -327,5 +327,5 @@
 			counted = append(counted, send.at)
 		}
 	}
-	return measurer.Busiest(counted, window), all
+	return measurer.MaxInWindow(counted, window), all
 }
--- a/watcher/watcher_test.go
+++ b/watcher/watcher_test.go
@@ -111,7 +111,7 @@
 }
 
 func (fixture *fixture) faults(body string) {
-	assert.NilError(fixture.t, controller.New(fixture.address).Faults(context.Background(), json.RawMessage(body)))
+	assert.NilError(fixture.t, controller.New(fixture.address).SetFaults(context.Background(), json.RawMessage(body)))
 }
 
 func (fixture *fixture) edit(rules int) uint64 {
@@ -199,7 +199,7 @@
 // TestFindsChangesAfterTheHistoryWasCut checks that an edit is found although the
 // platform's history, of 2 changes here, no longer covers the revision of the watch.
 func TestFindsChangesAfterTheHistoryWasCut(t *testing.T) {
-	fixture := start(t, newPlatform(platform.WithHistory(2)))
+	fixture := start(t, newPlatform(platform.WithHistoryLimit(2)))
 	fixture.watcher.SetWatching(true)
 	fixture.edit(1)
 	await[decider.ConfigurationFound](fixture)
