--- a/commander/secure.go
+++ b/commander/secure.go
@@ -10,8 +10,8 @@
 	"limpetcleat/loader"
 )
 
-// InnerName is the DNS name that the certificate of every node must contain. All nodes share one
-// name, since nodes are replaced at any time and connect by IP address.
+// NodeServerName is the DNS name that the certificate of every node must contain. All nodes share
+// one name, since nodes are replaced at any time and connect by IP address.
 const NodeServerName = "limpetcleat-inner"
 
 // innerTLS returns the server's and the client's configuration for mutual TLS between nodes, or nil
--- a/generator/report.go
+++ b/generator/report.go
@@ -6,7 +6,7 @@
 // JSON codec.
 type Report struct {
 	ElapsedMs float64 `json:"tookMs"`
-	// GoodputTokens is the number of tokens in complete answers, per second.
+	// GoodputTokensPerSecond is the number of tokens in complete answers, per second.
 	GoodputTokensPerSecond float64        `json:"goodputTokens"`
 	Streams                []StreamReport `json:"streams"`
 }
@@ -16,8 +16,8 @@
 	*StreamResult
 	// Attainment is the fraction of requests that met their targets.
 	Attainment float64 `json:"attainment"`
-	// GoodputTokens and GoodputAnswers are the tokens and the number of complete answers, per
-	// second.
+	// GoodputTokensPerSecond is the number of tokens in complete answers, per second;
+	// GoodputAnswersPerSecond is the number of complete answers, per second.
 	GoodputTokensPerSecond  float64   `json:"goodputTokens"`
 	GoodputAnswersPerSecond float64   `json:"goodputAnswers"`
 	FirstToken              Quantiles `json:"firstTokenMs"`
--- a/generator/waste.go
+++ b/generator/waste.go
@@ -26,7 +26,7 @@
 	return float64(waste.Discarded) / float64(waste.Computed)
 }
 
-// ReadWaste returns the total waste of the stand-in engines at the addresses. It returns an error
+// TotalWaste returns the total waste of the stand-in engines at the addresses. It returns an error
 // of kind Unreadable if any engine cannot be read.
 func TotalWaste(ctx context.Context, engines []string) (Waste, error) {
 	var total Waste
@@ -41,13 +41,13 @@
 	return total, nil
 }
 
-// Since returns the difference from an earlier reading.
+// Sub returns the difference from an earlier reading.
 func (waste Waste) Sub(earlier Waste) Waste {
 	return Waste{Computed: waste.Computed - earlier.Computed, Discarded: waste.Discarded - earlier.Discarded}
 }
 
-// WasteOf returns the waste of each stand-in engine by address. It omits engines that cannot be
-// read.
+// WasteByEngine returns the waste of each stand-in engine by address. It omits engines that cannot
+// be read.
 func WasteByEngine(ctx context.Context, engines []string) map[string]Waste {
 	wasteByEngine := make(map[string]Waste, len(engines))
 	for _, address := range engines {
--- a/standin/authority/authority.go
+++ b/standin/authority/authority.go
@@ -15,7 +15,7 @@
 	"limpetcleat/failer"
 )
 
-// InnerName is the DNS name in the certificates of all nodes, which peers verify.
+// NodeServerName is the DNS name in the certificates of all nodes, which peers verify.
 const NodeServerName = "limpetcleat-inner"
 
 const (
@@ -89,8 +89,9 @@
 	return pool
 }
 
-// Configs returns the server and client configurations for mutual TLS between nodes, with a
-// certificate for the given DNS name. The client configuration expects peers to have InnerName.
+// TLSConfigs returns the server and client configurations for mutual TLS between nodes, with a
+// certificate for the given DNS name. The client configuration expects peers to have
+// NodeServerName.
 func (authority *Authority) TLSConfigs(dnsName string) (serverConfig, clientConfig *tls.Config, err error) {
 	certificate, err := authority.Issue(dnsName, dnsName)
 	if err != nil {
--- a/standin/authority/files.go
+++ b/standin/authority/files.go
@@ -54,9 +54,9 @@
 	return writePEM(directory, AuthorityFile, certificateBlock, authority.certificate.Raw, certificateFileMode)
 }
 
-// WriteNodes writes the authority's certificate and, for each node, a certificate for InnerName
-// with its key into the directory, which is created if necessary. It returns the paths written,
-// including those before an error in issuing or writing a node's certificate.
+// WriteNodes writes the authority's certificate and, for each node, a certificate for
+// NodeServerName with its key into the directory, which is created if necessary. It returns the
+// paths written, including those before an error in issuing or writing a node's certificate.
 func (authority *Authority) WriteNodes(directory string, nodes ...string) ([]string, error) {
 	if err := os.MkdirAll(directory, directoryMode); err != nil {
 		return nil, writeError(err)
--- a/standin/caller/call.go
+++ b/standin/caller/call.go
@@ -19,13 +19,13 @@
 	Method string
 	// APIKey is the bearer token; none is sent when it is empty.
 	APIKey string
-	// Key is the Idempotency-Key; none is sent when it is empty.
+	// IdempotencyKey is sent in the header Idempotency-Key; none is sent when it is empty.
 	IdempotencyKey string
 	Body           io.Reader
 	// Model and Prompt are set for a completion and determine the answer of a stand-in engine. They
 	// are not sent by themselves; Body contains them.
 	Model, Prompt string
-	// Deadline is sent as X-Request-Timeout-Ms, unless it is zero.
+	// Timeout is sent as X-Request-Timeout-Ms, unless it is zero.
 	Timeout time.Duration
 	Header  map[string]string
 	// Progress, if set, is called after each token of a streamed response with the number of tokens
@@ -49,7 +49,7 @@
 	return Call{Path: "/v1/chat/completions", Body: EncodeJSON(body), Model: model, Prompt: "user: " + prompt + "\n"}
 }
 
-// Encode returns the value as a JSON body, or an empty body if the value cannot be encoded.
+// EncodeJSON returns the value as a JSON body, or an empty body if the value cannot be encoded.
 func EncodeJSON(body any) io.Reader {
 	data, err := json.Marshal(body)
 	if err != nil {
--- a/standin/caller/reply.go
+++ b/standin/caller/reply.go
@@ -27,7 +27,7 @@
 	// stream, otherwise the completion tokens of the reported usage.
 	Text   string
 	Tokens int
-	// Whole is true if the response was received completely: a stream with its last event, any
+	// Complete is true if the response was received completely: a stream with its last event, any
 	// other body as valid JSON of status 200.
 	Complete bool
 	// Failed is true if an error was reported, by the status or within a stream.
@@ -39,12 +39,12 @@
 	Outcome string
 	// Err is why the response is missing or incomplete.
 	Err error
-	// Took is the time from sending the request to the end of the response.
+	// Duration is the time from sending the request to the end of the response.
 	Duration time.Duration
 }
 
-// Read reads a response to its end without closing the body. If progress is not nil, it is called
-// after each token of a streamed response with the number of tokens received so far.
+// ReadReply reads a response to its end without closing the body. If progress is not nil, it is
+// called after each token of a streamed response with the number of tokens received so far.
 func ReadReply(response *http.Response, progress func(count int)) Reply {
 	reply := Reply{Status: response.StatusCode, Header: response.Header, Outcome: response.Header.Get("X-Outcome")}
 	reply.Failed = response.StatusCode/100 != 2
@@ -63,7 +63,7 @@
 // RetryAfter returns the value of the Retry-After header in seconds, or an empty string.
 func (reply Reply) RetryAfter() string { return reply.Header.Get("Retry-After") }
 
-// Offer returns the idempotency key offered in place of a rejected one, or an empty string.
+// OfferedKey returns the idempotency key offered in place of a rejected one, or an empty string.
 func (reply Reply) OfferedKey() string { return reply.Header.Get("Idempotency-Key-Offer") }
 
 // Replayed reports whether the response is the stored answer of an earlier call with the same key.
@@ -72,8 +72,8 @@
 // NotRun reports whether the response states that the call did not run.
 func (reply Reply) NotRun() bool { return reply.Outcome == "notRun" }
 
-// Own reports whether the text received is the beginning of the stand-in engine's answer to the
-// call, with no token missing or duplicated.
+// MatchesCall reports whether the text received is the beginning of the stand-in engine's answer to
+// the call, with no token missing or duplicated.
 func (reply Reply) MatchesCall(call Call) bool {
 	return reply.Text == engine.ResponseText(call.Model, call.Prompt, 0, reply.Tokens)
 }
--- a/standin/controller/controller.go
+++ b/standin/controller/controller.go
@@ -1,4 +1,4 @@
-// Package controller is a client for the administrative HTTP endpoints of the test doubles. It
+// Package controller is a client for the administrative HTTP endpoints of the stand-ins. It
 // injects faults into them and reads the requests and attempts that they recorded.
 package controller
 
@@ -30,7 +30,7 @@
 // Error is the error type of this package.
 type Error = failer.Error[Kind]
 
-// Controller sends administrative requests to one test double.
+// Controller sends administrative requests to one stand-in.
 type Controller struct {
 	address string
 	client  *http.Client
@@ -40,12 +40,12 @@
 type Option func(*Controller)
 
 // WithClient sets the HTTP client. The default client has a timeout of 2 s, so that a request to an
-// unresponsive test double ends, and does not keep connections alive.
+// unresponsive stand-in ends, and does not keep connections alive.
 func WithClient(client *http.Client) Option {
 	return func(controller *Controller) { controller.client = client }
 }
 
-// New returns a Controller for the test double at the address, which has the form host:port.
+// New returns a Controller for the stand-in at the address, which has the form host:port.
 func New(address string, opts ...Option) *Controller {
 	controller := &Controller{address: address, client: &http.Client{
 		Timeout:   defaultRequestTimeout,
@@ -57,13 +57,13 @@
 	return controller
 }
 
-// Faults configures fault injection in an engine or in the platform. The value is encoded as JSON;
-// omitted fields keep their values.
+// SetFaults configures fault injection in an engine or in the platform. The value is encoded as
+// JSON; omitted fields keep their values.
 func (controller *Controller) SetFaults(ctx context.Context, faults any) error {
 	return controller.order(ctx, http.MethodPost, "/faults", faults)
 }
 
-// ServiceFaults configures fault injection in a plain service, in the same way as Faults.
+// SetServiceFaults configures fault injection in a plain service, in the same way as SetFaults.
 func (controller *Controller) SetServiceFaults(ctx context.Context, faults any) error {
 	return controller.order(ctx, http.MethodPost, "/_standin/faults", faults)
 }
@@ -104,7 +104,8 @@
 	return slices.DeleteFunc(runs.Attempts, func(record engine.Record) bool { return !IsAttemptOf(record.AttemptID, requestID) }), err
 }
 
-// IsOf reports whether an attempt belongs to the request. It is false for an empty request ID.
+// IsAttemptOf reports whether an attempt belongs to the request. It is false for an empty request
+// ID.
 func IsAttemptOf(attemptID, requestID string) bool {
 	return requestID != "" && strings.HasPrefix(attemptID, requestID+".")
 }
--- a/standin/controller/controller_test.go
+++ b/standin/controller/controller_test.go
@@ -17,7 +17,7 @@
 	"limpetcleat/storer"
 )
 
-// serve starts an HTTP server for a test double and returns a controller for it and its address.
+// serve starts an HTTP server for a stand-in and returns a controller for it and its address.
 func serve(t *testing.T, handler http.Handler) (*controller.Controller, string) {
 	t.Helper()
 	server := httptest.NewServer(handler)
--- a/standin/engine/options.go
+++ b/standin/engine/options.go
@@ -74,13 +74,13 @@
 	return func(options *options) { options.maxRunning = sequences }
 }
 
-// WithQueueBound sets the maximum number of queued sequences that have not started.
+// WithMaxQueued sets the maximum number of queued sequences that have not started.
 func WithMaxQueued(sequences int) Option {
 	return func(options *options) { options.maxQueued = sequences }
 }
 
-// WithTokenTime sets the time between tokens of a sequence that runs alone, and the time that each
-// additional running sequence adds to it.
+// WithTokenInterval sets the time between tokens of a sequence that runs alone, and the time that
+// each additional running sequence adds to it.
 func WithTokenInterval(base, slope time.Duration) Option {
 	return func(options *options) { options.tokenInterval, options.tokenIntervalSlope = base, slope }
 }
@@ -90,7 +90,7 @@
 	return func(options *options) { options.prefillTime = perThousand }
 }
 
-// WithCacheBlocks sets the capacity of the prefix cache in blocks of 16 tokens.
+// WithPrefixCacheBlocks sets the capacity of the prefix cache in blocks of 16 tokens.
 func WithPrefixCacheBlocks(blocks int) Option {
 	return func(options *options) { options.cacheBlocks = blocks }
 }
--- a/standin/engine/text.go
+++ b/standin/engine/text.go
@@ -22,7 +22,8 @@
 	return newResponseText(model, prompt).token(i)
 }
 
-// Answer returns the concatenated tokens [first, end) of the response of the model to the prompt.
+// ResponseText returns the concatenated tokens [first, end) of the response of the model to the
+// prompt.
 func ResponseText(model, prompt string, first, end int) string {
 	return newResponseText(model, prompt).join(first, end)
 }
--- a/standin/internal/host/announcement.go
+++ b/standin/internal/host/announcement.go
@@ -25,7 +25,7 @@
 	RetryAfterMs int `json:"retryAfterMs"`
 }
 
-// Write sets HeaderLimit and HeaderLeaving in a response header.
+// SetHeaders sets HeaderLimit and HeaderLeaving in a response header.
 func (announcement Announcement) SetHeaders(header http.Header) {
 	if announcement.LimitPerSecond != "" {
 		header.Set(HeaderLimit, announcement.LimitPerSecond)
@@ -35,7 +35,7 @@
 	}
 }
 
-// WriteRetryAfter sets HeaderRetryAfter in the response header of a refusal, in decimal seconds.
+// SetRetryAfter sets HeaderRetryAfter in the response header of a refusal, in decimal seconds.
 func (announcement Announcement) SetRetryAfter(header http.Header) {
 	backoff := time.Second
 	if announcement.RetryAfterMs > 0 {
--- a/standin/internal/host/host.go
+++ b/standin/internal/host/host.go
@@ -35,8 +35,8 @@
 	return host.done
 }
 
-// Close makes all calls of Serve, Wait and Hang return. It is idempotent and does not wait for
-// them.
+// Close makes all calls of Serve, Sleep and WaitUntilDone return. It is idempotent and does not
+// wait for them.
 func (host *Host) Close() {
 	host.closeOnce.Do(func() { close(host.done) })
 }
@@ -64,7 +64,7 @@
 	return err
 }
 
-// Wait sleeps for the duration. It returns false if ctx is done or the host is closed first.
+// Sleep sleeps for the duration. It returns false if ctx is done or the host is closed first.
 func (host *Host) Sleep(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
 		return true
@@ -81,8 +81,8 @@
 	}
 }
 
-// Hang blocks until ctx is done or the host is closed. The context of a request is done when its
-// client disconnects.
+// WaitUntilDone blocks until ctx is done or the host is closed. The context of a request is done
+// when its client disconnects.
 func (host *Host) WaitUntilDone(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -90,31 +90,32 @@
 	}
 }
 
-// Answer writes a response with the status and the value as its JSON body.
+// WriteJSON writes a response with the status and the value as its JSON body.
 func WriteJSON(writer http.ResponseWriter, status int, value any) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
 	_ = json.NewEncoder(writer).Encode(value)
 }
 
-// Failure is the body of an error response, in the form of an OpenAI error.
+// ErrorResponse is the body of an error response, in the form of an OpenAI error.
 type ErrorResponse struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// FailureDetail is the error object in a Failure.
+// ErrorDetail is the error object in an ErrorResponse.
 type ErrorDetail struct {
 	Message string `json:"message"`
 	Type    string `json:"type"`
 }
 
-// Fail writes an error response with the status, whose error type is kind.
+// WriteError writes an error response with the status, whose error type is kind.
 func WriteError(writer http.ResponseWriter, status int, kind, message string) {
 	WriteJSON(writer, status, ErrorResponse{Error: ErrorDetail{Message: message, Type: kind}})
 }
 
-// Cut closes the TCP connection of a response without completing the response. The caller must
-// flush what the client is to receive. Cut has no effect if the connection cannot be hijacked.
+// CloseConnection closes the TCP connection of a response without completing the response. The
+// caller must flush what the client is to receive. CloseConnection has no effect if the connection
+// cannot be hijacked.
 func CloseConnection(writer http.ResponseWriter) {
 	controller := http.NewResponseController(writer)
 	connection, _, err := controller.Hijack()
@@ -124,9 +125,9 @@
 	_ = connection.Close()
 }
 
-// Update decodes the JSON body of the request into value, a pointer; fields that are absent from
-// the body keep their value. For malformed JSON or an unknown field it responds with status 400 and
-// returns false; value may then be partly updated.
+// DecodeJSON decodes the JSON body of the request into value, a pointer; fields that are absent
+// from the body keep their value. For malformed JSON or an unknown field it responds with status
+// 400 and returns false; value may then be partly updated.
 func DecodeJSON(writer http.ResponseWriter, request *http.Request, value any) bool {
 	decoder := json.NewDecoder(request.Body)
 	decoder.DisallowUnknownFields()
--- a/standin/measurer/maxinwindow.go
+++ b/standin/measurer/maxinwindow.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Busiest returns the largest number of times within any window of the given length, both ends
+// MaxInWindow returns the largest number of times within any window of the given length, both ends
 // included. The times must be in ascending order.
 func MaxInWindow(times []time.Time, window time.Duration) int {
 	most, first := 0, 0
--- a/standin/measurer/measurer.go
+++ b/standin/measurer/measurer.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// HeapInUse runs a garbage collection and returns the allocated heap memory in bytes.
+// HeapAlloc runs a garbage collection and returns the allocated heap memory in bytes.
 func HeapAlloc() float64 {
 	var statistics runtime.MemStats
 	runtime.GC()
@@ -16,7 +16,7 @@
 	return float64(statistics.HeapAlloc)
 }
 
-// ProcessorTime returns the CPU time that this process has used, in user and system mode.
+// CPUTime returns the CPU time that this process has used, in user and system mode.
 func CPUTime() time.Duration {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
--- a/standin/measurer/wire.go
+++ b/standin/measurer/wire.go
@@ -45,8 +45,8 @@
 	return &Wire{streams: make(map[link]*stream), bytes: make(map[definer.VM]int), messages: make(map[definer.VM]int)}
 }
 
-// Count adds the bytes of a message and of its receipt, and one message, to the
-// counts of both nodes. It returns the error of the encoder, if any.
+// RecordExchange adds the bytes of a message and of its receipt, and one message, to the counts
+// of both nodes. It returns the error of the encoder, if any.
 func (wire *Wire) RecordExchange(from, to definer.VM, dataCentre definer.DataCentre, message messenger.Message) error {
 	sender := definer.Member{VM: from, Incarnation: typicalIncarnation}
 	envelope := messenger.Envelope{From: sender, DataCentre: dataCentre, Frames: []messenger.Frame{messenger.Wrap(message)}}
--- a/standin/office/office.go
+++ b/standin/office/office.go
@@ -1,4 +1,4 @@
-// Package office is a test double for the platform endpoint that accepts usage reports and scaling
+// Package office is a stand-in for the platform endpoint that accepts usage reports and scaling
 // orders from one lease holder at a time. It checks the fencing token when a request is executed,
 // which may be seconds after the request was received.
 package office
@@ -66,14 +66,14 @@
 	return &Office{lease: lease, placeOrder: placeOrder, highestTokens: make(map[string]uint64), operations: make(map[string][]operation)}
 }
 
-// Refuse makes every request fail with the HTTP status. A status of 0 ends this.
+// SetErrorStatus makes every request fail with the HTTP status. A status of 0 ends this.
 func (office *Office) SetErrorStatus(status int) {
 	office.mutex.Lock()
 	defer office.mutex.Unlock()
 	office.errorStatus = status
 }
 
-// Delay makes subsequent requests get no response and be executed after the delay. A delay of 0
+// SetDelay makes subsequent requests get no response and be executed after the delay. A delay of 0
 // ends this.
 func (office *Office) SetDelay(delay time.Duration) {
 	office.mutex.Lock()
@@ -88,7 +88,7 @@
 	return append([]Report(nil), office.reports...)
 }
 
-// Breaches returns a description of each violation of mutual exclusion between nodes.
+// Violations returns a description of each violation of mutual exclusion between nodes.
 func (office *Office) Violations() []string {
 	office.mutex.Lock()
 	defer office.mutex.Unlock()
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,4 +1,4 @@
-// Package platform is an in-memory test double for the platform's object API, with versioned
+// Package platform is an in-memory stand-in for the platform's object API, with versioned
 // objects, conditional writes, watches, a delayed list of VMs, rate limits and fault injection. The
 // protocol is described in docs/STANDINS.md.
 package platform
@@ -68,7 +68,7 @@
 	return func(platform *Platform) { platform.listLag = lag }
 }
 
-// WithHistory sets the number of changes that are retained for watches.
+// WithHistoryLimit sets the number of changes that are retained for watches.
 func WithHistoryLimit(changes int) Option {
 	return func(platform *Platform) { platform.historyLimit = changes }
 }
--- a/standin/process/process.go
+++ b/standin/process/process.go
@@ -70,16 +70,16 @@
 	<-process.exited
 }
 
-// Freeze suspends the process with SIGSTOP until Thaw is called.
+// Suspend suspends the process with SIGSTOP until Resume is called.
 func (process *Process) Suspend() { process.signal(syscall.SIGSTOP) }
 
-// Thaw resumes a suspended process with SIGCONT.
+// Resume resumes a suspended process with SIGCONT.
 func (process *Process) Resume() { process.signal(syscall.SIGCONT) }
 
-// Stop sends SIGTERM to the process, as a planned stop does, and does not wait for it to exit.
+// Terminate sends SIGTERM to the process, as a planned stop does, and does not wait for it to exit.
 func (process *Process) Terminate() { process.signal(syscall.SIGTERM) }
 
-// Over returns a channel that is closed once the process has exited.
+// Exited returns a channel that is closed once the process has exited.
 func (process *Process) Exited() <-chan struct{} { return process.exited }
 
 // ExitCode waits until the process has exited and returns its exit code, which is -1 if a signal
@@ -93,14 +93,14 @@
 	}
 }
 
-// Text returns the content of the log file: the output of the process and of all others that share
-// the file.
+// Output returns the content of the log file: the output of the process and of all others that
+// share the file.
 func (process *Process) Output() (string, error) {
 	data, err := os.ReadFile(process.logPath)
 	return string(data), err
 }
 
-// Listening waits until a stand-in reports its listen address in the log file and returns the
+// ListenAddress waits until a stand-in reports its listen address in the log file and returns the
 // address. If the process exits or the context ends first, it returns an error of kind Unfinished.
 func (process *Process) ListenAddress(ctx context.Context) (string, error) {
 	for {
--- a/standin/relay/relay.go
+++ b/standin/relay/relay.go
@@ -16,21 +16,21 @@
 	"limpetcleat/failer"
 )
 
-// Everyone selects all peers of a relay, including unidentified ones.
+// AllPeers selects all peers of a relay, including unidentified ones.
 const AllPeers = ""
 
 // Mode is how a relay handles a peer's connections.
 type Mode int
 
 const (
-	// Passing forwards in both directions.
+	// Forwarding forwards in both directions.
 	Forwarding Mode = iota
-	// Cutting closes open connections, and new ones once the peer is identified. For Everyone it
-	// closes new ones as soon as they are accepted.
+	// Disconnecting closes open connections, and new ones once the peer is identified. For AllPeers
+	// it closes new ones as soon as they are accepted.
 	Disconnecting
 	// Stalling keeps connections open and forwards nothing in either direction.
 	Stalling
-	// Muting forwards what the peer sends and nothing in return.
+	// StallingReturn forwards what the peer sends and nothing in return.
 	StallingReturn
 )
 
@@ -38,9 +38,9 @@
 type Direction int
 
 const (
-	// Forward is from the peer to the target.
+	// ToTarget is from the peer to the target.
 	ToTarget Direction = iota
-	// Backward is from the target to the peer.
+	// ToPeer is from the target to the peer.
 	ToPeer
 	directionCount
 )
@@ -48,7 +48,7 @@
 // Kind classifies an Error.
 type Kind string
 
-// Accepting marks a failure of the listener to accept connections.
+// AcceptFailed marks a failure of the listener to accept connections.
 const AcceptFailed Kind = "accepting"
 
 // Error is the one error type of this package.
@@ -72,9 +72,9 @@
 	mutex sync.Mutex
 	// modeChanged is closed and replaced on each change of a mode and when the relay stops.
 	modeChanged chan struct{}
-	// modes holds the mode of each peer, and of Everyone.
+	// modes holds the mode of each peer, and of AllPeers.
 	modes map[string]Mode
-	// connections maps both ends of every open connection to the peer's name, or to Everyone until
+	// connections maps both ends of every open connection to the peer's name, or to AllPeers until
 	// the peer is identified.
 	connections map[net.Conn]string
 	// heldReads counts the reads that wait to be forwarded.
@@ -95,7 +95,7 @@
 	return func(relay *Relay) { relay.peers = slices.Clone(names) }
 }
 
-// WithCounted counts the requests that begin with the prefix, such as "POST /v1/".
+// WithCountedPrefix counts the requests that begin with the prefix, such as "POST /v1/".
 func WithCountedPrefix(prefix string) Option {
 	return func(relay *Relay) { relay.countedPrefix = []byte(prefix) }
 }
@@ -114,8 +114,8 @@
 	return relay
 }
 
-// Set changes the mode of one peer, or of Everyone. A mode of Everyone other than Passing overrides
-// the modes of single peers. Cutting closes the connections that are open.
+// SetMode changes the mode of one peer, or of AllPeers. A mode of AllPeers other than Forwarding
+// overrides the modes of single peers. Disconnecting closes the connections that are open.
 func (relay *Relay) SetMode(peer string, mode Mode) {
 	relay.mutex.Lock()
 	defer relay.mutex.Unlock()
@@ -126,27 +126,27 @@
 	relay.notifyModeChange()
 }
 
-// Holds reports whether bytes wait to be forwarded in the direction.
+// Holding reports whether bytes wait to be forwarded in the direction.
 func (relay *Relay) Holding(direction Direction) bool {
 	relay.mutex.Lock()
 	defer relay.mutex.Unlock()
 	return relay.heldReads[direction] > 0
 }
 
-// Bytes returns the number of bytes forwarded in the direction.
+// ForwardedBytes returns the number of bytes forwarded in the direction.
 func (relay *Relay) ForwardedBytes(direction Direction) int64 {
 	return relay.forwardedBytes[direction].Load()
 }
 
-// Counted returns the number of requests received that begin with the prefix of WithCounted,
-// including requests that were not forwarded.
+// CountedRequests returns the number of requests received that begin with the prefix of
+// WithCountedPrefix, including requests that were not forwarded.
 func (relay *Relay) CountedRequests() int {
 	return int(relay.countedRequests.Load())
 }
 
 // Serve forwards the listener's connections until the context ends or Close is called. It then
 // closes every connection and returns nil. The relay cannot be served again afterwards. A failure
-// of the listener is returned as an Error of kind Accepting.
+// of the listener is returned as an Error of kind AcceptFailed.
 func (relay *Relay) Serve(ctx context.Context, listener net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var workers conc.WaitGroup
--- a/standin/store/link.go
+++ b/standin/store/link.go
@@ -29,7 +29,7 @@
 // NewLink returns a Link with a throughput limit in bytes per second; 0 means no limit.
 func NewLink(bytesPerSecond int64) *Link { return &Link{bytesPerSecond: bytesPerSecond} }
 
-// Delay sets the delay before the status line of each subsequent response.
+// SetDelay sets the delay before the status line of each subsequent response.
 func (link *Link) SetDelay(delay time.Duration) {
 	link.mutex.Lock()
 	defer link.mutex.Unlock()
@@ -43,7 +43,7 @@
 	return link.sentBytes
 }
 
-// Over returns the handler with its responses sent over the link.
+// Wrap returns the handler with its responses sent over the link.
 func (link *Link) Wrap(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		handler.ServeHTTP(&linkWriter{ResponseWriter: writer, ctx: request.Context(), link: link}, request)
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -1,4 +1,4 @@
-// Package store is an in-memory test double for the platform's object store. It keeps objects by
+// Package store is an in-memory stand-in for the platform's object store. It keeps objects by
 // kind and name under one global revision, and serves lists, watches and conditional writes as JSON
 // over HTTP.
 package store
@@ -65,7 +65,7 @@
 // Option configures a Store.
 type Option func(*Store)
 
-// WithPage sets the maximum number of objects in the response to a list.
+// WithPageSize sets the maximum number of objects in the response to a list.
 func WithPageSize(objects int) Option { return func(store *Store) { store.pageSize = objects } }
 
 // New returns an empty store.
@@ -97,8 +97,8 @@
 	store.remove(kind, name)
 }
 
-// Refuse makes every request fail with the HTTP status, pending watches included. A status of 0
-// ends this.
+// SetErrorStatus makes every request fail with the HTTP status, pending watches included. A status
+// of 0 ends this.
 func (store *Store) SetErrorStatus(status int) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
