--- a/messenger/messenger_test.go
+++ b/messenger/messenger_test.go
@@ -171,9 +171,9 @@
 	first.Send(first.ctx, address, &messenger.Heartbeat{Target: "hello"})
 	eventually(t, "the message", func() bool { return len(second.receivedTargets()) == 1 })
 	eventually(t, "equal counts", func() bool {
-		forward, back := counting.ForwardedBytes(relay.ToTarget), counting.ForwardedBytes(relay.ToPeer)
-		return first.sent.Load() == forward && second.received.Load() == forward &&
-			second.sent.Load() == back && first.received.Load() == back
+		toTarget, toPeer := counting.ForwardedBytes(relay.ToTarget), counting.ForwardedBytes(relay.ToPeer)
+		return first.sent.Load() == toTarget && second.received.Load() == toTarget &&
+			second.sent.Load() == toPeer && first.received.Load() == toPeer
 	})
 	assert.Assert(t, counting.ForwardedBytes(relay.ToTarget) > int64(len("hello")))
 }
