--- a/standin/authority/authority.go
+++ b/standin/authority/authority.go
@@ -15,8 +15,8 @@
 	"limpetcleat/failer"
 )
 
-// InnerName is the DNS name in the certificates of all nodes, which peers verify.
-const InnerName = "limpetcleat-inner"
+// NodeServerName is the DNS name in the certificates of all nodes, which peers verify.
+const NodeServerName = "limpetcleat-inner"
 
 const (
 	defaultLifetime = 30 * 24 * time.Hour
@@ -89,9 +89,10 @@
 	return pool
 }
 
-// Configs returns the server and client configurations for mutual TLS between nodes, with a
-// certificate for the given DNS name. The client configuration expects peers to have InnerName.
-func (authority *Authority) Configs(dnsName string) (serverConfig, clientConfig *tls.Config, err error) {
+// TLSConfigs returns the server and client configurations for mutual TLS between nodes, with a
+// certificate for the given DNS name. The client configuration expects peers to have
+// NodeServerName.
+func (authority *Authority) TLSConfigs(dnsName string) (serverConfig, clientConfig *tls.Config, err error) {
 	certificate, err := authority.Issue(dnsName, dnsName)
 	if err != nil {
 		return nil, nil, err
@@ -105,7 +106,7 @@
 	clientConfig = &tls.Config{
 		Certificates: []tls.Certificate{certificate.TLSCertificate()},
 		RootCAs:      authority.Pool(),
-		ServerName:   InnerName,
+		ServerName:   NodeServerName,
 		MinVersion:   tls.VersionTLS13,
 	}
 	return serverConfig, clientConfig, nil
--- a/standin/internal/host/announcement.go
+++ b/standin/internal/host/announcement.go
@@ -25,8 +25,8 @@
 	RetryAfterMs int `json:"retryAfterMs"`
 }
 
-// Write sets HeaderLimit and HeaderLeaving in a response header.
-func (announcement Announcement) Write(header http.Header) {
+// SetHeaders sets HeaderLimit and HeaderLeaving in a response header.
+func (announcement Announcement) SetHeaders(header http.Header) {
 	if announcement.LimitPerSecond != "" {
 		header.Set(HeaderLimit, announcement.LimitPerSecond)
 	}
@@ -35,8 +35,8 @@
 	}
 }
 
-// WriteRetryAfter sets HeaderRetryAfter in the response header of a refusal, in decimal seconds.
-func (announcement Announcement) WriteRetryAfter(header http.Header) {
+// SetRetryAfter sets HeaderRetryAfter in the response header of a refusal, in decimal seconds.
+func (announcement Announcement) SetRetryAfter(header http.Header) {
 	backoff := time.Second
 	if announcement.RetryAfterMs > 0 {
 		backoff = time.Duration(announcement.RetryAfterMs) * time.Millisecond
--- a/standin/measurer/measurer.go
+++ b/standin/measurer/measurer.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// HeapInUse runs a garbage collection and returns the allocated heap memory in bytes.
-func HeapInUse() float64 {
+// HeapAlloc runs a garbage collection and returns the allocated heap memory in bytes.
+func HeapAlloc() float64 {
 	var statistics runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&statistics)
 	return float64(statistics.HeapAlloc)
 }
 
-// ProcessorTime returns the CPU time that this process has used, in user and system mode.
-func ProcessorTime() time.Duration {
+// CPUTime returns the CPU time that this process has used, in user and system mode.
+func CPUTime() time.Duration {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
